--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,7 @@
 CHECKS    ?= 20000
 LINT      := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 WIRE      := github.com/google/wire/cmd/wire@v0.7.0
+GOPLS     := golang.org/x/tools/gopls@v0.23.0
 
 # The packages whose tests draw their cases by rapid; only these know its flags.
 IMPORTS   := {{.ImportPath}} {{join .TestImports " "}} {{join .XTestImports " "}}
@@ -45,5 +46,8 @@
 $(BIN)/wire:
 	GOBIN=$(CURDIR)/$(BIN) $(GO) install $(WIRE)
 
+$(BIN)/gopls:
+	GOBIN=$(CURDIR)/$(BIN) $(GO) install $(GOPLS)
+
 clean:
 	rm -rf $(BIN)
