--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,25 +14,25 @@
 	"boragehub/upstream"
 )
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
-	// done says that the caller has its answer, or left.
+	// done is true if the caller has its response or closed its connection.
 	done bool
-	// ran says that the request may have run.
-	ran bool
-	// kind is what the caller is told if no other attempt is made.
+	// mayHaveRun is true if the target may have run the request.
+	mayHaveRun bool
+	// kind is the failure reported to the caller if no other attempt is made.
 	kind failure.Kind
-	// cause is for the log.
+	// cause is the underlying error, for the log.
 	cause error
-	// answer is a target's own failure, passed on if no other attempt is made.
-	answer *whole
-	// standing is what it says about the target.
-	standing target.Outcome
+	// response is the target's own error response, forwarded if no other attempt is made.
+	response *fullResponse
+	// targetOutcome is how the attempt counts for the target.
+	targetOutcome target.Outcome
 }
 
-// refusedPause is how long an engine that refused work is left alone: it is full
-// or loads weights, and a queue of short prompts moves on in that time.
-const refusedPause = 60 * time.Millisecond
+// refusedBackoff is how long an engine that refused a request gets no others: it is full
+// or loads weights, and a queue of short prompts advances in that time.
+const refusedBackoff = 60 * time.Millisecond
 
 // run sends the request to targets until it is answered or given up.
 func (t *task) run(ctx context.Context) {
@@ -42,8 +42,8 @@
 		now := time.Now()
 
 		c, err := t.choose(now)
-		if errors.Is(err, errNoRoom) {
-			c, err = t.awaitRoom(ctx, err)
+		if errors.Is(err, errNoCapacity) {
+			c, err = t.awaitCapacity(ctx, err)
 			now = time.Now()
 		}
 
@@ -53,7 +53,7 @@
 				return
 			}
 
-			err = t.mayRepeat(time.Now(), last)
+			err = t.mayRetry(time.Now(), last)
 		}
 
 		if err != nil {
@@ -64,31 +64,31 @@
 	}
 }
 
-// mayRepeat returns nil if the request may go to another target, and otherwise
-// what to tell the caller.
-func (t *task) mayRepeat(now time.Time, o outcome) error {
+// mayRetry returns nil if the request may go to another target, and otherwise the error
+// for the caller.
+func (t *task) mayRetry(now time.Time, o outcome) error {
 	left := t.deadline.Sub(now)
 
 	switch {
 	case t.r.Context().Err() != nil:
-		return failure.New(failure.Cancelled, "the caller left")
+		return failure.New(failure.Cancelled, "the caller closed its connection")
 	case left <= 0:
-		return t.failed(o, failure.Timeout)
-	case t.g.work.ended():
-		return t.failed(o, o.kind)
-	case errors.Is(o.cause, errSilent), errors.Is(o.cause, errLeaving):
-		// Another target would read the whole prompt anew, and the callers of all
-		// targets that stand still come back by themselves: with repeats of ours
-		// besides, the other targets are overloaded.
-		return t.failed(o, failure.Timeout)
+		return t.attemptError(o, failure.Timeout)
+	case t.g.drain.ended():
+		return t.attemptError(o, o.kind)
+	case errors.Is(o.cause, errUnresponsive), errors.Is(o.cause, errCallerTimeout):
+		// Another target would prefill the whole prompt again, and the callers of all paused
+		// targets retry by themselves: with retries by the gateway as well, the other targets
+		// are overloaded.
+		return t.attemptError(o, failure.Timeout)
 	case !retry.May(retry.Attempt{
-		Idempotent: t.route.Repeatable(), Sent: o.ran, Kind: o.kind, Number: t.ran, Most: max(t.route.MaxAttempts, 1),
+		Idempotent: t.route.Repeatable(), Sent: o.mayHaveRun, Kind: o.kind, Number: t.possibleRuns, Most: max(t.route.MaxAttempts, 1),
 	}):
-		return t.failed(o, o.kind)
-	case !t.g.budget(t.service.Name).Allow(now):
+		return t.attemptError(o, o.kind)
+	case !t.g.retryBudget(t.service.Name).Allow(now):
 		event.Log(t.g.cfg.Log, event.RepeatRefused, "request_id", t.arrival.ID, "attempt", t.attempts, "kind", o.kind.String(), "reason", "budget")
 
-		return t.failed(o, o.kind)
+		return t.attemptError(o, o.kind)
 	}
 
 	event.Log(t.g.cfg.Log, event.RequestRepeated, "request_id", t.arrival.ID, "attempt", t.attempts, "kind", o.kind.String(), "left_ms", left.Milliseconds())
@@ -96,47 +96,47 @@
 	return nil
 }
 
-// failed returns what a caller is told: that the request has not run only if no
-// target may have run it.
-func (t *task) failed(o outcome, kind failure.Kind) error {
-	if t.ran == 0 {
-		return failure.Wrap(failure.Unavailable, o.cause, "no target took the request").After(t.pause(o))
+// attemptError returns the error for the caller. It says that the request has not run only
+// if no target may have run it.
+func (t *task) attemptError(o outcome, kind failure.Kind) error {
+	if t.possibleRuns == 0 {
+		return failure.Wrap(failure.Unavailable, o.cause, "no target accepted the request").After(t.retryAfter(o))
 	}
 
 	if kind.Answer().Ran == failure.NotRun {
 		kind = failure.TargetLost
 	}
 
-	return failure.Wrap(kind, o.cause, "the target's answer did not come")
+	return failure.Wrap(kind, o.cause, "the target sent no complete response")
 }
 
-// pause is when to come back.
-func (t *task) pause(o outcome) time.Duration {
+// retryAfter returns when the caller should retry a request that no target has run.
+func (t *task) retryAfter(o outcome) time.Duration {
 	if o.kind == failure.Draining || o.kind == failure.QueueFull {
-		return loadingPause
+		return loadingRetryAfter
 	}
 
-	return nonePause
+	return noTargetRetryAfter
 }
 
-// giveUp ends the request without a whole answer.
+// giveUp ends the request without a complete response.
 func (t *task) giveUp(o outcome, err error) {
 	if t.stream.started {
-		// The caller has a part of the stream: only a broken connection tells it
-		// that the rest is missing.
+		// The caller has received part of the stream: only a broken connection tells it that the
+		// rest is missing.
 		event.Log(t.g.cfg.Log, event.RequestGivenUp, "request_id", t.arrival.ID, "route", t.route.Name, "kind", "stream_cut",
-			"status", 0, "ran", "may_have_run", "retry_after_ms", 0, "attempts", t.attempts, "cause", cause(err), "after_ms", time.Since(t.began).Milliseconds())
+			"status", 0, "ran", "may_have_run", "retry_after_ms", 0, "attempts", t.attempts, "cause", causeText(err), "after_ms", time.Since(t.began).Milliseconds())
 		panic(http.ErrAbortHandler)
 	}
 
-	if o.answer != nil && t.r.Context().Err() == nil {
-		t.deliver(o.answer)
+	if o.response != nil && t.r.Context().Err() == nil {
+		t.deliver(o.response)
 
 		return
 	}
 
-	if t.ran > 0 && failure.KindOf(err).Answer().Ran == failure.NotRun {
-		err = t.failed(o, failure.TargetLost)
+	if t.possibleRuns > 0 && failure.KindOf(err).Answer().Ran == failure.NotRun {
+		err = t.attemptError(o, failure.TargetLost)
 	}
 
 	t.refuse(err)
@@ -153,99 +153,99 @@
 	t.tried[c.engine.ID] = true
 
 	if t.attempts == 1 {
-		t.g.budget(t.service.Name).First(now)
+		t.g.retryBudget(t.service.Name).First(now)
 	}
 
-	ctx, cancel := context.WithDeadline(ctx, now.Add(t.patience(now)))
+	ctx, cancel := context.WithDeadline(ctx, now.Add(t.attemptTimeout(now)))
 	defer cancel()
 
-	ctx, abandon := context.WithCancelCause(ctx)
-	t.flight = &flight{abandon: abandon, model: t.model(), version: c.sending.Version}
-	defer t.g.flights.begin(c.engine.ID, t.flight)()
+	ctx, cancelAttempt := context.WithCancelCause(ctx)
+	t.inFlight = &inFlightAttempt{cancel: cancelAttempt, model: t.model(), version: c.params.Version}
+	defer t.g.inFlight.add(c.engine.ID, t.inFlight)()
 
 	if t.streaming() && t.route.Patience > 0 {
-		go t.watch(ctx, c.engine.ID, abandon)
+		go t.watchCallerTimeout(ctx, c.engine.ID, cancelAttempt)
 	}
 
 	if t.arrival.Prompt != nil {
-		t.fleet().Sent(c.unread, c.memory, t.route.Aim)
+		t.profile().Sent(c.prefillTokens, c.memoryTokens, t.route.Aim)
 	}
 
 	t.sentAt = now
-	sent := t.g.cfg.Roster.Sent(now, c.engine.ID, c.unread, c.memory)
+	sent := t.g.cfg.Roster.Sent(now, c.engine.ID, c.prefillTokens, c.memoryTokens)
 	o := t.exchange(ctx, c)
 
 	if t.r.Context().Err() != nil {
-		o.standing = target.Neutral
+		o.targetOutcome = target.Neutral
 	}
 
-	t.g.cfg.Roster.Done(time.Now(), sent, o.standing)
+	t.g.cfg.Roster.Done(time.Now(), sent, o.targetOutcome)
 
-	if o.ran {
-		t.ran++
+	if o.mayHaveRun {
+		t.possibleRuns++
 	}
 
 	if !o.done {
-		t.failedAttempt(c, o)
+		t.recordFailedAttempt(c, o)
 	}
 
 	return o
 }
 
-// patience is how long the attempt may take. A call that may be repeated leaves
-// time for another target: a target that hangs would otherwise use it all up.
-func (t *task) patience(now time.Time) time.Duration {
+// attemptTimeout returns how long the attempt may take. A retryable call leaves time for
+// another target: a target that hangs would otherwise use up all of it.
+func (t *task) attemptTimeout(now time.Time) time.Duration {
 	left := t.deadline.Sub(now) + deadlineGrace
 	usual := 2*t.route.Aim + 50*time.Millisecond
 
-	if !t.route.Repeatable() || t.service.Engines != nil || t.ran+1 >= t.route.MaxAttempts || left < 2*usual {
+	if !t.route.Repeatable() || t.service.Engines != nil || t.possibleRuns+1 >= t.route.MaxAttempts || left < 2*usual {
 		return left
 	}
 
 	return usual
 }
 
-func (t *task) failedAttempt(c choice, o outcome) {
+func (t *task) recordFailedAttempt(c choice, o outcome) {
 	text := ""
 	if o.cause != nil {
 		text = o.cause.Error()
 	}
 
 	event.Log(t.g.cfg.Log, event.AttemptFailed, "request_id", t.arrival.ID, "route", t.route.Name, "target", c.engine.ID,
-		"attempt", t.attempts, "outcome", o.kind.String(), "ran", o.ran, "cause", text, "after_ms", time.Since(t.began).Milliseconds())
+		"attempt", t.attempts, "outcome", o.kind.String(), "ran", o.mayHaveRun, "cause", text, "after_ms", time.Since(t.began).Milliseconds())
 
 	if t.g.cfg.Meter != nil {
 		t.g.cfg.Meter.Failed(o.kind.String())
 	}
 }
 
-// exchange carries out one attempt.
+// exchange sends the request of one attempt and handles the response.
 func (t *task) exchange(ctx context.Context, c choice) outcome {
 	d := t.g.cfg.Dialect
 
-	x, err := t.g.cfg.Pool.Send(ctx, request(d, t.r, &t.arrival, &c.sending, t.body))
+	x, err := t.g.cfg.Pool.Send(ctx, upstreamRequest(d, t.r, &t.arrival, &c.params, t.body))
 	if err != nil {
-		return t.unanswered(ctx, c, err)
+		return t.failedExchange(ctx, c, err)
 	}
 	defer x.Close()
 
 	a := d.Answer(x.Header())
-	t.learn(c, a)
+	t.recordHead(c, a)
 
 	switch {
 	case a.NotRun || x.Status() == http.StatusMisdirectedRequest:
 		return t.refused(c, x, a)
 	case x.Status() == http.StatusOK && t.streaming():
-		return t.pass(ctx, c, x, a)
+		return t.forwardStream(ctx, c, x, a)
 	default:
-		return t.readWhole(ctx, c, x, a)
+		return t.readResponse(ctx, c, x, a)
 	}
 }
 
-// learn takes what the head of an answer says of its target.
-func (t *task) learn(c choice, a Answer) {
+// recordHead records what the head of a response reports about its target.
+func (t *task) recordHead(c choice, a Answer) {
 	now := time.Now()
-	t.flight.begun.Store(true)
+	t.inFlight.answered.Store(true)
 	t.g.cfg.Roster.Heard(now, c.engine.ID)
 
 	if a.LoadKnown {
@@ -257,51 +257,52 @@
 	}
 }
 
-// unanswered is the outcome of an exchange without the head of an answer.
-func (t *task) unanswered(ctx context.Context, c choice, err error) outcome {
-	o := outcome{kind: failure.TargetLost, cause: err, standing: target.Failed}
-	o.ran = upstream.ReachedOf(err) == upstream.MaybeSent
+// failedExchange returns the outcome of an exchange that failed before its response was complete.
+func (t *task) failedExchange(ctx context.Context, c choice, err error) outcome {
+	o := outcome{kind: failure.TargetLost, cause: err, targetOutcome: target.Failed}
+	o.mayHaveRun = upstream.ReachedOf(err) == upstream.MaybeSent
 
 	why := context.Cause(ctx)
 
 	switch {
 	case errors.Is(why, errRestarted):
-		// Its failures were those of the start before. The request may be why it ended.
-		o.cause, o.standing = why, target.Neutral
+		// Failures of the previous process don't count against the restarted target. The request
+		// may have caused the crash.
+		o.cause, o.targetOutcome = why, target.Neutral
 
-		if o.ran {
-			t.g.suspects.add(time.Now(), c.engine.ID, t.print)
+		if o.mayHaveRun {
+			t.g.crashes.add(time.Now(), c.engine.ID, t.fingerprint)
 		}
-	case errors.Is(why, errSilent), errors.Is(why, errOverdue), errors.Is(why, errLeaving):
-		// Its standing is left alone: a silent one is taken as quiet until it is heard
-		// again, and then has all its work and memory.
-		o.cause, o.standing = why, target.Neutral
+	case errors.Is(why, errUnresponsive), errors.Is(why, errVersionOverdue), errors.Is(why, errCallerTimeout):
+		// Not counted as a failure of the target: an unresponsive one is marked quiet until it is
+		// heard from again, and then still has its requests and its memory.
+		o.cause, o.targetOutcome = why, target.Neutral
 	case ctx.Err() != nil:
-		// Its patience may have ended before the caller's.
+		// The attempt's timeout may have expired before the caller's deadline.
 		if !time.Now().Before(t.deadline) {
 			o.kind = failure.Timeout
 		}
-	case o.ran:
-		t.g.suspects.add(time.Now(), c.engine.ID, t.print)
+	case o.mayHaveRun:
+		t.g.crashes.add(time.Now(), c.engine.ID, t.fingerprint)
 	}
 
 	if t.r.Context().Err() != nil {
 		o.done = true
 
-		t.left()
+		t.abortCallerLeft()
 	}
 
 	return o
 }
 
-// left ends the request of a caller who closed its connection.
-func (t *task) left() {
+// abortCallerLeft ends the request of a caller that closed its connection.
+func (t *task) abortCallerLeft() {
 	event.Log(t.g.cfg.Log, event.CallerLeft, "request_id", t.arrival.ID, "attempts", t.attempts, "after_ms", time.Since(t.began).Milliseconds())
 	panic(http.ErrAbortHandler)
 }
 
-// misdirected takes that a target has another weight version than was believed,
-// or that another target has its address.
+// misdirected handles a response which says that the target has another weight version than
+// assumed, or that another target has its address.
 func (t *task) misdirected(c choice, a Answer) {
 	now := time.Now()
 
@@ -309,21 +310,21 @@
 	case a.Target != "" && a.Target != c.engine.ID:
 		t.g.cfg.Roster.Gone(now, c.engine.ID)
 	case a.Version > c.engine.Version:
-		// Believed now, so the same target may be tried with it.
+		// The roster now has the reported version, so the same target may be tried with it.
 		delete(t.tried, c.engine.ID)
 	default:
-		t.g.cfg.Roster.Refused(now, c.engine.ID, refusedPause)
+		t.g.cfg.Roster.Refused(now, c.engine.ID, refusedBackoff)
 	}
 }
 
 // errRefused is the cause of an attempt that its target refused.
-var errRefused = errors.New("the target refused")
+var errRefused = errors.New("the target refused the request")
 
-// refused is the outcome of a request that the target says has not run.
+// refused returns the outcome of a request that the target says has not run.
 func (t *task) refused(c choice, x *upstream.Exchange, a Answer) outcome {
-	o := outcome{kind: failure.QueueFull, cause: fmt.Errorf("%w with status %d", errRefused, x.Status()), standing: target.Neutral}
+	o := outcome{kind: failure.QueueFull, cause: fmt.Errorf("%w with status %d", errRefused, x.Status()), targetOutcome: target.Neutral}
 
-	drain(x)
+	discardRest(x)
 
 	if x.Status() == http.StatusMisdirectedRequest {
 		o.kind = failure.WrongVersion
@@ -332,10 +333,10 @@
 		return o
 	}
 
-	// A target that refuses with places free loads weights.
-	pause := refusedPause
+	// A target that refuses although it has free slots is loading weights.
+	pause := refusedBackoff
 	if a.LoadKnown && a.Running < a.Slots && a.Waiting == 0 {
-		pause = loadingPause
+		pause = loadingRetryAfter
 	}
 
 	t.g.cfg.Roster.Refused(time.Now(), c.engine.ID, pause)
--- a/gateway/context.go
+++ b/gateway/cache.go
@@ -4,7 +4,7 @@
 	"boragehub/vault"
 )
 
-// scope says who may use what the request leaves in caches.
+// scope returns which requests may share the cached parts that this request leaves.
 func (t *task) scope(version int64) vault.Scope {
 	s := vault.Scope{Model: t.arrival.Prompt.Model, Version: version}
 	if t.organisation != nil && t.organisation.Isolated {
@@ -14,13 +14,13 @@
 	return s
 }
 
-// contexts fills in which cached parts the engine uses: only such as were made
-// under the version that the engine is asked to have.
-func (t *task) contexts(l *lookup, c *choice) {
-	s := &c.sending
+// setCacheParams sets which cached parts the engine may use: only parts computed with the
+// weight version that the engine is asked to have.
+func (t *task) setCacheParams(l *lookup, c *choice) {
+	s := &c.params
 
 	if c.engine.Version == 0 {
-		// Nobody knows which version it has, so nothing may be shared.
+		// The engine's version is unknown, so no cached part may be shared.
 		s.Salt = "request/" + t.arrival.ID
 
 		return
@@ -32,15 +32,16 @@
 	t.fetchAndSave(l, c)
 }
 
-// keepLeast is the length from which a part is kept in stores: a block of an
-// engine's memory. Also the short ones at the beginning have to be there: a part is
-// of use only together with all before it.
-const keepLeast = 16
+// minStoredTokens is the length of the shortest part that is fetched and saved: one block of an
+// engine's memory. Short parts at the start of a prompt have to be in stores too, since a part
+// can only be used together with all parts before it.
+const minStoredTokens = 16
 
-// fetchAndSave names for each part that is long enough where to bring it from, and
-// the store to keep it in from now on where none has it.
+// fetchAndSave sets, for each part that is long enough, the address to fetch it from and, if no
+// store has it, the store to save it in. It takes the parts that need no prefill off
+// c.prefillTokens.
 func (t *task) fetchAndSave(l *lookup, c *choice) {
-	s := &c.sending
+	s := &c.params
 	parts := t.arrival.Prompt.Parts
 	newest := s.Version >= t.g.newest(t.arrival.Prompt.Model)
 
@@ -52,16 +53,16 @@
 	fetch, save := make([]string, len(parts)), make([]string, len(parts))
 
 	for i := range len(parts) - 1 {
-		if parts[i].Tokens < keepLeast {
+		if parts[i].Tokens < minStoredTokens {
 			continue
 		}
 
 		x := l.part(i, s.Version)
-		found, ok := l.find(x, c.engine)
+		found, ok := l.fastestCopy(x, c.engine)
 
 		switch {
-		case x.on(c.engine):
-			c.unread -= parts[i].Tokens
+		case x.heldBy(c.engine):
+			c.prefillTokens -= parts[i].Tokens
 		case ok:
 			t.g.cfg.Vaults.Promise(l.now, found)
 
@@ -69,12 +70,12 @@
 				c.fetchWait, c.fetchTime = found.Wait, found.Transfer
 			}
 
-			c.unread -= parts[i].Tokens
+			c.prefillTokens -= parts[i].Tokens
 		}
 
 		if ok {
-			// Also where the engine has the part: it may just have lost it, and
-			// brings nothing that it has.
+			// Set even if the engine has the part: it may just have evicted it, and it fetches
+			// nothing that it has.
 			fetch[i] = found.Address
 			s.Fetch = fetch
 
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -9,24 +9,24 @@
 
 // Part is one part of a prompt.
 type Part struct {
-	// ID is the part's id.
+	// ID identifies the part.
 	ID string
 	// Tokens is its length.
 	Tokens int
 }
 
-// Prompt is what a request says of the prompt that it carries.
+// Prompt describes the prompt of a request.
 type Prompt struct {
-	// Model is the model's name.
+	// Model is the name of the model.
 	Model string
-	// Tokens is the prompt's length, Output the most that may be generated.
+	// Tokens is the length of the prompt, Output the maximum number of generated tokens.
 	Tokens, Output int
-	// Parts are the prompt's parts in order; the last one belongs to the request
-	// or its session.
+	// Parts are the parts of the prompt in order; the last one belongs to the request or
+	// its session alone.
 	Parts []Part
 }
 
-// Shared returns the tokens of the parts that other requests may have too.
+// Shared returns the number of tokens in the parts that other requests may have too.
 func (p *Prompt) Shared() int {
 	n := 0
 
@@ -37,7 +37,7 @@
 	return n
 }
 
-// Opening identifies the shared parts; empty when there are none.
+// Opening returns the id of the shared prefix, which is that of its last part. It is empty if no part is shared.
 func (p *Prompt) Opening() string {
 	if len(p.Parts) < 2 {
 		return ""
@@ -46,82 +46,83 @@
 	return p.Parts[len(p.Parts)-2].ID
 }
 
-// Arrival is a request as its caller sent it.
+// Arrival is a request as received from its caller.
 type Arrival struct {
-	// ID is the id that the caller gave this attempt of its own.
+	// ID is the request id that the caller chose for this attempt.
 	ID string
-	// Key is the caller's key; empty when there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// Deadline is how long the caller waits; zero when it doesn't say.
+	// Deadline is how long the caller waits; zero if it sets no limit.
 	Deadline time.Duration
 	// Prompt is set for requests that carry a prompt.
 	Prompt *Prompt
-	// ResumeAfter is the id of the last event of a stream that the caller has;
-	// empty for a stream from its beginning.
+	// ResumeAfter is the id of the last stream event that the caller has; empty for a
+	// stream from its beginning.
 	ResumeAfter string
 }
 
-// Sending is what goes to a target with a request besides what the caller sent.
+// Sending is what the gateway adds to a request that it sends to a target.
 type Sending struct {
-	// Target is the id of the target that the request is for; another one at
-	// the same address refuses it.
+	// Target is the id of the target that the request is for; another target at the same
+	// address refuses it.
 	Target string
-	// Address is the target's IP and port.
+	// Address is the target's IP address and port.
 	Address string
-	// Left is how long the answer is still of use.
+	// Left is the time left until the request's deadline.
 	Left time.Duration
 	// Organisation is the caller's organisation; empty for none.
 	Organisation string
-	// Priority is the request's rank, 0 first.
+	// Priority is the request's rank; 0 comes first.
 	Priority int
-	// ResumeAfter is the id of the last event that the caller has.
+	// ResumeAfter is the id of the last stream event that the caller has; empty for none.
 	ResumeAfter string
-	// Version is the weight version that the target is to have; zero for any.
+	// Version is the weight version that the target must have; zero for any.
 	Version int64
-	// Salt is under which the parts of the prompt are cached.
+	// Salt is the cache salt of the prompt's parts: only requests with the same salt share them.
 	Salt string
-	// Fetch and Save name a store for each part of the prompt, empty for none.
+	// Fetch and Save are addresses for each part of the prompt, to fetch it from and to save
+	// it to; empty for none.
 	Fetch, Save []string
-	// FetchUntil is the time on the engines' clock, in ms, at which a fetch that
-	// has not ended is thrown away.
+	// FetchUntil is the time on the engines' clock, in ms, at which an unfinished fetch is
+	// discarded.
 	FetchUntil int64
 }
 
-// Answer is what a target says in the head of its answer.
+// Answer is the head of a target's response.
 type Answer struct {
-	// NotRun says that the request has not run and never will.
+	// NotRun is true if the request has not run and never will.
 	NotRun bool
-	// Target is the id of the target that answers; empty when not told.
+	// Target is the id of the responding target; empty if not reported.
 	Target string
-	// Genuine says that the answer bears a target's signature.
+	// Genuine is true if the response bears a target's signature.
 	Genuine bool
-	// LoadKnown says that Running, Waiting and Slots were told.
+	// LoadKnown is true if Running, Waiting and Slots were reported.
 	LoadKnown bool
 	// Running, Waiting and Slots are the target's load.
 	Running, Waiting, Slots int
-	// Version is its weight version; zero when not told.
+	// Version is its weight version; zero if not reported.
 	Version int64
-	// Encoded says that the body is not as the target made it.
+	// Encoded is true if the body has a content encoding, so that it is not as the target made it.
 	Encoded bool
 }
 
-// Dialect translates between the gateway and those whom it speaks with.
+// Dialect translates between the gateway's types and the headers of callers and targets.
 type Dialect interface {
-	// Arrival reads what a caller sent. An error has kind failure.BadRequest.
+	// Arrival parses a caller's request. Its errors have kind failure.BadRequest.
 	Arrival(r *http.Request) (Arrival, error)
-	// Head returns the request line and headers of a request to a target, whose
-	// body has the given length (-1 for none).
+	// Head returns the request line and headers of a request to a target. Length is the
+	// length of its body, -1 for none.
 	Head(r *http.Request, a *Arrival, s *Sending, length int) []byte
-	// Answer reads the head of an answer.
+	// Answer parses the headers of a response.
 	Answer(h http.Header) Answer
-	// Belongs reports whether an answer is the one to a request.
+	// Belongs reports whether a response is the one to a request.
 	Belongs(a *Arrival, h http.Header) bool
-	// Mark puts a request's id on an answer of our own.
+	// Mark sets a request's id on a response that the gateway itself generated.
 	Mark(h http.Header, a *Arrival)
 }
 
-// request builds what upstream sends.
-func request(d Dialect, r *http.Request, a *Arrival, s *Sending, body []byte) upstream.Request {
+// upstreamRequest returns the request for the connection pool.
+func upstreamRequest(d Dialect, r *http.Request, a *Arrival, s *Sending, body []byte) upstream.Request {
 	length := -1
 	if len(body) > 0 || r.ContentLength == 0 && r.Method != http.MethodGet && r.Method != http.MethodHead {
 		length = len(body)
--- a/gateway/fleets.go
+++ b/gateway/fleets.go
@@ -6,41 +6,40 @@
 	"boragehub/profile"
 )
 
-// fleets are what was learned of each service's engines. The zero value is empty.
+// serviceProfiles holds what was measured of each service's engines. The zero value is empty.
 //
-// Services have engines of different speed and prompts of different length: learned
-// together, neither would be known.
-type fleets struct {
-	mu  sync.Mutex
-	all map[string]*profile.Fleet
+// Services differ in the speed of their engines and the length of their prompts: measured
+// together, the figures would fit neither.
+type serviceProfiles struct {
+	mu        sync.Mutex
+	byService map[string]*profile.Fleet
 }
 
-// of returns what was learned of a service's engines.
-func (f *fleets) of(service string) *profile.Fleet {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// forService returns the profile of a service's engines.
+func (p *serviceProfiles) forService(service string) *profile.Fleet {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	x, ok := f.all[service]
+	x, ok := p.byService[service]
 	if !ok {
-		if f.all == nil {
-			f.all = make(map[string]*profile.Fleet)
+		if p.byService == nil {
+			p.byService = make(map[string]*profile.Fleet)
 		}
 
 		x = &profile.Fleet{}
-		f.all[service] = x
+		p.byService[service] = x
 	}
 
 	return x
 }
 
-// tokensPerMs returns how fast the fastest engines are known to read, zero while not
-// known.
-func (f *fleets) tokensPerMs() float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// tokensPerMs returns the prefill speed of the fastest service's engines, zero while unknown.
+func (p *serviceProfiles) tokensPerMs() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
 	best := 0.0
-	for _, x := range f.all {
+	for _, x := range p.byService {
 		best = max(best, x.TokensPerMs())
 	}
 
--- a/gateway/fleets_test.go
+++ b/gateway/fleets_test.go
@@ -9,48 +9,48 @@
 	"boragehub/pulse"
 )
 
-// knowing has a gateway know that its engines read 100 tokens a ms, and that a usual
-// prompt has 2,000 to read.
-func knowing(g *Gateway) {
+// learnSpeed lets a gateway measure that its engines prefill 100 tokens a ms, and that the usual
+// prompt has 2,000 to prefill.
+func learnSpeed(g *Gateway) {
 	for i := range 64 {
 		tokens := 200 * (i % 16)
-		g.fleets.of("llm").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*10*time.Microsecond)
+		g.profiles.forService("llm").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*10*time.Microsecond)
 	}
 
-	g.fleets.of("llm").Sent(2000, 2000, 300*time.Millisecond)
+	g.profiles.forService("llm").Sent(2000, 2000, 300*time.Millisecond)
 }
 
-// New weights make all contexts cold at once, and engines have prompts to read for longer
-// than callers gladly wait. Sent there all the same, a prompt is answered late or not at
-// all, and makes all behind it late too. It is refused at once, as not run, and told to
-// come back when its turn would be near. A long one is held meanwhile while what is to be
-// read would make short ones late. The aim is 300 ms; five prompts take 100 ms.
+// After a version change no part is cached, and engines have prompts to prefill for longer than
+// callers wait. Guards against sending more: such a prompt is late or lost, and delays all behind
+// it. It is refused at once without having run, with a Retry-After time at which its turn is near.
+// A long prompt waits at the entry while the queue would make short ones late. The aim is 300 ms;
+// five prompts take 100 ms.
 func TestPromptThatCanNotBeOnTimeIsRefusedAtOnce(t *testing.T) {
 	tests := []struct {
 		name    string
 		waiting int
 		known   bool
 		status  int
-		after   float64 // when to come back, in seconds
+		after   float64 // Retry-After in seconds
 	}{
 		{"a short queue", 3, true, http.StatusOK, 0},
-		{"a queue that short ones would wait for", 5, true, http.StatusServiceUnavailable, 1},
+		{"a queue that delays short prompts", 5, true, http.StatusServiceUnavailable, 1},
 		{"a queue of half a second", 25, true, http.StatusServiceUnavailable, 0.2},
-		{"the same, before the speed is known", 25, false, http.StatusOK, 0},
+		{"the same, before the prefill speed is known", 25, false, http.StatusOK, 0},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEngine(t, "a", answers(streamTop+events(0, 1)+streamEnd))
-			w := open(t, e)
+			e := newFakeEngine(t, "a", respond(streamHead+events(0, 1)+streamEnd))
+			env := newTestEnv(t, e)
 
 			if tt.known {
-				knowing(w.gateway)
+				learnSpeed(env.gateway)
 			}
 
-			w.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llm, Running: 1, Waiting: tt.waiting, Model: "m", Version: 1})
+			env.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llmAddress, Running: 1, Waiting: tt.waiting, Model: "m", Version: 1})
 
-			r := w.ask(t, "POST", "/soon/1", "x", "Tokens", "3000")
+			r := env.request(t, "POST", "/soon/1", "x", "Tokens", "3000")
 			if r.status != tt.status {
 				t.Fatalf("got %d %v, want %d", r.status, r.err, tt.status)
 			}
@@ -70,19 +70,19 @@
 	}
 }
 
-// An engine breaks off in the middle of a stream, and the only other one has a long queue
-// and hardly any memory left. The caller has read half of its answer: a late rest is worth
-// more to it than none, so what has begun is neither refused nor held.
+// An engine breaks off in the middle of a stream, and the only other one has a long queue and hardly
+// any memory left. Guards against refusing or holding a started stream: late events are worth more
+// to its caller than none.
 func TestStreamThatHasBegunGoesOnAtABusyEngine(t *testing.T) {
-	broken := newEngine(t, "a", breaksOff(streamTop+events(0, 1)))
-	busy := newEngine(t, "b", answers(streamTop+events(2, 3)+streamEnd))
-	w := open(t, broken, busy)
-	knowing(w.gateway)
+	broken := newFakeEngine(t, "a", respondAndClose(streamHead+events(0, 1)))
+	busy := newFakeEngine(t, "b", respond(streamHead+events(2, 3)+streamEnd))
+	env := newTestEnv(t, broken, busy)
+	learnSpeed(env.gateway)
 
-	w.roster.Pulse(time.Now(), pulse.Pulse{Engine: broken.llm, Model: "m", Version: 1})
-	w.roster.Pulse(time.Now(), pulse.Pulse{Engine: busy.llm, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1})
+	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: broken.llmAddress, Model: "m", Version: 1})
+	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: busy.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1})
 
-	r := w.ask(t, "POST", "/soon/1", "x", "Tokens", "3000")
+	r := env.request(t, "POST", "/soon/1", "x", "Tokens", "3000")
 	if want := eventText(0) + eventText(1) + eventText(2) + eventText(3); r.status != http.StatusOK || r.err != nil || r.body != want {
 		t.Errorf("got %d %q %v, want the whole stream", r.status, r.body, r.err)
 	}
@@ -96,29 +96,29 @@
 	}{{0, true, 0}, {0, false, 1}, {1, true, 2}, {1, false, 3}, {4, false, 9}, {7, true, 9}}
 
 	for _, tt := range tests {
-		if got := urgency(tt.rank, tt.quick); got != tt.want {
+		if got := enginePriority(tt.rank, tt.quick); got != tt.want {
 			t.Errorf("rank %d, quick %v: got %d, want %d", tt.rank, tt.quick, got, tt.want)
 		}
 	}
 }
 
-// One service has engines that read ten times as fast as another's. What is learned of
-// one must not stand for the other.
+// One service has engines ten times as fast as another's. Guards against applying what was measured
+// of one to the other.
 func TestEachServiceIsLearnedByItself(t *testing.T) {
-	var f fleets
+	var f serviceProfiles
 
 	for i := range 64 {
 		tokens := 200 * (i % 16)
-		f.of("slow").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*20*time.Microsecond)
-		f.of("fast").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*2*time.Microsecond)
+		f.forService("slow").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*20*time.Microsecond)
+		f.forService("fast").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*2*time.Microsecond)
 	}
 
-	if slow, fast := f.of("slow").TokensPerMs(), f.of("fast").TokensPerMs(); slow > 55 || fast < 450 {
+	if slow, fast := f.forService("slow").TokensPerMs(), f.forService("fast").TokensPerMs(); slow > 55 || fast < 450 {
 		t.Errorf("got %.0f and %.0f tokens a ms, want 50 and 500", slow, fast)
 	}
 
-	if got := f.of("new").TokensPerMs(); got != 0 {
-		t.Errorf("got %.0f tokens a ms of a service that was not asked, want none", got)
+	if got := f.forService("new").TokensPerMs(); got != 0 {
+		t.Errorf("got %.0f tokens a ms of a service without prompts, want 0", got)
 	}
 
 	if got := f.tokensPerMs(); got < 450 {
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -7,92 +7,92 @@
 	"sync/atomic"
 )
 
-// Why attempts end before their time.
+// Causes for cancelling an attempt.
 var (
-	errSilent    = errors.New("the target fell silent")
-	errRestarted = errors.New("the target was started anew")
-	errLeaving   = errors.New("the target is not heard, and the caller is about to leave")
-	errOverdue   = errors.New("it may no longer begin on the target's weights")
+	errUnresponsive   = errors.New("the target is unresponsive")
+	errRestarted      = errors.New("the target was restarted")
+	errCallerTimeout  = errors.New("the target's load report is late and the caller is about to leave")
+	errVersionOverdue = errors.New("the request may no longer begin on the target's weights")
 )
 
-// flights are the attempts under way, by target. The zero value is empty.
+// attemptTracker tracks the attempts in flight by target. The zero value is empty.
 //
-// The caller of a request that waits for a machine which stands still leaves after
-// some seconds without having been told anything, and the target then works for
-// nobody. Given up as soon as nothing is to be expected, the caller has an answer.
-type flights struct {
-	mu  sync.Mutex
-	all map[string]map[*flight]struct{}
+// The caller of a request at a paused machine leaves after some seconds without a response, and
+// the target then works for nobody. If the attempt is cancelled as soon as no response is
+// expected, the caller gets an error in time.
+type attemptTracker struct {
+	mu       sync.Mutex
+	byTarget map[string]map[*inFlightAttempt]struct{}
 }
 
-// flight is one attempt.
-type flight struct {
-	abandon context.CancelCauseFunc
+// inFlightAttempt is an attempt in flight.
+type inFlightAttempt struct {
+	cancel context.CancelCauseFunc
 	// model and version are the weights that the request was sent for.
-	model   string
-	version int64
-	begun   atomic.Bool // the head of its answer came
+	model    string
+	version  int64
+	answered atomic.Bool // the head of its response arrived
 }
 
-// begin notes an attempt until the function that it returns is called.
-func (f *flights) begin(id string, x *flight) (end func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// add tracks an attempt until the returned function is called.
+func (t *attemptTracker) add(id string, a *inFlightAttempt) (end func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	if f.all == nil {
-		f.all = make(map[string]map[*flight]struct{})
+	if t.byTarget == nil {
+		t.byTarget = make(map[string]map[*inFlightAttempt]struct{})
 	}
 
-	if f.all[id] == nil {
-		f.all[id] = make(map[*flight]struct{})
+	if t.byTarget[id] == nil {
+		t.byTarget[id] = make(map[*inFlightAttempt]struct{})
 	}
 
-	f.all[id][x] = struct{}{}
+	t.byTarget[id][a] = struct{}{}
 
 	return func() {
-		f.end(id, x)
-		x.abandon(nil)
+		t.remove(id, a)
+		a.cancel(nil)
 	}
 }
 
-func (f *flights) end(id string, x *flight) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (t *attemptTracker) remove(id string, a *inFlightAttempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	delete(f.all[id], x)
+	delete(t.byTarget[id], a)
 
-	if len(f.all[id]) == 0 {
-		delete(f.all, id)
+	if len(t.byTarget[id]) == 0 {
+		delete(t.byTarget, id)
 	}
 }
 
-// abandon ends the attempts at a target for a reason and returns how many there were.
-func (f *flights) abandon(id string, why error) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// cancel cancels the attempts at a target with a cause and returns how many there were.
+func (t *attemptTracker) cancel(id string, why error) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	for x := range f.all[id] {
-		x.abandon(why)
+	for a := range t.byTarget[id] {
+		a.cancel(why)
 	}
 
-	return len(f.all[id])
+	return len(t.byTarget[id])
 }
 
-// takeBack ends the attempts that have not begun and whose weights are older than due
-// says for their model, and returns how many there were.
+// cancelOverdue cancels the attempts without a response whose weights are older than due returns
+// for their model, and returns how many there were.
 //
-// An engine that has yet to load new weights may have a long queue. What waits there
-// would begin on the replaced weights after the time within which it may.
-func (f *flights) takeBack(due func(model string) int64) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// An engine that has yet to load new weights may have a long queue. Requests that wait there
+// would begin on the replaced weights after the time within which they may.
+func (t *attemptTracker) cancelOverdue(due func(model string) int64) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
 	n := 0
 
-	for _, all := range f.all {
-		for x := range all {
-			if x.version > 0 && !x.begun.Load() && x.version < due(x.model) {
-				x.abandon(errOverdue)
+	for _, all := range t.byTarget {
+		for a := range all {
+			if a.version > 0 && !a.answered.Load() && a.version < due(a.model) {
+				a.cancel(errVersionOverdue)
 
 				n++
 			}
--- a/gateway/flights_test.go
+++ b/gateway/flights_test.go
@@ -8,48 +8,47 @@
 	"boragehub/pulse"
 )
 
-// An engine stands still while a request waits there. Its caller would leave after
-// some seconds without an answer, and the engine work for nobody when it goes on. The
-// caller is told as soon as nothing is to be expected. The request may have run and
-// doesn't go to a second engine, and the first one is as good as before when it is
-// heard again.
+// An engine is paused while a request waits there. Its caller would leave after some seconds without
+// a response, and the engine would work for nobody when it resumes. Guards against a late error,
+// against sending a request that may have run to a second engine, and against counting the pause as
+// a failure of the first one.
 func TestRequestAtAnEngineThatStandsStillIsAnsweredAtOnce(t *testing.T) {
-	still, arrived := hanging(t, "a", "")
-	w := open(t, still)
-	other := newEngine(t, "b", answers(streamTop+events(0, 1)+streamEnd))
-	w.roster.Pulse(time.Now(), pulse.Pulse{Engine: still.llm, Model: "m", Version: 1})
+	paused, arrived := newHangingEngine(t, "a", "")
+	env := newTestEnv(t, paused)
+	other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
+	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: paused.llmAddress, Model: "m", Version: 1})
 
 	got := make(chan reply, 1)
 
-	go func() { got <- w.ask(t, "POST", "/llm/1", "x", "Tokens", "30") }()
+	go func() { got <- env.request(t, "POST", "/llm/1", "x", "Tokens", "30") }()
 
 	<-arrived
-	w.list(other)
+	env.list(other)
 
 	for range 6 {
-		w.roster.Pulse(time.Now(), pulse.Pulse{Engine: other.llm, Model: "m", Version: 1})
-		w.roster.Tick(time.Now())
-		w.gateway.Tick(time.Now())
+		env.roster.Pulse(time.Now(), pulse.Pulse{Engine: other.llmAddress, Model: "m", Version: 1})
+		env.roster.Tick(time.Now())
+		env.gateway.Tick(time.Now())
 	}
 
 	if r := <-got; r.status != 502 && r.status != 504 {
-		t.Errorf("got %d %v, want a failure that promises nothing", r.status, r.err)
+		t.Errorf("got %d %v, want 502 or 504", r.status, r.err)
 	}
 
 	if n := other.count(); n != 0 {
 		t.Errorf("got %d requests at the other engine, want none", n)
 	}
 
-	for _, e := range w.roster.Candidates(time.Now(), "llm", "m") {
+	for _, e := range env.roster.Candidates(time.Now(), "llm", "m") {
 		if e.ID == "llma" && (e.Failures > 0 || !e.Quiet) {
 			t.Errorf("got %d failures, quiet %v, want none and quiet", e.Failures, e.Quiet)
 		}
 	}
 }
 
-// An engine crashes while calls wait there and is started anew under its id; nothing
-// resets their connections. A booking may have run and is not sent again: its caller is
-// told at once that nobody knows. A lookup is asked of another target.
+// An engine crashes while calls wait there and is restarted under its id, and nothing resets their
+// connections. Guards against waiting for responses that won't come: a call that isn't idempotent
+// may have run and fails at once, an idempotent one goes to another target.
 func TestWhatWaitsAtATargetStartedAnewIsAnsweredAtOnce(t *testing.T) {
 	tests := []struct {
 		path   string
@@ -62,16 +61,16 @@
 
 	for _, tt := range tests {
 		t.Run(tt.path, func(t *testing.T) {
-			crashed, arrived := hanging(t, "a", "")
-			w := open(t, crashed)
-			other := newEngine(t, "b", answers(whole200))
+			restarted, arrived := newHangingEngine(t, "a", "")
+			env := newTestEnv(t, restarted)
+			other := newFakeEngine(t, "b", respond(ok200))
 			got := make(chan reply, 1)
 
-			go func() { got <- w.ask(t, "POST", tt.path, "x") }()
+			go func() { got <- env.request(t, "POST", tt.path, "x") }()
 
 			<-arrived
-			w.list(other)
-			w.gateway.Restarted("sa")
+			env.list(other)
+			env.gateway.Restarted("sa")
 
 			if r := <-got; r.status != tt.status {
 				t.Errorf("got %d %v, want %d", r.status, r.err, tt.status)
@@ -84,24 +83,24 @@
 	}
 }
 
-// New weights are named, and an engine that has yet to load them has a long queue. A
-// prompt that waits there would begin on the replaced weights after the time within
-// which it may; it is taken back in time and goes to an engine with the new ones.
+// New weights are named, and an engine that has yet to load them has a long queue. Guards against a
+// prompt that begins on the replaced weights too late: it is cancelled in time and goes to an engine
+// with the new ones.
 func TestWhatWaitsForReplacedWeightsIsTakenBack(t *testing.T) {
-	old, arrived := hanging(t, "a", "")
-	w := open(t, old)
-	changed := newEngine(t, "b", hasVersion("2"))
+	old, arrived := newHangingEngine(t, "a", "")
+	env := newTestEnv(t, old)
+	changed := newFakeEngine(t, "b", hasVersion("2"))
 	got := make(chan reply, 1)
 
-	go func() { got <- w.ask(t, "POST", "/llm/1", "x", "Tokens", "30") }()
+	go func() { got <- env.request(t, "POST", "/llm/1", "x", "Tokens", "30") }()
 
 	<-arrived
 
 	now := time.Now()
-	w.list(changed)
-	w.roster.Has("llmb", "m", 2, "test")
-	w.gateway.Named(now, "m", 2, now)
-	w.gateway.Tick(now.Add(7 * time.Second))
+	env.list(changed)
+	env.roster.Has("llmb", "m", 2, "test")
+	env.gateway.Named(now, "m", 2, now)
+	env.gateway.Tick(now.Add(7 * time.Second))
 
 	select {
 	case r := <-got:
@@ -109,7 +108,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 
-	w.gateway.Tick(now.Add(7700 * time.Millisecond))
+	env.gateway.Tick(now.Add(7700 * time.Millisecond))
 
 	if r := <-got; r.status != 200 || changed.count() != 1 {
 		t.Errorf("got %d %v after %d requests at the other engine, want 200 from there", r.status, r.err, changed.count())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -3,22 +3,22 @@
 //
 // # Model
 //
-// A request passes these steps: its route and organisation are found in the
-// configuration in force; it is read whole, so that it can be sent again;
-// a target is chosen; the target's answer is passed on. When an attempt fails,
-// one place (mayRepeat) decides whether the request may go to another target: it
-// may if it has certainly not run, or if it may run twice, and if the budget of
-// repeats, the route's number of attempts and the time left allow it.
+// A request passes these steps: its route and organisation are looked up in the
+// configuration in force; its body is read completely, so that it can be sent again;
+// a target is chosen; the target's response is forwarded. When an attempt fails,
+// one function (mayRetry) decides whether the request may go to another target: it
+// may if it has certainly not run, or if it may run twice, and if the retry budget,
+// the route's number of attempts and the time left allow it.
 //
-// Answers that aren't streams are read whole before their first byte goes to the
-// caller, so that a broken one can be replaced. Streams are passed on event by
-// event; one that breaks off goes on at another target, behind the last whole
-// event, where its route allows it. An answer that can't be completed ends with
-// a broken connection, so that it doesn't look complete.
+// Responses that aren't streams are read completely before their first byte goes to the
+// caller, so that a broken one can be replaced. Streams are forwarded event by
+// event; a broken one continues at another target, after the last complete event,
+// where its route allows it. A response that can't be completed ends with a broken
+// connection, so that it doesn't look complete.
 //
-// A request that is given up gets its final answer at once. The answer says that
-// the request has not run only where no byte of it may have reached a target, or
-// where each target that it reached said so.
+// A request that is given up gets its final response at once. The response says that
+// the request has not run only if no byte of it may have reached a target, or if each
+// target that it reached said so.
 package gateway
 
 import (
@@ -41,100 +41,100 @@
 	"boragehub/vault"
 )
 
-// Config is what a Gateway works with.
+// Config configures a Gateway.
 type Config struct {
-	// DataCentre is where it runs.
+	// DataCentre is the data centre that the gateway runs in.
 	DataCentre string
-	// Dialect translates requests and answers.
+	// Dialect parses requests and responses, and writes the headers sent to targets.
 	Dialect Dialect
-	// Roster are the targets.
+	// Roster holds the targets.
 	Roster *roster.Roster
-	// Pool keeps the connections to targets.
+	// Pool holds the connections to targets.
 	Pool *upstream.Pool
-	// Vaults knows what the stores of contexts keep.
+	// Vaults holds the contents of the stores of cached prompt parts.
 	Vaults *vault.Directory
-	// Crashes knows requests that crash targets.
+	// Crashes tracks requests that crash targets.
 	Crashes *quarantine.Tracker
-	// TellCrash tells the other entries what was on a target as it crashed; nil tells
-	// nobody.
+	// TellCrash reports to the other entries what was on a target when it crashed; nil
+	// reports nothing.
 	TellCrash func(quarantine.Crash)
-	// RepeatRatio and RepeatWindow bound repeats to a part of the first attempts;
-	// RepeatSlack is how many all entries together may make in a window besides.
+	// RepeatRatio and RepeatWindow limit retries to a fraction of the first attempts in a
+	// window; RepeatSlack is the number that all entries together may make beyond it.
 	RepeatRatio  float64
 	RepeatWindow time.Duration
 	RepeatSlack  int
-	// VersionWithin is the time after which no request may begin on replaced
-	// weights; zero allows it for ever.
+	// VersionWithin is the time after which no request may begin on replaced weights;
+	// zero sets no limit.
 	VersionWithin time.Duration
-	// SlowStartOverage and SlowStartSlack bound what a cold target may get within any one
-	// second: its rate times the one plus the other.
+	// SlowStartOverage and SlowStartSlack limit the requests that a cold target may get
+	// within any one second: its rate times SlowStartOverage, plus SlowStartSlack.
 	SlowStartOverage float64
 	SlowStartSlack   int
 	// HoldUntil is the end of the startup window. Requests that arrive earlier are held until
 	// the configuration and the targets are known, but not beyond it. If zero, requests are
 	// never held.
 	HoldUntil time.Time
-	// Meter counts; nil counts nothing.
+	// Meter counts requests; nil counts nothing.
 	Meter Meter
 	// Log gets a line for each decision.
 	Log logr.Logger
 }
 
-// Meter counts what happens to requests.
+// Meter counts the results of requests.
 type Meter interface {
-	// Served counts a request, of a kind of route, that got its whole answer.
+	// Served counts a request, by kind of route, that got a complete response.
 	Served(kind string, first, total time.Duration, attempts int)
-	// Refused counts a request that got an answer of ours.
+	// Refused counts a request that got an error response from the gateway itself.
 	Refused(kind, reason string)
-	// Failed counts an attempt without a whole answer.
+	// Failed counts an attempt without a complete response.
 	Failed(outcome string)
 }
 
-// Gateway serves callers. Use New; it is an http.Handler.
+// Gateway serves callers as an http.Handler. Use New.
 type Gateway struct {
-	cfg     Config
-	active  atomic.Int64
-	prompts atomic.Int64 // that came since the start
+	cfg         Config
+	active      atomic.Int64
+	promptCount atomic.Int64 // prompts received since the start
 
 	current  atomic.Pointer[site.Configuration]
 	stopping atomic.Bool
-	work     *work
-
-	mu       sync.Mutex
-	budgets  map[string]*retry.Budget
-	sharers  int // entries that share the slack of repeats
-	versions map[string][]named
-	lastSeen func() time.Time // when the newest versions were surely known
-	listed   func() time.Time // since when this process is asked before contexts are freed
-	suspects *suspects
-	room     *room
-	startup  *startupHold
-	flights  flights
-	fleets   fleets
+	drain    *drainControl
+
+	mu              sync.Mutex
+	retryBudgets    map[string]*retry.Budget
+	entries         int // number of entries that share the retry slack
+	versions        map[string][]namedVersion
+	versionsKnownAt func() time.Time // when the newest versions were last known for certain
+	registeredSince func() time.Time // since when this process is asked before cached parts are freed
+	crashes         *crashDetector
+	waitQueue       *waitQueue
+	startup         *startupHold
+	inFlight        attemptTracker
+	profiles        serviceProfiles
 }
 
-// New returns a Gateway without a configuration. Known tells when the newest
-// weight versions were surely known, listed since when this process is registered,
-// so that it is asked before contexts are freed; zero for not yet.
-func New(cfg Config, known, listed func() time.Time) *Gateway {
+// New returns a Gateway without a configuration. The function versionsKnownAt returns when the
+// newest weight versions were last known for certain; registeredSince returns since when this
+// process has been registered, so that it is asked before cached parts are freed. Both return
+// the zero time if that isn't so yet.
+func New(cfg Config, versionsKnownAt, registeredSince func() time.Time) *Gateway {
 	g := &Gateway{
-		cfg:      cfg,
-		budgets:  make(map[string]*retry.Budget),
-		sharers:  leastSharers,
-		versions: make(map[string][]named),
-		lastSeen: known,
-		listed:   listed,
-		suspects: newSuspects(cfg.Crashes, cfg.TellCrash, cfg.Log),
-		room:     newRoom(),
-		work:     newWork(),
+		cfg:             cfg,
+		retryBudgets:    make(map[string]*retry.Budget),
+		entries:         minEntries,
+		versions:        make(map[string][]namedVersion),
+		versionsKnownAt: versionsKnownAt,
+		registeredSince: registeredSince,
+		crashes:         newCrashDetector(cfg.Crashes, cfg.TellCrash, cfg.Log),
+		waitQueue:       newWaitQueue(),
+		drain:           newDrainControl(),
 	}
 	g.startup = newStartupHold(cfg.HoldUntil, func() bool { return g.Ready() || g.stopping.Load() })
 
 	return g
 }
 
-// Configure puts a configuration in force. One that is older than that in force
-// is ignored.
+// Configure puts a configuration in force, unless its version is not newer than the present one's.
 func (g *Gateway) Configure(c *site.Configuration) {
 	for {
 		old := g.current.Load()
@@ -151,7 +151,7 @@
 // Configured reports whether a configuration is in force.
 func (g *Gateway) Configured() bool { return g.current.Load() != nil }
 
-// HasEngines reports whether a service is one of model engines.
+// HasEngines reports whether a service consists of model engines.
 func (g *Gateway) HasEngines(service string) bool {
 	c := g.current.Load()
 	if c == nil {
@@ -163,10 +163,10 @@
 	return ok && s.Engines != nil
 }
 
-// Prompts returns how many prompts came since the start.
-func (g *Gateway) Prompts() int64 { return g.prompts.Load() }
+// Prompts returns how many prompts were received since the start.
+func (g *Gateway) Prompts() int64 { return g.promptCount.Load() }
 
-// SlowStart returns what a service's targets bear while they are cold.
+// SlowStart returns the limit for a service's targets while they are cold. It is zero for an unknown service.
 func (g *Gateway) SlowStart(service string) slowstart.Limit {
 	c := g.current.Load()
 	if c == nil {
@@ -181,8 +181,8 @@
 	return slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.PerSecond, g.cfg.SlowStartOverage, g.cfg.SlowStartSlack)
 }
 
-// Serves reports whether operators named a service. Before a configuration is known
-// each may be one.
+// Serves reports whether a service is in the configuration. Without a configuration, it returns
+// true for any.
 func (g *Gateway) Serves(service string) bool {
 	c := g.current.Load()
 	if c == nil {
@@ -194,10 +194,10 @@
 	return ok
 }
 
-// Restarted takes that a target was started anew under its id: what waits for an answer
-// of its last start gets none.
+// Restarted cancels the attempts at a target that was restarted under its id, since requests
+// sent to the previous process get no response.
 func (g *Gateway) Restarted(id string) {
-	if n := g.flights.abandon(id, errRestarted); n > 0 {
+	if n := g.inFlight.cancel(id, errRestarted); n > 0 {
 		event.Log(g.cfg.Log, event.AttemptsLost, "target", id, "attempts", n)
 	}
 }
@@ -211,34 +211,33 @@
 	return 0
 }
 
-// Ready reports whether callers should come here.
+// Ready reports whether callers should be sent here.
 func (g *Gateway) Ready() bool {
 	return g.Configured() && !g.stopping.Load() && g.cfg.Roster.Len() > 0
 }
 
-// Tick gives up what waits for targets from which nothing is to be expected, or for
-// weights that it may no longer begin on. Call it four times a second.
+// Tick cancels attempts at unresponsive targets, and attempts that wait for weights on which they
+// may no longer begin. Call it four times a second.
 func (g *Gateway) Tick(now time.Time) {
-	due := func(model string) int64 { return g.overdue(now, model) }
-	if n := g.flights.takeBack(due); n > 0 {
+	due := func(model string) int64 { return g.minQueuedVersion(now, model) }
+	if n := g.inFlight.cancelOverdue(due); n > 0 {
 		event.Log(g.cfg.Log, event.AttemptsOverdue, "attempts", n)
 	}
 
 	for _, id := range g.cfg.Roster.Silent() {
-		if n := g.flights.abandon(id, errSilent); n > 0 {
+		if n := g.inFlight.cancel(id, errUnresponsive); n > 0 {
 			event.Log(g.cfg.Log, event.TargetSilent, "target", id, "attempts", n)
 		}
 	}
 }
 
-// Heard takes what another entry tells of a target's crash.
-func (g *Gateway) Heard(now time.Time, c quarantine.Crash) { g.suspects.heard(now, c) }
+// Heard adds a target's crash that another entry reported.
+func (g *Gateway) Heard(now time.Time, c quarantine.Crash) { g.crashes.addReported(now, c) }
 
-// TokensPerMs returns how fast the fastest engines are known to read prompts, zero while
-// not known.
-func (g *Gateway) TokensPerMs() float64 { return g.fleets.tokensPerMs() }
+// TokensPerMs returns how fast the fastest service's engines prefill prompts, zero while unknown.
+func (g *Gateway) TokensPerMs() float64 { return g.profiles.tokensPerMs() }
 
-// Active returns how many requests are being served.
+// Active returns the number of requests being served.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
 // ServeHTTP serves one request.
@@ -250,9 +249,8 @@
 	t := &task{g: g, w: w, r: r, began: now}
 
 	if len(r.TransferEncoding) > 0 {
-		// A chunked request that names a length too may hide a second request
-		// behind its end. Closing the connection after the answer leaves what
-		// follows unread.
+		// A chunked request that also states a length may hide a second request behind its
+		// end. Closing the connection after the response leaves what follows unread.
 		w.Header().Set("Connection", "close")
 	}
 
@@ -264,10 +262,10 @@
 		return
 	}
 
-	defer func() { g.work.done(time.Now(), t) }()
+	defer func() { g.drain.remove(time.Now(), t) }()
 
 	if t.arrival.Prompt != nil {
-		g.prompts.Add(1)
+		g.promptCount.Add(1)
 	}
 
 	ctx, cancel := context.WithDeadline(r.Context(), t.deadline)
@@ -276,7 +274,7 @@
 	t.run(ctx)
 }
 
-// notReady is the answer while there is no configuration.
+// notReady returns the error while there is no configuration.
 func notReady() error {
-	return failure.New(failure.NotReady, "no configuration is known yet").After(time.Second)
+	return failure.New(failure.NotReady, "no configuration has been received yet").After(time.Second)
 }
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -7,37 +7,38 @@
 	"boragehub/pause"
 )
 
-// A caller leaves a stream that shows nothing for as long as its patience, and has been
-// told nothing then. From its target's machine standing still it takes about a second to
-// tell that from a pause, and one that has waited before leaves sooner: it is the caller of
-// a quick question behind a very long prompt. One notices callers that leave up to a second
-// into a standstill, with their requests still at the target when it goes on.
+// A caller closes a stream that shows no event for as long as its route's Patience, without having
+// received an error. It takes about a second to tell a paused machine from a short delay. A caller that has already waited, such as one with a short prompt queued behind a very
+// long one, leaves sooner. Without the check below, callers leave during the first second of a
+// pause, and their requests are still at the target when it resumes.
 
-// Giving up before the caller leaves.
+// Timing of the check whether a caller is about to leave.
 const (
-	// leavingMargin is how long before its caller would leave a request may be given up. A
-	// busy entry takes some 25 ms to see that a request came, and as long to see that
-	// time has passed; the answer is on its way for 3 ms.
-	leavingMargin = 150 * time.Millisecond
-	// leavingLook is the pause between two looks at the target from then on.
-	leavingLook = 25 * time.Millisecond
+	// callerTimeoutMargin is how long before the caller would leave a request may be given up. A
+	// busy entry takes about 25 ms to notice that a request arrived, and as long to notice that
+	// time has passed; the response takes 3 ms to reach the caller.
+	callerTimeoutMargin = 150 * time.Millisecond
+	// callerTimeoutPollInterval is the interval between checks of the target from then on.
+	callerTimeoutPollInterval = 25 * time.Millisecond
 )
 
-// watch gives an attempt up when its caller is about to leave and its target is late. One
-// that is heard has the whole time: an answer may still come.
-func (t *task) watch(ctx context.Context, target string, abandon context.CancelCauseFunc) {
-	for pause.For(ctx, max(t.unwatched(time.Now()), leavingLook)) {
-		if t.unwatched(time.Now()) <= 0 && t.g.cfg.Roster.Late(target) {
-			abandon(errLeaving)
+// watchCallerTimeout cancels an attempt when its caller is about to leave and its target's load
+// report is late. A target that is still heard from has the whole time, since its response may
+// still come.
+func (t *task) watchCallerTimeout(ctx context.Context, target string, cancel context.CancelCauseFunc) {
+	for pause.For(ctx, max(t.untilCallerTimeout(time.Now()), callerTimeoutPollInterval)) {
+		if t.untilCallerTimeout(time.Now()) <= 0 && t.g.cfg.Roster.Late(target) {
+			cancel(errCallerTimeout)
 
 			return
 		}
 	}
 }
 
-// unwatched returns how long it is until the caller is about to leave, as far as is known.
-func (t *task) unwatched(now time.Time) time.Duration {
-	shown := t.began.Add(time.Duration(t.shown.Load()))
+// untilCallerTimeout returns the time left until callerTimeoutMargin before the caller is
+// expected to leave. It is negative once that has passed.
+func (t *task) untilCallerTimeout(now time.Time) time.Duration {
+	lastEvent := t.began.Add(time.Duration(t.lastEventAfter.Load()))
 
-	return shown.Add(t.route.Patience - leavingMargin).Sub(now)
+	return lastEvent.Add(t.route.Patience - callerTimeoutMargin).Sub(now)
 }
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -11,8 +11,8 @@
 	"boragehub/pulse"
 )
 
-// beating sends the pulses of targets, all at the same times, until the test ends.
-func (w *world) beating(t *testing.T, addresses ...string) {
+// sendLoadReports sends load reports of targets, all at the same times, until the test ends.
+func (env *testEnv) sendLoadReports(t *testing.T, addresses ...string) {
 	t.Helper()
 
 	stop := make(chan struct{})
@@ -33,7 +33,7 @@
 			select {
 			case now := <-tick.C:
 				for _, a := range addresses {
-					w.roster.Pulse(now, pulse.Pulse{Engine: a, Model: "m", Version: 1})
+					env.roster.Pulse(now, pulse.Pulse{Engine: a, Model: "m", Version: 1})
 				}
 			case <-stop:
 				return
@@ -42,11 +42,10 @@
 	}()
 }
 
-// An engine reads a very long prompt, and another one waits for its turn there. Then the
-// engine's machine stands still. The time that is left until the caller leaves is too short
-// to tell silence from a pause. The caller would leave without having been told anything,
-// and its request would still be there when the engine goes on. It is told in time instead,
-// also when it has a part of its stream: it may go on elsewhere behind that.
+// An engine prefills a very long prompt while another one waits in its queue, and then the engine's
+// machine is paused. The time until the caller leaves is too short to tell a pause from a delay.
+// Guards against a caller that leaves without an error, with its request still at the engine when
+// that resumes. A caller that has part of its stream gets the error too, and may resume elsewhere.
 func TestCallerIsToldBeforeItLeavesAnEngineThatIsNotHeard(t *testing.T) {
 	tests := []struct {
 		name, shown string
@@ -54,23 +53,23 @@
 		err         error
 	}{
 		{"before the first event", "", http.StatusGatewayTimeout, nil},
-		{"in the middle of its stream", streamTop + events(0, 1), http.StatusOK, io.ErrUnexpectedEOF},
+		{"in the middle of its stream", streamHead + events(0, 1), http.StatusOK, io.ErrUnexpectedEOF},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			still, arrived := hanging(t, "a", tt.shown)
-			w := open(t, still)
-			other := newEngine(t, "b", answers(streamTop+events(0, 1)+streamEnd))
-			w.roster.Pulse(time.Now(), pulse.Pulse{Engine: still.llm, Model: "m", Version: 1})
+			paused, arrived := newHangingEngine(t, "a", tt.shown)
+			env := newTestEnv(t, paused)
+			other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
+			env.roster.Pulse(time.Now(), pulse.Pulse{Engine: paused.llmAddress, Model: "m", Version: 1})
 
 			got := make(chan reply, 1)
 
-			go func() { got <- w.ask(t, "POST", "/patient/1", "x", "Tokens", "30") }()
+			go func() { got <- env.request(t, "POST", "/patient/1", "x", "Tokens", "30") }()
 
 			<-arrived
-			w.list(other)
-			w.beating(t, other.llm)
+			env.list(other)
+			env.sendLoadReports(t, other.llmAddress)
 
 			if r := <-got; r.status != tt.status || !errors.Is(r.err, tt.err) {
 				t.Errorf("got %d %v, want %d %v", r.status, r.err, tt.status, tt.err)
@@ -83,30 +82,30 @@
 	}
 }
 
-// An engine takes long to begin on a prompt, but it is heard all the while. Its caller
-// stays a little longer than callers are known to, and gets its answer.
+// An engine takes long to begin on a prompt, but keeps sending load reports. Guards against
+// cancelling its request: the caller may stay a little longer than its known timeout.
 func TestCallerWaitsOnForAnEngineThatIsHeard(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
-	slow := newEngine(t, "a", func(c net.Conn, r *http.Request) bool {
+	slow := newFakeEngine(t, "a", func(c net.Conn, r *http.Request) bool {
 		close(arrived)
 		<-release
 
-		return answers(streamTop+events(0, 1)+streamEnd)(c, r)
+		return respond(streamHead+events(0, 1)+streamEnd)(c, r)
 	})
-	w := open(t, slow)
-	other := newEngine(t, "b", answers(streamTop+events(0, 1)+streamEnd))
-	w.beating(t, slow.llm, other.llm)
+	env := newTestEnv(t, slow)
+	other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
+	env.sendLoadReports(t, slow.llmAddress, other.llmAddress)
 
 	got := make(chan reply, 1)
 
-	go func() { got <- w.ask(t, "POST", "/patient/1", "x", "Tokens", "30") }()
+	go func() { got <- env.request(t, "POST", "/patient/1", "x", "Tokens", "30") }()
 
 	<-arrived
-	w.list(other)
-	time.Sleep(2 * shortPatience)
+	env.list(other)
+	time.Sleep(2 * shortCallerTimeout)
 	close(release)
 
 	if r := <-got; r.status != http.StatusOK || r.err != nil {
-		t.Errorf("got %d %v, want the answer", r.status, r.err)
+		t.Errorf("got %d %v, want the response", r.status, r.err)
 	}
 }
--- a/gateway/metrics/metrics.go
+++ b/gateway/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts what a gateway does, for Prometheus.
+// Package metrics exports a gateway's metrics to Prometheus.
 //
-// Labels are bounded: kinds of routes, kinds of failures, outcomes. Names of
-// routes, organisations and targets are in the logs.
+// Label values are bounded: kinds of routes, kinds of failures, outcomes. Names of
+// routes, organisations and targets are only in the logs.
 package metrics
 
 import (
@@ -12,51 +12,51 @@
 
 // Metrics implements gateway.Meter. Use New.
 type Metrics struct {
-	served   *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	failed   *prometheus.CounterVec
-	attempts prometheus.Counter
-	first    *prometheus.HistogramVec
-	total    *prometheus.HistogramVec
-	bad      prometheus.Counter
+	served     *prometheus.CounterVec
+	refused    *prometheus.CounterVec
+	failed     *prometheus.CounterVec
+	attempts   prometheus.Counter
+	first      *prometheus.HistogramVec
+	total      *prometheus.HistogramVec
+	unreadable prometheus.Counter
 }
 
-// Gauges are values read when they are asked for.
+// Gauges are functions that return present values; they are called on each scrape.
 type Gauges struct {
-	// Active is the number of requests being served.
+	// Active returns the number of requests being served.
 	Active func() float64
-	// Targets is the number of targets known.
+	// Targets returns the number of known targets.
 	Targets func() float64
-	// ConfigVersion is the version in force, zero for none.
+	// ConfigVersion returns the version of the configuration in force, zero for none.
 	ConfigVersion func() float64
-	// LogAge is how old, in seconds, what is known of the log may be.
+	// LogAge returns how old, in seconds, the known state of the log may be.
 	LogAge func() float64
-	// Dials is the number of connections opened to targets.
+	// Dials returns the number of connections opened to targets.
 	Dials func() float64
-	// VaultTokens and VaultRoom are the tokens kept in stores and their room.
+	// VaultTokens and VaultRoom return the tokens kept in stores and the stores' capacity.
 	VaultTokens, VaultRoom func() float64
-	// LinesLeftOut is the number of log lines left out.
+	// LinesLeftOut returns the number of log lines left out.
 	LinesLeftOut func() float64
-	// TokensPerMs is how fast engines are known to read, zero while that isn't known.
+	// TokensPerMs returns the engines' prefill speed, zero while unknown.
 	TokensPerMs func() float64
 }
 
-// buckets are bounds in seconds around the aims of 0.15, 0.4 and 0.8 s.
+// buckets are upper bounds in seconds, around the latency aims of 0.15, 0.4 and 0.8 s.
 var buckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.2, 2, 4, 8}
 
-// New registers the metrics.
+// New registers the metrics with r and returns them.
 func New(r prometheus.Registerer, g Gauges) *Metrics {
 	m := &Metrics{
-		served:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_requests_served_total", Help: "Requests that got their whole answer."}, []string{"kind"}),
-		refused:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_requests_given_up_total", Help: "Requests that got an error of ours, by reason."}, []string{"kind", "reason"}),
-		failed:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_attempts_failed_total", Help: "Attempts without a whole answer, by outcome."}, []string{"outcome"}),
-		attempts: prometheus.NewCounter(prometheus.CounterOpts{Name: "boragehub_repeats_total", Help: "Attempts beyond the first of a request that was served."}),
-		first:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "boragehub_first_event_seconds", Help: "Time to the first byte of an answer.", Buckets: buckets}, []string{"kind"}),
-		total:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "boragehub_request_seconds", Help: "Time to the end of an answer.", Buckets: buckets}, []string{"kind"}),
-		bad:      prometheus.NewCounter(prometheus.CounterOpts{Name: "boragehub_records_unreadable_total", Help: "Records of the log that could not be understood."}),
+		served:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_requests_served_total", Help: "Requests that got their whole answer."}, []string{"kind"}),
+		refused:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_requests_given_up_total", Help: "Requests that got an error of ours, by reason."}, []string{"kind", "reason"}),
+		failed:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "boragehub_attempts_failed_total", Help: "Attempts without a whole answer, by outcome."}, []string{"outcome"}),
+		attempts:   prometheus.NewCounter(prometheus.CounterOpts{Name: "boragehub_repeats_total", Help: "Attempts beyond the first of a request that was served."}),
+		first:      prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "boragehub_first_event_seconds", Help: "Time to the first byte of an answer.", Buckets: buckets}, []string{"kind"}),
+		total:      prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "boragehub_request_seconds", Help: "Time to the end of an answer.", Buckets: buckets}, []string{"kind"}),
+		unreadable: prometheus.NewCounter(prometheus.CounterOpts{Name: "boragehub_records_unreadable_total", Help: "Records of the log that could not be understood."}),
 	}
 
-	r.MustRegister(m.served, m.refused, m.failed, m.attempts, m.first, m.total, m.bad)
+	r.MustRegister(m.served, m.refused, m.failed, m.attempts, m.first, m.total, m.unreadable)
 
 	for _, x := range []struct {
 		name, help string
@@ -78,7 +78,7 @@
 	return m
 }
 
-// Served counts a request that got its whole answer.
+// Served counts a request that got its complete response.
 func (m *Metrics) Served(kind string, first, total time.Duration, attempts int) {
 	m.served.WithLabelValues(kind).Inc()
 	m.first.WithLabelValues(kind).Observe(first.Seconds())
@@ -86,11 +86,11 @@
 	m.attempts.Add(float64(max(attempts-1, 0)))
 }
 
-// Refused counts a request that got an answer of ours.
+// Refused counts a request that got an error response from the gateway itself.
 func (m *Metrics) Refused(kind, reason string) { m.refused.WithLabelValues(kind, reason).Inc() }
 
-// Failed counts an attempt without a whole answer.
+// Failed counts an attempt without a complete response.
 func (m *Metrics) Failed(outcome string) { m.failed.WithLabelValues(outcome).Inc() }
 
-// Unreadable counts a record that could not be understood.
-func (m *Metrics) Unreadable() { m.bad.Inc() }
+// Unreadable counts a log record that could not be decoded.
+func (m *Metrics) Unreadable() { m.unreadable.Inc() }
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -11,76 +11,76 @@
 	"boragehub/roster"
 )
 
-// Waiting for room.
+// Limits on waiting for capacity.
 const (
-	// lookEvery is the pause between two looks for room; pulses come every 100 ms.
-	lookEvery = 25 * time.Millisecond
-	// mostWaiting bounds the prompts that wait here, and so the memory that they take.
-	// Time bounds them long before.
-	mostWaiting = 256
-	// noAim is how long a prompt without an aim waits.
-	noAim = time.Second
+	// capacityPollInterval is the interval between checks for capacity; load reports come every 100 ms.
+	capacityPollInterval = 25 * time.Millisecond
+	// maxQueueLength limits the prompts that wait, and so the memory that they take. Their
+	// maximum wait limits them long before.
+	maxQueueLength = 256
+	// defaultMaxWait is how long a prompt waits if its route sets no aim.
+	defaultMaxWait = time.Second
 )
 
-// room lets prompts wait for engines with room, first come, first served.
+// waitQueue queues prompts until an engine has capacity, first come, first served.
 //
-// When more long prompts come than engines can take, each that is sent all the same
-// slows all others down and pushes contexts out of memory, so that they are read
-// again; one notices engines that do a fraction of their work although nothing
-// fails. Waiting here instead, a prompt costs its engine nothing, and what can't
-// have its turn in time is refused without having run.
-type room struct {
-	turn    chan struct{} // held by the one that looks
-	waiting chan struct{} // a place for each that waits
-
-	mu     sync.Mutex
-	passed []time.Time // when the last ones found an engine, in order
+// When more long prompts arrive than engines can take, each one that is sent all the same slows
+// down all others and evicts cached prompts, which are then prefilled again: engines do a fraction
+// of their work although nothing fails. A prompt in the queue costs its engine nothing, and one
+// that can't be sent in time is refused without having run.
+type waitQueue struct {
+	head    chan struct{} // held by the prompt at the head, which polls for capacity
+	waiting chan struct{} // one element for each prompt in the queue
+
+	mu       sync.Mutex
+	admitted []time.Time // when the last prompts left the head of the queue, in order
 }
 
-func newRoom() *room {
-	return &room{turn: make(chan struct{}, 1), waiting: make(chan struct{}, mostWaiting)}
+func newWaitQueue() *waitQueue {
+	return &waitQueue{head: make(chan struct{}, 1), waiting: make(chan struct{}, maxQueueLength)}
 }
 
 const (
-	// passedKept is how many of the last ones that found an engine tell how fast the room empties.
-	passedKept = 16
-	// fewWaiting is how many may wait whatever the room has let pass.
-	fewWaiting = 8
+	// admissionsKept is the number of last prompts by which the queue's rate is measured.
+	admissionsKept = 16
+	// minQueueLength is how many prompts may wait whatever the queue's rate.
+	minQueueLength = 8
 )
 
-// pass takes that one that waited found an engine.
-func (r *room) pass(now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// recordAdmission records that the prompt at the head found an engine, or got an error other than
+// errNoCapacity.
+func (q *waitQueue) recordAdmission(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 
-	r.passed = append(r.passed, now)
-	r.passed = r.passed[max(0, len(r.passed)-passedKept):]
+	q.admitted = append(q.admitted, now)
+	q.admitted = q.admitted[max(0, len(q.admitted)-admissionsKept):]
 }
 
-// hopeless reports whether one more that may wait for so long would wait in vain: more wait
-// before it than found an engine in that time.
-func (r *room) hopeless(now time.Time, most time.Duration) bool {
-	if len(r.waiting) < fewWaiting {
+// wouldTimeOut reports whether one more prompt, which may wait for up to most, would wait in vain:
+// more prompts wait before it than leave the queue in that time.
+func (q *waitQueue) wouldTimeOut(now time.Time, most time.Duration) bool {
+	if len(q.waiting) < minQueueLength {
 		return false
 	}
 
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 
-	if len(r.passed) < passedKept {
+	if len(q.admitted) < admissionsKept {
 		return false
 	}
 
-	each := now.Sub(r.passed[0]) / passedKept
+	each := now.Sub(q.admitted[0]) / admissionsKept
 
-	return time.Duration(len(r.waiting))*each > most
+	return time.Duration(len(q.waiting))*each > most
 }
 
-// mostHeld is how long the prompt waits for an engine with room before it is refused:
-// after its aim it is late in any case, and all behind it would be.
-func (t *task) mostHeld() time.Duration {
+// maxWait returns how long the prompt waits for an engine with capacity before it is refused: after
+// its aim it is late in any case, and all prompts behind it would be.
+func (t *task) maxWait() time.Duration {
 	if t.stream.started && t.route.Patience > 0 {
-		// Its caller waits for the rest.
+		// The caller waits for the rest of the stream.
 		return t.route.Patience
 	}
 
@@ -88,88 +88,89 @@
 		return t.route.Aim
 	}
 
-	return noAim
+	return defaultMaxWait
 }
 
-// awaitRoom waits until an engine has room, or gives up with errNoRoom.
-// Full is why it has to wait.
-func (t *task) awaitRoom(ctx context.Context, full error) (choice, error) {
+// awaitCapacity waits until an engine has capacity and returns that choice. It returns the last
+// error that wraps errNoCapacity, lastErr at first, if the wait is too long or a planned stop ends.
+func (t *task) awaitCapacity(ctx context.Context, lastErr error) (choice, error) {
 	began := time.Now()
-	r := t.g.room
+	q := t.g.waitQueue
 
-	if errors.Is(full, errCold) && r.hopeless(began, t.mostHeld()) {
-		return choice{}, full
+	if errors.Is(lastErr, errSlowStart) && q.wouldTimeOut(began, t.maxWait()) {
+		return choice{}, lastErr
 	}
 
 	select {
-	case r.waiting <- struct{}{}:
-		defer func() { <-r.waiting }()
+	case q.waiting <- struct{}{}:
+		defer func() { <-q.waiting }()
 	default:
-		return choice{}, full
+		return choice{}, lastErr
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, t.mostHeld())
+	ctx, cancel := context.WithTimeout(ctx, t.maxWait())
 	defer cancel()
 
-	// A process that ends under a prompt that waits here would cut off what has surely not run.
-	over := t.g.work.over
+	// At the end of a stop the prompt is refused: the end of the process would cut it off,
+	// although it has certainly not run.
+	ended := t.g.drain.endReached
 
 	select {
-	case r.turn <- struct{}{}:
-		defer func() { <-r.turn }()
+	case q.head <- struct{}{}:
+		defer func() { <-q.head }()
 	case <-ctx.Done():
-		return choice{}, full
-	case <-over:
-		return choice{}, full
+		return choice{}, lastErr
+	case <-ended:
+		return choice{}, lastErr
 	}
 
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(capacityPollInterval)
+	defer ticker.Stop()
 
 	for {
 		c, err := t.choose(time.Now())
-		if !errors.Is(err, errNoRoom) {
-			r.pass(time.Now())
-			event.Log(t.g.cfg.Log, event.RoomAwaited, "request_id", t.arrival.ID, "waited_ms", time.Since(began).Milliseconds(), "waiting", len(r.waiting))
+		if !errors.Is(err, errNoCapacity) {
+			q.recordAdmission(time.Now())
+			event.Log(t.g.cfg.Log, event.RoomAwaited, "request_id", t.arrival.ID, "waited_ms", time.Since(began).Milliseconds(), "waiting", len(q.waiting))
 
 			return c, err
 		}
 
-		full = err
+		lastErr = err
 
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			return choice{}, full
-		case <-over:
-			return choice{}, full
+			return choice{}, lastErr
+		case <-ended:
+			return choice{}, lastErr
 		}
 	}
 }
 
-// memoryShare is the part of an engine's memory up to which prompts are sent: the rest
-// is for what those that run still generate.
-const memoryShare = 0.95
+// maxMemoryShare is the share of an engine's memory up to which prompts are sent: the rest is
+// for tokens that running requests still generate.
+const maxMemoryShare = 0.95
 
-// fits reports whether a prompt fits into an engine's memory beside what runs and waits
-// there; one alone always does. With more, each is read in pieces between all the
-// others', they keep their memory for seconds, and contexts that were fetched are
-// pushed out and read again: at twice the usual load an engine then does a quarter of
-// its work.
-func (t *task) fits(e roster.Engine) bool {
+// fitsMemory reports whether a prompt fits into an engine's memory beside the requests that run and
+// wait there; an engine without requests takes any prompt. If more were sent, each would be
+// prefilled in chunks between all the others, they would hold their memory for seconds, and
+// fetched parts would be evicted and prefilled again: at twice the usual load an engine then does a
+// quarter of its work.
+func (t *task) fitsMemory(e roster.Engine) bool {
 	if e.Pulse.Running+e.Pulse.Waiting+e.Since.Requests == 0 {
 		return true
 	}
 
 	p := t.arrival.Prompt
-	used := e.Pulse.UsedTokens + e.Since.Memory + t.fleet().Memory()*e.Pulse.Waiting
+	used := e.Pulse.UsedTokens + e.Since.Memory + t.profile().Memory()*e.Pulse.Waiting
 
-	return float64(used+p.Tokens+p.Output) <= memoryShare*float64(t.service.Engines.MemoryTokens)
+	return float64(used+p.Tokens+p.Output) <= maxMemoryShare*float64(t.service.Engines.MemoryTokens)
 }
 
-// errCold says that the engines which could take the prompt have just started and get no more
-// now. Prompts wait for them as for room.
-var errCold = failure.Wrap(failure.QueueFull, errNoRoom, "engines have just started")
+// errSlowStart is returned if all engines that could take the prompt are in slow start and may
+// get no more now. Prompts wait for them as for capacity.
+var errSlowStart = failure.Wrap(failure.QueueFull, errNoCapacity, "all available engines are in slow start")
 
-// errNoRoom says that engines which could take the prompt have no room for it now.
-var errNoRoom = failure.New(failure.QueueFull, "no engine has room for the prompt").After(roomPause)
+// errNoCapacity is returned if the engines that could take the prompt have no capacity for it now.
+var errNoCapacity = failure.New(failure.QueueFull, "no engine has capacity for the prompt").After(capacityRetryAfter)
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -9,9 +9,9 @@
 	"boragehub/site"
 )
 
-// Long prompts of very different lengths come at the same time. Counted instead of
-// measured, three large ones push each other out of an engine's memory and are read
-// again, and three small ones keep others waiting at the entry though there is room.
+// Long prompts of very different lengths arrive together. Guards against admission by count: three
+// large ones evict each other from an engine's memory and are prefilled again, and three small ones
+// keep others in the queue though there is capacity.
 func TestLongPromptsAreAdmittedByTheirMemory(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -19,16 +19,16 @@
 		tokens int
 		want   bool
 	}{
-		{"nothing there", roster.Engine{}, 90_000, true},
-		{"five small ones there", roster.Engine{Pulse: pulse.Pulse{Running: 5, UsedTokens: 40_000}}, 8_000, true},
-		{"two large ones there", roster.Engine{Pulse: pulse.Pulse{Running: 2, UsedTokens: 60_000}}, 30_000, false},
-		{"three of them wait", roster.Engine{Pulse: pulse.Pulse{Waiting: 3, UsedTokens: 0}}, 30_000, false},
-		{"sent a moment ago", roster.Engine{Since: roster.Sent{Requests: 2, Memory: 50_000}}, 20_000, false},
+		{"idle engine", roster.Engine{}, 90_000, true},
+		{"five small prompts running", roster.Engine{Pulse: pulse.Pulse{Running: 5, UsedTokens: 40_000}}, 8_000, true},
+		{"two large prompts running", roster.Engine{Pulse: pulse.Pulse{Running: 2, UsedTokens: 60_000}}, 30_000, false},
+		{"three prompts waiting", roster.Engine{Pulse: pulse.Pulse{Waiting: 3, UsedTokens: 0}}, 30_000, false},
+		{"two prompts sent since the load report", roster.Engine{Since: roster.Sent{Requests: 2, Memory: 50_000}}, 20_000, false},
 	}
 
 	for _, tt := range tests {
 		g := &Gateway{}
-		g.fleets.of("").Sent(4000, 15_000, time.Second)
+		g.profiles.forService("").Sent(4000, 15_000, time.Second)
 
 		task := &task{
 			g:       g,
@@ -36,41 +36,41 @@
 			arrival: Arrival{Prompt: &Prompt{Tokens: tt.tokens}},
 		}
 
-		if got := task.fits(tt.engine); got != tt.want {
+		if got := task.fitsMemory(tt.engine); got != tt.want {
 			t.Errorf("%s: got %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// Guards against callers who wait for cold engines until their aim has passed, though more
+// Guards against callers that wait for cold engines until their aim has passed, though more prompts
 // wait before them than those engines will take.
 func TestPromptsThatWouldWaitInVainAreRefusedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 
 	tests := []struct {
-		name          string
-		waiting, past int
-		each          time.Duration
-		want          bool
+		name              string
+		waiting, departed int
+		each              time.Duration
+		want              bool
 	}{
-		{"few wait", 4, passedKept, time.Second, false},
-		{"nothing is known yet", 100, 3, 10 * time.Millisecond, false},
-		{"the room empties fast", 30, passedKept, 10 * time.Millisecond, false},
-		{"it empties slowly", 30, passedKept, 20 * time.Millisecond, true},
-		{"it stands still", 9, passedKept, time.Second, true},
+		{"few prompts wait", 4, admissionsKept, time.Second, false},
+		{"too few departures to know the rate", 100, 3, 10 * time.Millisecond, false},
+		{"the queue moves fast", 30, admissionsKept, 10 * time.Millisecond, false},
+		{"the queue moves slowly", 30, admissionsKept, 20 * time.Millisecond, true},
+		{"the queue hardly moves", 9, admissionsKept, time.Second, true},
 	}
 
 	for _, tt := range tests {
-		r := newRoom()
+		q := newWaitQueue()
 		for range tt.waiting {
-			r.waiting <- struct{}{}
+			q.waiting <- struct{}{}
 		}
 
-		for i := range tt.past {
-			r.pass(now.Add(-time.Duration(tt.past-i) * tt.each))
+		for i := range tt.departed {
+			q.recordAdmission(now.Add(-time.Duration(tt.departed-i) * tt.each))
 		}
 
-		if got := r.hopeless(now, 400*time.Millisecond); got != tt.want {
+		if got := q.wouldTimeOut(now, 400*time.Millisecond); got != tt.want {
 			t.Errorf("%s: got %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -11,8 +11,8 @@
 	"boragehub/site"
 )
 
-// bounded has each service bear ten requests a second for so long after a start.
-func (w *world) bounded(d time.Duration) {
+// limitSlowStart limits each service's targets to ten requests a second for d after a start.
+func (env *testEnv) limitSlowStart(d time.Duration) {
 	p := published
 	p.Version = 2
 	p.Services = nil
@@ -22,29 +22,29 @@
 		p.Services = append(p.Services, s)
 	}
 
-	w.gateway.Configure(site.New(p))
+	env.gateway.Configure(site.New(p))
 }
 
-// chill has the register say that an engine's targets stay cold for so long.
-func (w *world) chill(e *engine, d time.Duration) {
-	for service, address := range map[string]string{"s": e.address, "llm": e.llm} {
-		w.roster.List(time.Now(), roster.Listing{
+// markCold lists an engine's targets as cold for another d.
+func (env *testEnv) markCold(e *fakeEngine, d time.Duration) {
+	for service, address := range map[string]string{"s": e.address, "llm": e.llmAddress} {
+		env.roster.List(time.Now(), roster.Listing{
 			ID: service + e.id, Service: service, Address: address, DataCentre: "east", Slots: 8,
 			Versions: map[string]int64{"m": 1}, Cold: d,
 		})
 	}
 }
 
-// Guards against overrunning targets that return together: what they can't take is refused,
-// has not run, and its callers are told when there will be room.
+// Guards against overrunning targets that return together: requests beyond their limit are refused
+// without having run, and their callers get a time to retry.
 func TestColdTargetsWithoutPlacesRefuse(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t, e)
-	w.bounded(3 * time.Second)
-	w.chill(e, 3*time.Second)
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t, e)
+	env.limitSlowStart(3 * time.Second)
+	env.markCold(e, 3*time.Second)
 
 	for _, path := range []string{"/idem/1", "/soon/1"} {
-		r := w.ask(t, "POST", path, "x", tokensOf(path)...)
+		r := env.request(t, "POST", path, "x", promptHeaders(path)...)
 
 		after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		if r.status != http.StatusServiceUnavailable && r.status != http.StatusTooManyRequests {
@@ -52,7 +52,7 @@
 		}
 
 		if err != nil || after < 2 || after > 4 {
-			t.Errorf("%s: got to come again after %v s (%v), want some 3 s", path, after, err)
+			t.Errorf("%s: got Retry-After %v s (%v), want about 3 s", path, after, err)
 		}
 	}
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// tokensOf returns the headers that make a request of a path a prompt.
-func tokensOf(path string) []string {
+// promptHeaders returns the headers that turn a request for a path into a prompt.
+func promptHeaders(path string) []string {
 	if path == "/soon/1" {
 		return []string{"Tokens", "100"}
 	}
@@ -70,33 +70,33 @@
 	return nil
 }
 
-// Guards against a cold engine that gets nothing at all.
+// Guards against a cold engine that gets no requests at all.
 func TestPermitsOpenAColdEngine(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t, e)
-	w.bounded(3 * time.Second)
-	w.chill(e, 3*time.Second)
-	w.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llm, Model: "m", Version: 1, ColdMs: 3000, Permits: 2})
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t, e)
+	env.limitSlowStart(3 * time.Second)
+	env.markCold(e, 3*time.Second)
+	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llmAddress, Model: "m", Version: 1, ColdMs: 3000, Permits: 2})
 
 	for i, want := range []int{200, 200, 503} {
-		r := w.ask(t, "POST", "/soon/1", "x", "Tokens", "100", "Id", strconv.Itoa(i))
+		r := env.request(t, "POST", "/soon/1", "x", "Tokens", "100", "Id", strconv.Itoa(i))
 		if want == 200 && r.status != want || want != 200 && r.status == 200 {
 			t.Errorf("request %d: got %d, want %d", i, r.status, want)
 		}
 	}
 }
 
-// Guards against new work for an evacuated data centre, and against callers that wait until
+// Guards against new requests to an evacuated data centre, and against callers that wait until
 // their deadline although no target is left.
 func TestEvacuatedDataCentreIsRefusedAtOnce(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t, e)
-	w.roster.Evacuate(time.Now(), "east", true)
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t, e)
+	env.roster.Evacuate(time.Now(), "east", true)
 
 	for _, path := range []string{"/once/1", "/idem/1", "/soon/1"} {
-		r := w.ask(t, "POST", path, "x", tokensOf(path)...)
+		r := env.request(t, "POST", path, "x", promptHeaders(path)...)
 		if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-			t.Errorf("%s: got %d, want a refusal and when to come again", path, r.status)
+			t.Errorf("%s: got %d, want a refusal with a Retry-After time", path, r.status)
 		}
 	}
 
@@ -104,9 +104,9 @@
 		t.Errorf("got %d requests at the target, want none", n)
 	}
 
-	w.roster.Evacuate(time.Now(), "east", false)
+	env.roster.Evacuate(time.Now(), "east", false)
 
-	if r := w.ask(t, "POST", "/once/1", "x"); r.status != http.StatusOK {
-		t.Errorf("got %d after work is allowed again, want 200", r.status)
+	if r := env.request(t, "POST", "/once/1", "x"); r.status != http.StatusOK {
+		t.Errorf("got %d after the end of the evacuation, want 200", r.status)
 	}
 }
--- a/gateway/startup.go
+++ b/gateway/startup.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// startupPollInterval is the pause between two checks whether the gateway is ready.
+	// startupPollInterval is the interval between checks whether the gateway is ready.
 	startupPollInterval = 10 * time.Millisecond
 	// maxHeldRequests limits how many requests are held at the same time.
 	maxHeldRequests = 256
--- a/gateway/startup_test.go
+++ b/gateway/startup_test.go
@@ -58,14 +58,14 @@
 
 // Guards against refusing a held request for lack of targets that became known while it was held.
 func TestRequestHeldDuringStartupIsServed(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t)
-	w.gateway.current.Store(nil)
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t)
+	env.gateway.current.Store(nil)
 
 	var listed atomic.Bool
 
 	checked := make(chan struct{}, 1) // receives when the request checks for readiness
-	w.gateway.startup = newStartupHold(time.Now().Add(time.Minute), func() bool {
+	env.gateway.startup = newStartupHold(time.Now().Add(time.Minute), func() bool {
 		select {
 		case checked <- struct{}{}:
 		default:
@@ -76,12 +76,12 @@
 
 	go func() {
 		<-checked
-		w.gateway.Configure(site.New(published))
-		w.list(e)
+		env.gateway.Configure(site.New(published))
+		env.list(e)
 		listed.Store(true)
 	}()
 
-	if got := w.ask(t, http.MethodPost, "/once/1", "x"); got.status != http.StatusOK {
+	if got := env.request(t, http.MethodPost, "/once/1", "x"); got.status != http.StatusOK {
 		t.Errorf("got %d, want 200", got.status)
 	}
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -8,67 +8,68 @@
 	"boragehub/profile"
 )
 
-// Bounds of what a stopping entry still serves once all those have come who couldn't know
-// of the stop.
+// Limits on requests that a stopping entry accepts in the last phase of a planned stop, when
+// balancer and callers know of the stop.
 const (
-	// clearly longer than the mean of all answers is what takes so many times as long.
-	clearly = 1.5
-	// seldomLonger times the usual time is what an answer may take, on overloaded engines too.
-	seldomLonger = 10
-	// longestAge is how long the longest answer of a route is remembered.
-	longestAge = time.Minute
-	// lastTime is how long before its end an entry takes nobody in any more, so that calls
-	// which come one upon the other end as well.
-	lastTime = 2 * time.Second
-	// elsewherePause is when a caller that is refused by a stopping entry may come again:
-	// another entry takes it at once.
-	elsewherePause = 50 * time.Millisecond
+	// longFactor is the multiple of the mean duration of all responses above which one is long.
+	longFactor = 1.5
+	// maxDurationFactor is how many times its usual duration a response may take, on overloaded engines too.
+	maxDurationFactor = 10
+	// longestRetention is how long the longest duration of a route is remembered.
+	longestRetention = time.Minute
+	// finalWindow is how long before its end an entry may close its port even if long requests
+	// run, so that calls that follow closely on each other end as well. It is also the least
+	// limit that maxDuration derives from a route's longest duration.
+	finalWindow = 2 * time.Second
+	// drainRetryAfter is when a caller that a stopping entry refused should retry: another entry
+	// accepts it at once.
+	drainRetryAfter = 50 * time.Millisecond
 )
 
-// work is what is being served. While a planned stop is under way it decides what else is.
+// drainControl tracks the requests in flight and, during a planned stop, decides which new ones are
+// accepted.
 //
-// A balancer that finds few other entries ready goes on sending callers to one that stops.
-// An entry that serves them all never ends, until its grace does with answers broken off;
-// one that closes its port at once leaves them nobody while long answers still run. So
-// what takes long is refused first, and quick requests are served until the long answers
-// are done.
-type work struct {
-	mu    sync.Mutex
-	usual map[string]*usual  // by route, how long answers take
-	all   profile.Mean       // of all routes, in ms
-	under map[*task]underway // what is being served
-
-	closing bool
-	full    bool      // a request was refused for want of time, not for taking long
-	end     time.Time // when the last answers go out
-	over    chan struct{}
-}
-
-// usual is how long a route's answers take.
-type usual struct {
-	mean    profile.Mean  // of whole answers, in ms
-	longest time.Duration // of late, of those that didn't end as well
-	at      time.Time     // when that was
-}
-
-// lasted takes how long a request was served.
-func (u *usual) lasted(now time.Time, total time.Duration) {
-	if total >= u.longest || now.Sub(u.at) > longestAge {
-		u.longest, u.at = total, now
+// A balancer that finds few other entries ready keeps sending callers to a stopping entry. If that
+// accepted them all, it would run until the end of its grace period and cut responses off; if it
+// closed its port at once, callers would find no entry while long responses still run. So long
+// requests are refused first, and short ones are accepted until the long ones are done.
+type drainControl struct {
+	mu        sync.Mutex
+	routes    map[string]*routeDurations // durations by route
+	allRoutes profile.Mean               // of all routes, in ms
+	inFlight  map[*task]inFlightRequest  // requests being served
+
+	draining       bool
+	refusedForTime bool      // a request that isn't long was refused for lack of time
+	end            time.Time // when the last responses are sent
+	endReached     chan struct{}
+}
+
+// routeDurations are the durations of a route's requests.
+type routeDurations struct {
+	mean      profile.Mean  // of complete responses, in ms
+	longest   time.Duration // recent maximum, requests without a complete response included
+	longestAt time.Time     // when longest was observed
+}
+
+// observeServed records how long a request was in flight, whether its response was completed or not.
+func (u *routeDurations) observeServed(now time.Time, total time.Duration) {
+	if total >= u.longest || now.Sub(u.longestAt) > longestRetention {
+		u.longest, u.longestAt = total, now
 	}
 }
 
-// most returns what an answer may take that usually takes so long, while one has been under
-// way for as long as oldest. Where a few engines are slow the mean stands for no answer at
-// all: ten times as long, nobody would be served any more seconds before the end of a stop.
-// Where a machine is held up, answers that run for seconds are given up, and the mean of
-// those that ended knows nothing of them: what has lasted so long may do so again.
-func (u *usual) most(takes, oldest time.Duration) time.Duration {
+// maxDuration returns how long a response may take, given its usual duration (takes) and the age of
+// the route's oldest request in flight. Where a few engines are slow, the mean fits no response: by
+// ten times the mean, no request would be accepted several seconds before the end of a stop. Where
+// a machine is paused, responses that run for seconds are given up and missing from the mean of the
+// complete ones, so a duration that was reached once may be reached again.
+func (u *routeDurations) maxDuration(takes, oldest time.Duration) time.Duration {
 	longest := max(u.longest, oldest)
-	most := seldomLonger * takes
+	most := maxDurationFactor * takes
 
 	if longest > 0 {
-		most = min(most, max(time.Duration(clearly*float64(longest)), lastTime))
+		most = min(most, max(time.Duration(longFactor*float64(longest)), finalWindow))
 	}
 
 	return max(most, takes, longest)
@@ -76,114 +77,114 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// underway is an answer under way.
-type underway struct {
+// inFlightRequest is a request being served.
+type inFlightRequest struct {
 	began time.Time
-	long  bool // by what its route usually takes
+	long  bool // by the usual duration of its route
 }
 
-func newWork() *work {
-	return &work{usual: make(map[string]*usual), under: make(map[*task]underway), over: make(chan struct{})}
+func newDrainControl() *drainControl {
+	return &drainControl{routes: make(map[string]*routeDurations), inFlight: make(map[*task]inFlightRequest), endReached: make(chan struct{})}
 }
 
-// close begins the last part of a stop, whose last answers go out at end.
-func (k *work) close(now, end time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// start begins the last phase of a stop. At end the last responses are sent.
+func (d *drainControl) start(now, end time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	if k.closing {
+	if d.draining {
 		return
 	}
 
-	k.closing, k.end = true, end
-	time.AfterFunc(end.Sub(now), func() { close(k.over) })
+	d.draining, d.end = true, end
+	time.AfterFunc(end.Sub(now), func() { close(d.endReached) })
 }
 
-// ended reports whether the last answers go out now: what hasn't run yet never will.
-func (k *work) ended() bool {
+// ended reports whether the last responses are being sent; what has not run by then never will.
+func (d *drainControl) ended() bool {
 	select {
-	case <-k.over:
+	case <-d.endReached:
 		return true
 	default:
 		return false
 	}
 }
 
-// begin takes a request in, or returns why it isn't served.
-func (k *work) begin(now time.Time, t *task) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// admit accepts a request and tracks it, or returns why it isn't served.
+func (d *drainControl) admit(now time.Time, t *task) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
 	takes := t.deadline.Sub(now)
-	u := k.of(t.route.Name)
+	u := d.route(t.route.Name)
 
 	if ms, ok := u.mean.Value(); ok {
 		takes = min(takes, time.Duration(ms*float64(time.Millisecond)))
 	}
 
-	long := k.takesLong(takes)
+	long := d.isLong(takes)
 
-	if k.closing && (long || !k.ends(now, t.deadline, u.most(takes, k.oldest(now, t.route.Name)))) {
-		k.full = k.full || !long
+	if d.draining && (long || !d.finishesInTime(now, t.deadline, u.maxDuration(takes, d.oldestInFlight(now, t.route.Name)))) {
+		d.refusedForTime = d.refusedForTime || !long
 
-		return failure.New(failure.Draining, "this entry ends soon").After(elsewherePause)
+		return failure.New(failure.Draining, "this entry is stopping").After(drainRetryAfter)
 	}
 
-	k.under[t] = underway{began: now, long: long}
+	d.inFlight[t] = inFlightRequest{began: now, long: long}
 
 	return nil
 }
 
-// takesLong reports whether an answer usually takes clearly longer than most, as it may
-// while nothing is known. The caller holds mu.
-func (k *work) takesLong(takes time.Duration) bool {
-	ms, ok := k.all.Value()
+// isLong reports whether a duration is clearly longer than the mean of all responses, or
+// that mean is unknown. The caller holds mu.
+func (d *drainControl) isLong(takes time.Duration) bool {
+	ms, ok := d.allRoutes.Value()
 
-	return !ok || millis(takes) > clearly*ms
+	return !ok || millis(takes) > longFactor*ms
 }
 
-// ends reports whether an answer that may take so long ends before the process does. The
-// caller holds mu.
-func (k *work) ends(now, deadline time.Time, most time.Duration) bool {
-	return !deadline.After(k.end) || !now.Add(most).After(k.end)
-}
-
-// short reports whether the port may close: what is being served doesn't take long, or
-// what comes can't be served any more. A caller that is refused has used up a try, and
-// one that finds the port closed goes to the next entry at once. What is usually quick runs
-// long on an engine that is slow just now: such an answer is told by its age, or the port
-// would be closed for as long as it goes on, while callers find nobody.
-func (k *work) short(now time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-
-	for _, u := range k.under {
-		if u.long || k.takesLong(now.Sub(u.began)) {
-			return k.full || now.Add(lastTime).After(k.end)
+// finishesInTime reports whether a response that takes up to most is complete, or its deadline has
+// passed, when the last responses are sent. The caller holds mu.
+func (d *drainControl) finishesInTime(now, deadline time.Time, most time.Duration) bool {
+	return !deadline.After(d.end) || !now.Add(most).After(d.end)
+}
+
+// mayClosePort reports whether the port may close: no long request is in flight, or new requests
+// can't be served any more. A refused caller has used up an attempt, while one that finds the port
+// closed goes to the next entry at once. A usually short request may run long on an engine that is
+// slow just now. Requests therefore count as long by their age too: otherwise the port would be
+// closed for as long as such a request runs, while callers find no entry.
+func (d *drainControl) mayClosePort(now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+
+	for _, u := range d.inFlight {
+		if u.long || d.isLong(now.Sub(u.began)) {
+			return d.refusedForTime || now.Add(finalWindow).After(d.end)
 		}
 	}
 
 	return true
 }
 
-// done takes that a request is not served any more, whether its answer came or not.
-func (k *work) done(now time.Time, t *task) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// remove ends the tracking of a request, whether it was answered or not, and records its duration.
+func (d *drainControl) remove(now time.Time, t *task) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	if u, ok := k.under[t]; ok {
-		k.of(t.route.Name).lasted(now, now.Sub(u.began))
+	if u, ok := d.inFlight[t]; ok {
+		d.route(t.route.Name).observeServed(now, now.Sub(u.began))
 	}
 
-	delete(k.under, t)
+	delete(d.inFlight, t)
 }
 
-// oldest returns for how long the oldest answer of a route has been under way. The caller
-// holds mu.
-func (k *work) oldest(now time.Time, route string) time.Duration {
+// oldestInFlight returns the age of a route's oldest request in flight, zero for none. The
+// caller holds mu.
+func (d *drainControl) oldestInFlight(now time.Time, route string) time.Duration {
 	var oldest time.Duration
 
-	for t, u := range k.under {
+	for t, u := range d.inFlight {
 		if t.route.Name == route {
 			oldest = max(oldest, now.Sub(u.began))
 		}
@@ -192,33 +193,34 @@
 	return oldest
 }
 
-// took takes how long a whole answer of a route took.
-func (k *work) took(route string, total time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// observe records the duration of a complete response.
+func (d *drainControl) observe(route string, total time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	k.of(route).mean.Observe(millis(total))
-	k.all.Observe(millis(total))
+	d.route(route).mean.Observe(millis(total))
+	d.allRoutes.Observe(millis(total))
 }
 
-// of returns what is usual for a route. The caller holds mu.
-func (k *work) of(route string) *usual {
-	u, ok := k.usual[route]
+// route returns the durations of a route. The caller holds mu.
+func (d *drainControl) route(route string) *routeDurations {
+	u, ok := d.routes[route]
 	if !ok {
-		u = &usual{}
-		k.usual[route] = u
+		u = &routeDurations{}
+		d.routes[route] = u
 	}
 
 	return u
 }
 
-// Stop begins a planned stop: the gateway is not ready any more. It serves all that comes.
+// Stop begins a planned stop: Ready returns false from now on, but all requests are still accepted.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Close begins the last part of a planned stop, when balancer and callers know of it: what
-// takes long, or may still run at end, is refused without having run. At end the last
-// answers have to go out: what still waits here is refused then.
-func (g *Gateway) Close(now, end time.Time) { g.work.close(now, end) }
+// Close begins the last phase of a planned stop, when balancer and callers know of it: requests
+// that are long, or may still be running at end, are refused without having run. At end the last
+// responses have to be sent, and requests that still wait for an engine are refused.
+func (g *Gateway) Close(now, end time.Time) { g.drain.start(now, end) }
 
-// Short reports whether the callers' port may close, as what is being served is done soon.
-func (g *Gateway) Short(now time.Time) bool { return g.work.short(now) }
+// Short reports whether the callers' port may close, as no long request is in flight or no more
+// can be served.
+func (g *Gateway) Short(now time.Time) bool { return g.drain.mayClosePort(now) }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -11,35 +11,35 @@
 	"boragehub/site"
 )
 
-// usualWork knows reviews that take a second and questions that take a tenth of it.
-func usualWork() *work {
-	k := newWork()
+// newTrainedDrainControl knows reviews that take a second and seat requests that take a tenth of it.
+func newTrainedDrainControl() *drainControl {
+	d := newDrainControl()
 
 	for range 100 {
-		k.took("review", time.Second)
+		d.observe("review", time.Second)
 
 		for range 9 {
-			k.took("seat", 100*time.Millisecond)
+			d.observe("seat", 100*time.Millisecond)
 		}
 	}
 
-	return k
+	return d
 }
 
-// Most entries of a data centre stop at once, and the balancer sends callers to those that
-// are leaving. One that takes all of them is still serving as its grace ends, and answers
-// break off; one that takes none leaves them nobody.
+// Most entries of a data centre stop at once, and the balancer sends callers to the stopping ones.
+// One that accepts all of them is still serving when its grace period ends, and cuts off responses;
+// one that accepts none leaves callers without an entry.
 func TestLastPartOfAStopServesWhatIsSoonDone(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	end := t0.Add(5 * time.Second)
 	tests := []struct {
 		name, route string
-		at          time.Duration // after the last part began
-		deadline    time.Duration // the caller's
+		at          time.Duration // after the last phase began
+		deadline    time.Duration // of the caller
 		want        bool
 	}{
 		{"quick", "seat", 0, 10 * time.Second, true},
-		{"quick, while ten times its time is left", "seat", 4 * time.Second, 10 * time.Second, true},
+		{"quick, with ten times its duration left", "seat", 4 * time.Second, 10 * time.Second, true},
 		{"quick, later", "seat", 4*time.Second + time.Millisecond, 10 * time.Second, false},
 		{"quick, later, its caller leaves before the end", "seat", 4500 * time.Millisecond, 500 * time.Millisecond, true},
 		{"long", "review", 0, 10 * time.Second, false},
@@ -49,49 +49,49 @@
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			k := usualWork()
+			d := newTrainedDrainControl()
 			now := t0.Add(tt.at)
 			x := &task{route: &site.Route{Name: tt.route}, deadline: now.Add(tt.deadline)}
 
-			if err := k.begin(now, x); err != nil {
-				t.Fatalf("before the last part: got %v, want it served", err)
+			if err := d.admit(now, x); err != nil {
+				t.Fatalf("before the last phase: got %v, want it accepted", err)
 			}
 
-			k.done(now, x)
-			k.close(t0, end)
+			d.remove(now, x)
+			d.start(t0, end)
 
-			err := k.begin(now, x)
+			err := d.admit(now, x)
 			if got := err == nil; got != tt.want {
-				t.Errorf("got served %v (%v), want %v", got, err, tt.want)
+				t.Errorf("got accepted %v (%v), want %v", got, err, tt.want)
 			}
 
 			if err != nil && failure.KindOf(err).Answer().Ran != failure.NotRun {
-				t.Errorf("got %v, want a refusal that promises it has not run", err)
+				t.Errorf("got %v, want a refusal that says not run", err)
 			}
 		})
 	}
 }
 
-// A third of the engines is slow, and quick questions there take fifteen times as long as
-// elsewhere. By ten times the mean, none would be served any more five seconds before the
-// end of the stop, and the port would be closed under those that run.
+// A third of the engines is slow, and short requests there take fifteen times as long as elsewhere.
+// Guards against a limit of ten times the mean: no request would be accepted five seconds before
+// the end of the stop, and the port would be closed while others still run.
 func TestLastPartOfAStopGoesByTheLongestOfLate(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	k := newWork()
+	d := newDrainControl()
 
 	for range 100 {
 		for _, total := range []time.Duration{1500 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond} {
 			x := &task{route: &site.Route{Name: "seat"}, deadline: t0.Add(10 * time.Second)}
-			if err := k.begin(t0.Add(-total), x); err != nil {
+			if err := d.admit(t0.Add(-total), x); err != nil {
 				t.Fatal(err)
 			}
 
-			k.took("seat", total)
-			k.done(t0, x)
+			d.observe("seat", total)
+			d.remove(t0, x)
 		}
 	}
 
-	k.close(t0, t0.Add(5*time.Second))
+	d.start(t0, t0.Add(5*time.Second))
 
 	tests := []struct {
 		at   time.Duration
@@ -102,64 +102,64 @@
 		now := t0.Add(tt.at)
 		x := &task{route: &site.Route{Name: "seat"}, deadline: now.Add(10 * time.Second)}
 
-		if err := k.begin(now, x); (err == nil) != tt.want {
-			t.Errorf("at %v: got %v, want served %v", tt.at, err, tt.want)
+		if err := d.admit(now, x); (err == nil) != tt.want {
+			t.Errorf("at %v: got %v, want accepted %v", tt.at, err, tt.want)
 		}
 	}
 }
 
-// A machine is held up, and answers that run for three seconds are given up or still run. Of
-// them nothing is learned if only whole answers count: the entry takes more callers in two
-// seconds before its end, and breaks their answers off.
+// A machine is paused, and responses that have run for three seconds are given up or still run.
+// Guards against learning from complete responses only: the entry would accept more requests two
+// seconds before its end and cut off their responses.
 func TestLastPartOfAStopCountsWhatDoesNotEnd(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 
 	for _, ended := range []bool{false, true} {
-		k := newWork()
+		d := newDrainControl()
 		for range 100 {
-			k.took("seat", 100*time.Millisecond)
+			d.observe("seat", 100*time.Millisecond)
 		}
 
 		slow := &task{route: &site.Route{Name: "seat"}, deadline: t0.Add(10 * time.Second)}
-		if err := k.begin(t0, slow); err != nil {
+		if err := d.admit(t0, slow); err != nil {
 			t.Fatal(err)
 		}
 
-		k.close(t0, t0.Add(5*time.Second))
+		d.start(t0, t0.Add(5*time.Second))
 
 		now := t0.Add(3 * time.Second)
 		if ended {
-			k.done(now, slow)
+			d.remove(now, slow)
 		}
 
 		x := &task{route: &site.Route{Name: "seat"}, deadline: now.Add(10 * time.Second)}
-		if err := k.begin(now, x); err == nil {
-			t.Errorf("given up %v: got a question served two seconds before the end, want it refused", ended)
+		if err := d.admit(now, x); err == nil {
+			t.Errorf("given up %v: got a request accepted two seconds before the end, want it refused", ended)
 		}
 	}
 }
 
-// A prompt waits for an engine with room as the time for a stop ends. It has run nowhere,
-// and its caller may come again at once; cut off, it would not know so.
+// A prompt waits for an engine with capacity when a stop ends. It has run nowhere, and its caller
+// may retry at once. Guards against cutting it off, which doesn't tell the caller so.
 func TestWhatWaitsForRoomIsRefusedAsAStopEnds(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t, e)
-	full := pulse.Pulse{Engine: e.llm, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1}
-	w.roster.Pulse(time.Now(), full)
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t, e)
+	full := pulse.Pulse{Engine: e.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1}
+	env.roster.Pulse(time.Now(), full)
 
 	got := make(chan reply, 1)
 
-	go func() { got <- w.ask(t, "POST", "/llm/1", "x", "Tokens", "30000") }()
+	go func() { got <- env.request(t, "POST", "/llm/1", "x", "Tokens", "30000") }()
 
-	for len(w.gateway.room.waiting) == 0 {
+	for len(env.gateway.waitQueue.waiting) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 
 	now := time.Now()
-	w.gateway.Close(now, now)
+	env.gateway.Close(now, now)
 
 	if r := <-got; r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-		t.Errorf("got %d %v, want a refusal and a time to come again", r.status, r.err)
+		t.Errorf("got %d %v, want a refusal with a Retry-After time", r.status, r.err)
 	}
 
 	if n := e.count(); n != 0 {
@@ -167,29 +167,29 @@
 	}
 }
 
-// A caller's body comes slowly. What decides is the time that is left when it is there, not
-// when its head came: it would be cut off in the middle of its run.
+// A caller's body arrives slowly. Guards against deciding by the time left when the head arrived: the
+// request would be cut off while it runs.
 func TestSlowBodyIsRefusedWhenNoTimeIsLeft(t *testing.T) {
-	e := newEngine(t, "a", answers(whole200))
-	w := open(t, e)
+	e := newFakeEngine(t, "a", respond(ok200))
+	env := newTestEnv(t, e)
 
 	for range 10 {
-		w.gateway.work.took("once", 50*time.Millisecond)
+		env.gateway.drain.observe("once", 50*time.Millisecond)
 	}
 
 	now := time.Now()
-	w.gateway.Close(now, now.Add(time.Second))
+	env.gateway.Close(now, now.Add(time.Second))
 
 	body, part := io.Pipe()
 
 	go func() {
-		<-w.gateway.work.over
+		<-env.gateway.drain.endReached
 
 		_, _ = part.Write([]byte("body"))
 		_ = part.Close()
 	}()
 
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, w.server.URL+"/once/1", body)
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, env.server.URL+"/once/1", body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	r.Header.Set("Id", "r1")
 	r.Header.Set("Key", "k1")
 
-	resp, err := w.server.Client().Do(r)
+	resp, err := env.server.Client().Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,9 +209,9 @@
 	}
 }
 
-// The port of an entry that stops may close once nothing runs that takes long, or when
-// nobody would be taken in anyway. A question that is usually quick may have run on a slow
-// engine for a second already; with the port closed then, callers find nobody until it ends.
+// The port of a stopping entry may close once no long request runs, or when no request would be
+// accepted anyway. A usually short request may already have run for a second on a slow engine;
+// with the port closed, callers would find no entry until it ends.
 func TestPortMayCloseWhenNothingLongRuns(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	end := t0.Add(5 * time.Second)
@@ -224,41 +224,41 @@
 		{"quick", "seat", t0, true},
 		{"quick, on a slow engine", "seat", t0.Add(time.Second), false},
 		{"long", "review", t0, false},
-		{"long, to the last time", "review", end.Add(-lastTime), false},
-		{"long, in the last time", "review", end.Add(-lastTime + 1), true},
+		{"long, just before the final window", "review", end.Add(-finalWindow), false},
+		{"long, in the final window", "review", end.Add(-finalWindow + 1), true},
 		{"unknown", "new", t0, false},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			k := usualWork()
+			d := newTrainedDrainControl()
 			x := &task{route: &site.Route{Name: tt.route}, deadline: t0.Add(10 * time.Second)}
 
 			if tt.route != "" {
-				if err := k.begin(t0, x); err != nil {
+				if err := d.admit(t0, x); err != nil {
 					t.Fatal(err)
 				}
 			}
 
-			k.close(t0, end)
+			d.start(t0, end)
 
-			if got := k.short(tt.at); got != tt.want {
+			if got := d.mayClosePort(tt.at); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 
 			late := &task{route: &site.Route{Name: "seat"}, deadline: end.Add(time.Second)}
-			if err := k.begin(end.Add(-time.Millisecond), late); err == nil {
-				t.Error("no time is left: got a quick request served, want it refused")
+			if err := d.admit(end.Add(-time.Millisecond), late); err == nil {
+				t.Error("no time is left: got a quick request accepted, want it refused")
 			}
 
-			if !k.short(tt.at) {
+			if !d.mayClosePort(tt.at) {
 				t.Error("a quick request was refused: got false, want true")
 			}
 
-			k.done(tt.at, x)
+			d.remove(tt.at, x)
 
-			if !k.short(tt.at) {
-				t.Error("all done: got false, want true")
+			if !d.mayClosePort(tt.at) {
+				t.Error("all requests done: got false, want true")
 			}
 		})
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -16,56 +16,55 @@
 	"boragehub/upstream"
 )
 
-// stream is what the caller has of its stream.
+// stream is the state of the stream sent to the caller.
 type stream struct {
-	// started says that the head of the answer went out.
+	// started is true if the head of the response was sent.
 	started bool
-	// first is when the first event went out.
+	// first is when the head of the response was sent, just before the first event.
 	first time.Time
-	// last is the number of the last event that went out, and has says that there
-	// is one.
-	last int64
-	has  bool
+	// lastID is the number of the last event that was sent, hasLastID whether there is one.
+	lastID    int64
+	hasLastID bool
 }
 
-// readSize is how much of a stream is read at once. Events have some 50 bytes.
-const readSize = 4 << 10
+// readBufferBytes is how much of a stream is read at once. Events have about 50 bytes.
+const readBufferBytes = 4 << 10
 
-// maxEvent bounds an event that has not ended.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of an incomplete event.
+const maxEventBytes = 1 << 20
 
-// writePatience is how long a caller may take to read what it is sent.
-const writePatience = 5 * time.Second
+// writeTimeout is how long a caller may take to read what it is sent.
+const writeTimeout = 5 * time.Second
 
-var errEventTooLong = errors.New("an event is too long")
+var errEventTooLong = errors.New("an event exceeds the size limit")
 
-// streaming reports whether the answer is a series of events.
+// streaming reports whether the response is a stream of events.
 func (t *task) streaming() bool { return t.route.Kind == site.Stream }
 
-// resumeAfter is the number of the last event that the caller has, as sent to
-// targets.
+// resumeAfter returns the id of the last event that the caller has, as sent to targets.
 func (t *task) resumeAfter() string {
-	if t.stream.has {
-		return strconv.FormatInt(t.stream.last, 10)
+	if t.stream.hasLastID {
+		return strconv.FormatInt(t.stream.lastID, 10)
 	}
 
 	return t.arrival.ResumeAfter
 }
 
-// pass passes a stream on, whole events only. An engine may break off within an
-// event; the next one then goes on behind the last whole one.
-func (t *task) pass(ctx context.Context, c choice, x *upstream.Exchange, a Answer) outcome {
+// forwardStream forwards a stream, complete events only. If an engine breaks off within an event,
+// the next engine continues after the last complete one. At the regular end of the stream the rest
+// is forwarded as it is.
+func (t *task) forwardStream(ctx context.Context, c choice, x *upstream.Exchange, a Answer) outcome {
 	if !a.Genuine || a.Encoded {
-		return outcome{ran: true, kind: failure.TargetLost, cause: errForged, standing: target.Failed}
+		return outcome{mayHaveRun: true, kind: failure.TargetLost, cause: errNotGenuine, targetOutcome: target.Failed}
 	}
 
 	if t.stream.started {
 		event.Log(t.g.cfg.Log, event.StreamResumed, "request_id", t.arrival.ID, "target", c.engine.ID, "after_id", t.resumeAfter())
 	}
 
-	var held []byte
+	var pending []byte
 
-	buf := make([]byte, readSize)
+	buf := make([]byte, readBufferBytes)
 
 	for {
 		n, err := x.Read(buf)
@@ -73,64 +72,64 @@
 			t.g.cfg.Roster.Heard(time.Now(), c.engine.ID)
 		}
 
-		held = append(held, buf[:n]...)
+		pending = append(pending, buf[:n]...)
 
-		end := eventsEnd(held)
+		end := eventsEnd(pending)
 		if errors.Is(err, io.EOF) {
-			end = len(held)
+			end = len(pending)
 		}
 
 		begins := !t.stream.started
 
-		if werr := t.emit(x, held[:end]); werr != nil {
-			t.left()
+		if werr := t.emit(x, pending[:end]); werr != nil {
+			t.abortCallerLeft()
 		}
 
 		if begins && t.stream.started {
-			t.first(&c)
+			t.recordFirstEvent(&c)
 		}
 
-		held = held[:copy(held, held[end:])]
+		pending = pending[:copy(pending, pending[end:])]
 
 		switch {
-		case err == nil && len(held) > maxEvent:
-			return outcome{ran: true, kind: failure.TargetLost, cause: errEventTooLong, standing: target.Failed}
+		case err == nil && len(pending) > maxEventBytes:
+			return outcome{mayHaveRun: true, kind: failure.TargetLost, cause: errEventTooLong, targetOutcome: target.Failed}
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			return t.finish(c, x)
 		default:
-			return t.unanswered(ctx, c, err)
+			return t.failedExchange(ctx, c, err)
 		}
 	}
 }
 
-// first takes what the time to the first event tells of how fast engines read.
-func (t *task) first(c *choice) {
+// recordFirstEvent measures the engines' prefill speed by the time to the first event.
+func (t *task) recordFirstEvent(c *choice) {
 	if c.idle {
-		t.fleet().Read(c.unread, time.Since(t.sentAt))
+		t.profile().Read(c.prefillTokens, time.Since(t.sentAt))
 	}
 }
 
-// finish ends a stream that came to its end.
+// finish ends a complete stream.
 func (t *task) finish(c choice, x *upstream.Exchange) outcome {
 	if !t.stream.started {
 		t.start(x.Header(), x.Status())
 	}
 
 	now := time.Now()
-	t.g.cfg.Crashes.Completed(now, t.print)
+	t.g.cfg.Crashes.Completed(now, t.fingerprint)
 
 	if t.arrival.Prompt != nil {
-		t.fleet().Ended(t.arrival.Prompt.Output, now.Sub(t.stream.first))
+		t.profile().Ended(t.arrival.Prompt.Output, now.Sub(t.stream.first))
 	}
 
 	t.served(c, x.Status(), t.stream.first)
 
-	return outcome{done: true, ran: true, standing: target.Succeeded}
+	return outcome{done: true, mayHaveRun: true, targetOutcome: target.Succeeded}
 }
 
-// start writes the head of the answer: that of the first target, also if another
-// one goes on.
+// start writes the head of the response. The headers are those of the first target, even if
+// another one continues the stream.
 func (t *task) start(h http.Header, status int) {
 	t.copyHeader(h)
 	t.w.Header().Del("Content-Length")
@@ -139,9 +138,9 @@
 	t.stream.first = time.Now()
 }
 
-// emit sends whole events to the caller, without those that it has.
+// emit sends complete events to the caller, without those that it already has.
 func (t *task) emit(x *upstream.Exchange, events []byte) error {
-	events = t.fresh(events)
+	events = t.dropDuplicates(events)
 	if len(events) == 0 {
 		return nil
 	}
@@ -152,7 +151,7 @@
 		t.start(x.Header(), x.Status())
 	}
 
-	if err := rc.SetWriteDeadline(time.Now().Add(writePatience)); err != nil {
+	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 
@@ -164,23 +163,23 @@
 		return err
 	}
 
-	t.shown.Store(int64(time.Since(t.began)))
+	t.lastEventAfter.Store(int64(time.Since(t.began)))
 
 	return nil
 }
 
-// fresh drops the events that the caller has and notes the last one.
-func (t *task) fresh(events []byte) []byte {
+// dropDuplicates drops the events that the caller already has and records the last event's id.
+func (t *task) dropDuplicates(events []byte) []byte {
 	skip := 0
 
 	for rest := events; len(rest) > 0; {
 		end := nextEvent(rest)
 
 		id, ok := eventID(rest[:end])
-		if ok && t.stream.has && id <= t.stream.last {
+		if ok && t.stream.hasLastID && id <= t.stream.lastID {
 			skip += end
 		} else if ok {
-			t.stream.last, t.stream.has = id, true
+			t.stream.lastID, t.stream.hasLastID = id, true
 		}
 
 		rest = rest[end:]
@@ -189,7 +188,7 @@
 	return events[skip:]
 }
 
-// eventsEnd returns the length of the whole events at the beginning of b.
+// eventsEnd returns the length of the complete events at the beginning of b.
 func eventsEnd(b []byte) int {
 	i := bytes.LastIndex(b, []byte("\n\n"))
 	if i < 0 {
@@ -209,7 +208,7 @@
 	return i + len("\n\n")
 }
 
-// eventID returns the number of an event.
+// eventID returns the number in the id field of an event.
 func eventID(e []byte) (int64, bool) {
 	for line := range bytes.SplitSeq(e, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -10,132 +10,132 @@
 	"boragehub/quarantine"
 )
 
-// suspects collects the requests whose connections a target broke, to find
-// those that crash every target which runs them.
+// crashDetector collects the requests whose connections a target broke, to find requests that
+// crash every target that runs them.
 //
-// A request that makes a target crash breaks all that runs there. Its caller
-// sends it again, and it takes the next target. One notices several targets that
-// crash one after the other, each while the same request ran. A connection that
-// breaks says little by itself; so only a request that was on several targets
-// when they broke is held off, which one that merely ran beside it hardly was.
+// A request that crashes a target breaks all requests that run there. Its caller retries it, and
+// it crashes the next target: several targets crash one after the other while the same request
+// runs on each. A single broken connection is weak evidence, so only a request that was on
+// several targets when they broke is quarantined. A request that merely ran beside it is
+// unlikely to have been on all of them.
 //
-// Its caller sends it again to any entry. So an entry tells the others what was on a
-// target as it crashed; one that lost a single connection there, which says little by
-// itself, then knows that it was a crash as well.
-type suspects struct {
+// The caller may retry at any entry. Entries therefore report to each other what was on a target
+// when it crashed. An entry that lost a single connection there then knows that this was a
+// crash too.
+type crashDetector struct {
 	tracker *quarantine.Tracker
-	tell    func(quarantine.Crash) // the other entries; nil tells nobody
+	report  func(quarantine.Crash) // reports to the other entries; nil reports nothing
 	log     logr.Logger
 
-	mu     sync.Mutex
-	broken map[string][]breakage // by target
-	told   map[string]bool       // targets whose crash is about to be told
+	mu            sync.Mutex
+	broken        map[string][]brokenRequest // by target
+	reportPending map[string]bool            // targets whose crash is about to be reported
 }
 
-// breakage is one request whose connection broke.
-type breakage struct {
-	at    time.Time
-	print quarantine.Fingerprint
+// brokenRequest is one request whose connection broke.
+type brokenRequest struct {
+	at          time.Time
+	fingerprint quarantine.Fingerprint
 }
 
-// Bounds of what is collected.
+// Limits of crash detection.
 const (
-	// sameCrash is within which connections that broke belong to one crash.
-	sameCrash = 300 * time.Millisecond
-	// crashSize is how many requests have to break together: a single one that
-	// breaks is more often a connection's fault.
-	crashSize = 2
-	// tellAfter is how long after a crash was noticed it is told, so that all
-	// connections that it broke are in one message.
-	tellAfter = 150 * time.Millisecond
-	// sameCrashHeard is how long before another entry told of a crash a connection
-	// may have broken by it.
-	sameCrashHeard = time.Second
-	// maxSuspectTargets bounds the targets watched.
-	maxSuspectTargets = 256
+	// crashWindow is the time within which broken connections count as one crash.
+	crashWindow = 300 * time.Millisecond
+	// minCrashRequests is how many requests have to break together: a single broken request
+	// is more often the connection's fault.
+	minCrashRequests = 2
+	// reportDelay is the time between noticing and reporting a crash, so that one message
+	// covers all connections that it broke.
+	reportDelay = 150 * time.Millisecond
+	// reportedCrashWindow is how long before another entry's report of a crash a connection
+	// may have been broken by it.
+	reportedCrashWindow = time.Second
+	// maxTrackedTargets limits the number of targets with recorded broken requests.
+	maxTrackedTargets = 256
 )
 
-func newSuspects(t *quarantine.Tracker, tell func(quarantine.Crash), log logr.Logger) *suspects {
-	return &suspects{tracker: t, tell: tell, log: log, broken: make(map[string][]breakage), told: make(map[string]bool)}
+func newCrashDetector(t *quarantine.Tracker, report func(quarantine.Crash), log logr.Logger) *crashDetector {
+	return &crashDetector{tracker: t, report: report, log: log, broken: make(map[string][]brokenRequest), reportPending: make(map[string]bool)}
 }
 
-// add notes a request whose connection a target broke.
-func (s *suspects) add(now time.Time, id string, f quarantine.Fingerprint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// add records a request whose connection a target broke.
+func (d *crashDetector) add(now time.Time, id string, f quarantine.Fingerprint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	if len(s.broken) >= maxSuspectTargets {
-		clear(s.broken)
+	if len(d.broken) >= maxTrackedTargets {
+		clear(d.broken)
 	}
 
-	s.broken[id] = append(s.broken[id], breakage{now, f})
+	d.broken[id] = append(d.broken[id], brokenRequest{now, f})
 
-	if running := s.recent(now, id, sameCrash); len(running) >= crashSize {
-		s.crashed(now, id, running, "connections")
+	if running := d.recent(now, id, crashWindow); len(running) >= minCrashRequests {
+		d.recordCrash(now, id, running, "connections")
 	}
 }
 
-// recent returns what broke on a target of late and forgets the rest. The caller
-// holds mu.
-func (s *suspects) recent(now time.Time, id string, most time.Duration) []quarantine.Fingerprint {
+// recent returns the requests that broke on a target within the last most, and drops those that
+// are older than reportedCrashWindow. The caller holds mu.
+func (d *crashDetector) recent(now time.Time, id string, most time.Duration) []quarantine.Fingerprint {
 	var (
-		kept    []breakage
+		kept    []brokenRequest
 		running []quarantine.Fingerprint
 	)
 
-	for _, b := range s.broken[id] {
-		if now.Sub(b.at) < sameCrashHeard {
+	for _, b := range d.broken[id] {
+		if now.Sub(b.at) < reportedCrashWindow {
 			kept = append(kept, b)
 		}
 
 		if now.Sub(b.at) < most {
-			running = append(running, b.print)
+			running = append(running, b.fingerprint)
 		}
 	}
 
-	s.broken[id] = kept
+	d.broken[id] = kept
 
 	return running
 }
 
-// crashed counts a crash against what ran there, and tells the others soon. The
-// caller holds mu.
-func (s *suspects) crashed(now time.Time, id string, running []quarantine.Fingerprint, basis string) {
-	s.tracker.Crashed(now, quarantine.Crash{Target: id, Boot: id, At: now, Running: running})
+// recordCrash counts a crash against the requests that ran there, and schedules the report to the
+// other entries. The caller holds mu.
+func (d *crashDetector) recordCrash(now time.Time, id string, running []quarantine.Fingerprint, basis string) {
+	d.tracker.Crashed(now, quarantine.Crash{Target: id, Boot: id, At: now, Running: running})
 
-	if s.told[id] || s.tell == nil {
+	if d.reportPending[id] || d.report == nil {
 		return
 	}
 
-	s.told[id] = true
+	d.reportPending[id] = true
 
-	event.Log(s.log, event.CrashSuspected, "target", id, "requests", len(running), "basis", basis)
-	time.AfterFunc(tellAfter, func() { s.tellOthers(id) })
+	event.Log(d.log, event.CrashSuspected, "target", id, "requests", len(running), "basis", basis)
+	time.AfterFunc(reportDelay, func() { d.reportToEntries(id) })
 }
 
-// tellOthers tells the other entries what was on a target as it crashed.
-func (s *suspects) tellOthers(id string) {
+// reportToEntries reports to the other entries what was on a target when it crashed.
+func (d *crashDetector) reportToEntries(id string) {
 	now := time.Now()
 
-	s.mu.Lock()
-	c := quarantine.Crash{Target: id, Boot: id, At: now, Running: s.recent(now, id, sameCrashHeard)}
-	delete(s.told, id)
-	s.mu.Unlock()
+	d.mu.Lock()
+	c := quarantine.Crash{Target: id, Boot: id, At: now, Running: d.recent(now, id, reportedCrashWindow)}
+	delete(d.reportPending, id)
+	d.mu.Unlock()
 
-	s.tell(c)
+	d.report(c)
 }
 
-// heard takes what another entry tells of a crash. What broke here at that time was
+// addReported adds a crash that another entry reported. Requests that broke here at that time were
 // on the target as well.
-func (s *suspects) heard(now time.Time, c quarantine.Crash) {
+func (d *crashDetector) addReported(now time.Time, c quarantine.Crash) {
 	c.At = now // by this process's clock
-	s.tracker.Crashed(now, c)
+	d.tracker.Crashed(now, c)
 
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	running := s.recent(now, c.Target, sameCrashHeard)
-	if len(running) > 0 && len(running) < crashSize {
-		s.crashed(now, c.Target, running, "another entry")
+	running := d.recent(now, c.Target, reportedCrashWindow)
+	if len(running) > 0 && len(running) < minCrashRequests {
+		d.recordCrash(now, c.Target, running, "another entry")
 	}
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -10,23 +10,23 @@
 	"boragehub/quarantine"
 )
 
-// A request makes each engine crash that runs it, and its caller sends it again to
-// any entry. Each entry loses only that one connection, while the others lose those of
-// the requests that merely ran beside it. Unless they tell each other, every entry lets
-// it crash three engines, and one notices that engines go down one after the other.
+// A request crashes each engine that runs it, and its caller retries it at any entry. Each entry
+// loses only that one connection, while others lose those of requests that merely ran beside it.
+// Guards against entries that don't share reports: each would let it crash three engines, and
+// engines would go down one after the other.
 func TestEntriesShareWhatCrashedTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries = 4
 
-		all := make([]*suspects, entries)
+		all := make([]*crashDetector, entries)
 		trackers := make([]*quarantine.Tracker, entries)
 
 		for i := range all {
 			trackers[i] = quarantine.NewTracker(quarantine.TrackerConfig{Crashes: 3})
-			all[i] = newSuspects(trackers[i], func(c quarantine.Crash) {
+			all[i] = newCrashDetector(trackers[i], func(c quarantine.Crash) {
 				for j, other := range all {
 					if j != i {
-						other.heard(time.Now(), c)
+						other.addReported(time.Now(), c)
 					}
 				}
 			}, logr.Discard())
@@ -36,7 +36,7 @@
 
 		for crash, target := range []string{"t1", "t2", "t3"} {
 			if _, err := trackers[3].Check(time.Now(), poison); err != nil {
-				t.Fatalf("after %d crashes: got it held off", crash)
+				t.Fatalf("after %d crashes: got request quarantined", crash)
 			}
 
 			all[crash].add(time.Now(), target, poison)
@@ -51,31 +51,31 @@
 
 		for i, tracker := range trackers {
 			if _, err := tracker.Check(time.Now(), poison); err == nil {
-				t.Errorf("entry %d: got it sent to a fourth engine, want it held off", i)
+				t.Errorf("entry %d: got request sent to a fourth engine, want it quarantined", i)
 			}
 
 			if _, err := tracker.Check(time.Now(), quarantine.Of("ferry", []byte{1, 0})); err != nil {
-				t.Errorf("entry %d: got a request held off that ran beside it once", i)
+				t.Errorf("entry %d: got a request quarantined that ran beside it once", i)
 			}
 		}
 	})
 }
 
-// A single connection breaks now and then, by no crash. Nobody is told of that.
+// Guards against reporting a crash when single connections break, as they do without one.
 func TestSingleConnectionIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := 0
-		s := newSuspects(quarantine.NewTracker(quarantine.TrackerConfig{}), func(quarantine.Crash) { told++ }, logr.Discard())
+		reports := 0
+		d := newCrashDetector(quarantine.NewTracker(quarantine.TrackerConfig{}), func(quarantine.Crash) { reports++ }, logr.Discard())
 
 		for i := range 5 {
-			s.add(time.Now(), "t1", quarantine.Of("ferry", []byte{byte(i)}))
-			time.Sleep(sameCrash)
+			d.add(time.Now(), "t1", quarantine.Of("ferry", []byte{byte(i)}))
+			time.Sleep(crashWindow)
 		}
 
 		synctest.Wait()
 
-		if told != 0 {
-			t.Errorf("got it told %d times, want never", told)
+		if reports != 0 {
+			t.Errorf("got %d reports, want none", reports)
 		}
 	})
 }
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -17,44 +17,44 @@
 	"boragehub/site"
 )
 
-// task is one request on its way.
+// task is the handling of one request.
 type task struct {
 	g *Gateway
 	w http.ResponseWriter
 	r *http.Request
 
 	began        time.Time
-	deadline     time.Time // when the caller or the route gives up
+	deadline     time.Time // when the caller's or the route's timeout ends
 	cfg          *site.Configuration
 	route        *site.Route
 	organisation *site.Organisation // nil for none
 	arrival      Arrival
 	body         []byte
 	service      site.Service
-	draw         uint64 // evenly spread, the same for one request
-	print        quarantine.Fingerprint
-
-	attempts int             // sent so far
-	ran      int             // of them those that may have run
-	tried    map[string]bool // targets
-	stream   stream
-	flight   *flight      // the attempt under way
-	sentAt   time.Time    // when it was sent
-	shown    atomic.Int64 // when the last event went out, in ns since began
+	hash         uint64 // of the request id: evenly spread, the same for all attempts
+	fingerprint  quarantine.Fingerprint
+
+	attempts       int             // sent so far
+	possibleRuns   int             // attempts in which the request may have run
+	tried          map[string]bool // ids of the targets tried
+	stream         stream
+	inFlight       *inFlightAttempt // the present attempt
+	sentAt         time.Time        // when it was sent
+	lastEventAfter atomic.Int64     // when the last event was sent, in ns after began
 }
 
-// Bounds of reading requests.
+// Limits on reading requests.
 const (
-	// maxBody bounds bodies where the configuration doesn't.
-	maxBody = 8 << 20
-	// deadlineGrace is how long past its deadline an attempt may still bring an
-	// answer: the target stops at the deadline and says so, which takes a moment.
+	// defaultMaxBodyBytes applies if the configuration sets no limit.
+	defaultMaxBodyBytes = 8 << 20
+	// deadlineGrace is how long after its deadline an attempt may still get a response: the
+	// target stops at the deadline and reports it, which takes a moment.
 	deadlineGrace = 60 * time.Millisecond
-	// noDeadline is for requests without any bound.
-	noDeadline = time.Minute
+	// defaultTimeout applies if neither caller nor route sets a limit.
+	defaultTimeout = time.Minute
 )
 
-// accept reads the request and finds out what it is.
+// accept reads and checks the request, and admits it.
 func (t *task) accept(now time.Time) error {
 	t.cfg = t.g.current.Load()
 
@@ -86,9 +86,9 @@
 
 	t.setDeadline(now)
 
-	t.draw = xxhash.Sum64String(t.arrival.ID)
+	t.hash = xxhash.Sum64String(t.arrival.ID)
 
-	service, ok := t.cfg.Service(t.route.Pick(t.draw))
+	service, ok := t.cfg.Service(t.route.Pick(t.hash))
 	if !ok {
 		return failure.New(failure.Unavailable, "the route has no service").After(time.Second)
 	}
@@ -99,8 +99,8 @@
 		return err
 	}
 
-	// A body may have taken its time.
-	return t.g.work.begin(time.Now(), t)
+	// Reading the body may have taken long.
+	return t.g.drain.admit(time.Now(), t)
 }
 
 func (t *task) authenticate() error {
@@ -119,14 +119,14 @@
 		return nil
 	}
 
-	return failure.New(failure.Unauthenticated, "the key is not known")
+	return failure.New(failure.Unauthenticated, "the API key is unknown")
 }
 
-// readBody reads the body whole, so that it can be sent to a second target.
+// readBody reads the whole body, so that it can be sent to a second target.
 func (t *task) readBody() error {
 	limit := t.cfg.Limits().BodyBytes
 	if limit <= 0 {
-		limit = maxBody
+		limit = defaultMaxBodyBytes
 	}
 
 	if t.r.ContentLength > limit {
@@ -136,7 +136,7 @@
 	if t.r.ContentLength > 0 {
 		t.body = make([]byte, t.r.ContentLength)
 		if _, err := io.ReadFull(t.r.Body, t.body); err != nil {
-			return failure.Wrap(failure.Cancelled, err, "the body broke off")
+			return failure.Wrap(failure.Cancelled, err, "the connection broke while the body was read")
 		}
 
 		return nil
@@ -148,7 +148,7 @@
 
 	body, err := io.ReadAll(io.LimitReader(t.r.Body, limit+1))
 	if err != nil {
-		return failure.Wrap(failure.BadRequest, err, "the body can't be read")
+		return failure.Wrap(failure.BadRequest, err, "reading the body failed")
 	}
 
 	if int64(len(body)) > limit {
@@ -163,11 +163,11 @@
 func (t *task) tooLarge(limit int64) error {
 	t.w.Header().Set("Connection", "close")
 
-	return failure.New(failure.TooLarge, "the body is over %d bytes", limit)
+	return failure.New(failure.TooLarge, "the body exceeds %d bytes", limit)
 }
 
 func (t *task) setDeadline(now time.Time) {
-	most := noDeadline
+	most := defaultTimeout
 	if t.arrival.Deadline > 0 {
 		most = t.arrival.Deadline
 	}
@@ -185,15 +185,15 @@
 		name = t.organisation.Name
 	}
 
-	t.print = quarantine.Of(name, append([]byte(t.r.URL.Path+"\n"), t.body...))
+	t.fingerprint = quarantine.Of(name, append([]byte(t.r.URL.Path+"\n"), t.body...))
 
-	_, err := t.g.cfg.Crashes.Check(now, t.print)
+	_, err := t.g.cfg.Crashes.Check(now, t.fingerprint)
 
 	return err
 }
 
-// fleet returns what was learned of the engines of the request's service.
-func (t *task) fleet() *profile.Fleet { return t.g.fleets.of(t.service.Name) }
+// profile returns the profile of the engines of the request's service.
+func (t *task) profile() *profile.Fleet { return t.g.profiles.forService(t.service.Name) }
 
 // model returns the model that the request names; empty for none.
 func (t *task) model() string {
@@ -204,7 +204,7 @@
 	return t.arrival.Prompt.Model
 }
 
-// priority returns the request's rank, 0 first.
+// priority returns the request's rank; 0 comes first.
 func (t *task) priority() int {
 	if t.organisation != nil && t.organisation.HasPriority {
 		return t.organisation.Priority
@@ -213,7 +213,7 @@
 	return t.route.Priority
 }
 
-// refuse ends the request with an answer of our own.
+// refuse ends the request with an error response by the gateway itself.
 func (t *task) refuse(err error) {
 	e := failure.As(err)
 	kind := e.Kind()
@@ -225,7 +225,7 @@
 
 	a := kind.Answer()
 	h := t.w.Header()
-	dropHeaders(h)
+	clearHeaders(h)
 	t.g.cfg.Dialect.Mark(h, &t.arrival)
 
 	after := e.RetryAfter()
@@ -244,16 +244,16 @@
 	}
 
 	if t.g.cfg.Meter != nil {
-		t.g.cfg.Meter.Refused(t.kindName(), kind.String())
+		t.g.cfg.Meter.Refused(t.routeKind(), kind.String())
 	}
 
 	event.Log(t.g.cfg.Log, event.RequestGivenUp, "request_id", t.arrival.ID, "route", t.routeName(), "kind", kind.String(),
 		"status", a.Status, "ran", a.Ran.String(), "retry_after_ms", after.Milliseconds(), "attempts", t.attempts,
-		"cause", cause(e), "after_ms", time.Since(t.began).Milliseconds())
+		"cause", causeText(e), "after_ms", time.Since(t.began).Milliseconds())
 }
 
-// cause returns the text of an error's cause.
-func cause(err error) string {
+// causeText returns the text of an error's cause, or of the error itself if it wraps none.
+func causeText(err error) string {
 	if c := errors.Unwrap(err); c != nil {
 		return c.Error()
 	}
@@ -261,9 +261,9 @@
 	return err.Error()
 }
 
-// dropHeaders takes out the headers of a target's answer that is not passed on; the
-// wish to close the connection stays.
-func dropHeaders(h http.Header) {
+// clearHeaders removes the headers of a target's response that is not forwarded, but keeps
+// the request to close the connection.
+func clearHeaders(h http.Header) {
 	closing := h.Get("Connection")
 	clear(h)
 
@@ -280,12 +280,12 @@
 	return t.route.Name
 }
 
-// noRoute stands for the kind of a request without a route.
-const noRoute = "none"
+// noRouteKind is the route kind of a request without a route.
+const noRouteKind = "none"
 
-func (t *task) kindName() string {
+func (t *task) routeKind() string {
 	if t.route == nil {
-		return noRoute
+		return noRouteKind
 	}
 
 	return t.route.Kind.String()
--- a/gateway/version.go
+++ b/gateway/version.go
@@ -6,45 +6,44 @@
 	"boragehub/vault"
 )
 
-// named is a weight version that operators named.
-type named struct {
+// namedVersion is a weight version that operators named, for engines to load.
+type namedVersion struct {
 	version int64
-	// at is when this process learned of it.
-	at time.Time
-	// before is the last time at which the versions before it were surely the newest.
-	before time.Time
+	// learnedAt is when this process learned of it, set back by Named if that was at its start.
+	learnedAt time.Time
+	// previousNewestAt is when the previous version was last known for certain to be the newest.
+	previousNewestAt time.Time
 }
 
-// versionGrace is how long after a weight version was named answers on the one
-// before are as good: operators allow 1.5 s, and a request takes a while.
-const versionGrace = 1200 * time.Millisecond
+// oldVersionGrace is how long after a weight version was named responses from the previous one
+// count as equally good: operators allow 1.5 s, and a request takes a while.
+const oldVersionGrace = 1200 * time.Millisecond
 
-// Margins before the time within which an engine with replaced weights may begin
-// requests. One that begins on them later breaks what operators were promised.
+// Margins before the end of Config.VersionWithin, within which engines with replaced weights may
+// begin requests. An engine that begins later breaks what operators were promised.
 const (
-	// versionMargin is how long before it such an engine gets no more requests. They
-	// wait for their turn there, in bad times for more than a second; the last engines
-	// are loading by then anyway.
-	versionMargin = 1500 * time.Millisecond
-	// overdueMargin is how long before it what still waits there is taken back. It is
-	// looked for four times a second.
-	overdueMargin = 400 * time.Millisecond
+	// sendMargin is how long before that end such an engine gets no more requests. They queue there,
+	// under heavy load for more than a second; the last engines are loading by then anyway.
+	sendMargin = 1500 * time.Millisecond
+	// cancelMargin is how long before that end requests that still wait there are cancelled. This is
+	// checked four times a second.
+	cancelMargin = 400 * time.Millisecond
 )
 
-// maxNamed bounds the versions remembered of a model.
-const maxNamed = 8
+// maxNamedVersions limits how many versions of a model are remembered.
+const maxNamedVersions = 8
 
-// startGrace is how long after a start a version that was named before counts as
-// allowed to be missing. Nobody knows when it was named: taken for just named, an
-// engine with replaced weights would get requests for as long again.
-const startGrace = 3900 * time.Millisecond
+// startupGrace is how long after a process start engines may still lack a version that was named
+// before. When it was named is not known: taken for just named, an engine with replaced weights
+// would get requests for as long again.
+const startupGrace = 3900 * time.Millisecond
 
-// Named takes that operators named a weight version. Before is the last time at
-// which the one before was surely the newest, zero for a version that was there when
-// this process started.
+// Named records that operators named a weight version. Before is when the previous version was
+// last known for certain to be the newest, zero for a version that was there when this process
+// started.
 func (g *Gateway) Named(now time.Time, model string, version int64, before time.Time) {
 	if before.IsZero() {
-		now = now.Add(min(startGrace-g.cfg.VersionWithin, 0))
+		now = now.Add(min(startupGrace-g.cfg.VersionWithin, 0))
 	}
 
 	g.mu.Lock()
@@ -55,8 +54,8 @@
 		return
 	}
 
-	all = append(all, named{version, now, before})
-	g.versions[model] = all[max(0, len(all)-maxNamed):]
+	all = append(all, namedVersion{version, now, before})
+	g.versions[model] = all[max(0, len(all)-maxNamedVersions):]
 }
 
 // newest returns the version of a model that operators named last, zero for none.
@@ -71,15 +70,15 @@
 	return 0
 }
 
-// namedFor returns the newest version of a model that was named at least so long
-// ago, zero for none.
-func (g *Gateway) namedFor(now time.Time, model string, ago time.Duration) int64 {
+// versionNamedFor returns the newest version of a model that was named at least ago before now,
+// zero for none.
+func (g *Gateway) versionNamedFor(now time.Time, model string, ago time.Duration) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	all := g.versions[model]
 	for i := len(all) - 1; i >= 0; i-- {
-		if now.Sub(all[i].at) >= ago {
+		if now.Sub(all[i].learnedAt) >= ago {
 			return all[i].version
 		}
 	}
@@ -87,48 +86,48 @@
 	return 0
 }
 
-// overdue returns the version of a model below which nothing may begin any more.
-func (g *Gateway) overdue(now time.Time, model string) int64 {
+// minQueuedVersion returns the version of a model below which requests that wait are cancelled, zero for none.
+func (g *Gateway) minQueuedVersion(now time.Time, model string) int64 {
 	if g.cfg.VersionWithin <= 0 {
 		return 0
 	}
 
-	return g.namedFor(now, model, g.cfg.VersionWithin-overdueMargin)
+	return g.versionNamedFor(now, model, g.cfg.VersionWithin-cancelMargin)
 }
 
-// required returns the version of a model below which an engine gets no requests.
-func (g *Gateway) required(now time.Time, model string) int64 {
+// requiredVersion returns the version of a model below which an engine gets no requests, zero for none.
+func (g *Gateway) requiredVersion(now time.Time, model string) int64 {
 	if g.cfg.VersionWithin <= 0 {
 		return 0
 	}
 
-	return g.namedFor(now, model, g.cfg.VersionWithin-versionMargin)
+	return g.versionNamedFor(now, model, g.cfg.VersionWithin-sendMargin)
 }
 
-// mayFetch reports whether a part that was made under a version of a model may be
-// fetched from a store.
+// mayFetch reports whether a part that was computed with a version of a model may be fetched from
+// a store.
 func (g *Gateway) mayFetch(now time.Time, p vault.Part, model string, version int64) bool {
-	current, newest := g.currentUntil(model, version)
+	current, newest := g.lastKnownNewest(model, version)
 
-	// Whoever reads the register after a newer version was named finds this process
-	// there only if it stood there when this process last saw none.
-	since := g.listed()
+	// A process that reads the register after a newer version was named is certain to find this
+	// process there only if it was registered when it last knew of no newer version.
+	since := g.registeredSince()
 	asked := newest && !since.IsZero() && current.After(since)
 
 	return p.Right(now, current, asked)
 }
 
-// currentUntil returns the last time at which a version was surely the newest of
-// its model, and whether it still is as far as this process knows.
-func (g *Gateway) currentUntil(model string, version int64) (current time.Time, newest bool) {
+// lastKnownNewest returns when a version was last known for certain to be the newest of its
+// model, and whether it still is as far as this process knows.
+func (g *Gateway) lastKnownNewest(model string, version int64) (current time.Time, newest bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	for _, n := range g.versions[model] {
 		if n.version > version {
-			return n.before, false
+			return n.previousNewestAt, false
 		}
 	}
 
-	return g.lastSeen(), true
+	return g.versionsKnownAt(), true
 }
