--- a/vault/directory.go
+++ b/vault/directory.go
@@ -9,182 +9,182 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// savePatience is how long a save that was asked for may take until its event
-// arrives. A prompt is read in under a second, and events come a little later.
-const savePatience = 2500 * time.Millisecond
-
-// shelf is what is known of one store.
-type shelf struct {
-	store   Store
-	epoch   int64
-	next    int64
-	known   bool // its list was read in this epoch
-	away    bool // it doesn't answer
-	parts   map[Part]int
-	tokens  int
-	short   int // of tokens, those of short parts
-	pending map[Part]pending
-	busy    time.Time // until when the link is expected to be taken
-
-	// When the store was first and last known to be in epoch, on the engines' clock in
-	// ms; zero if unknown.
+// saveTimeout is the maximum time from the request for a save until its event arrives.
+// Prefill takes less than a second, and events arrive a little later.
+const saveTimeout = 2500 * time.Millisecond
+
+// storeState is what is known of one store.
+type storeState struct {
+	store         Store
+	epoch         int64
+	next          int64 // sequence number of the next event
+	listed        bool  // its parts in this epoch are known
+	unreachable   bool  // it does not answer, or was never reached
+	parts         map[Part]int
+	tokens        int
+	shortTokens   int // the tokens of short parts
+	saves         map[Part]pendingSave
+	linkBusyUntil time.Time // when its link is expected to be free
+
+	// When the store was first and last known to be in epoch, in ms on the engines'
+	// clock; zero if unknown.
 	epochFirstSeen, epochLastSeen int64
 
 	direct       bool      // its events are read by this process
-	callFailed   bool      // the last direct call failed, and no other process has told of it since
-	peerUpdateAt time.Time // when another process last told of it
-	changes      changes   // for other processes
-	followed     Position  // how far another process's changes were followed
+	callFailed   bool      // the last direct call failed, and no other process has reported the store since
+	peerUpdateAt time.Time // when another process last reported it
+	changes      changeLog // for other processes
+	peerPosition Position  // of the last update from another process
 }
 
-type pending struct {
-	tokens int
-	until  time.Time
+type pendingSave struct {
+	tokens    int
+	expiresAt time.Time
 }
 
-// Directory is what one process knows of the stores. Use NewDirectory; its
-// methods may be called from many goroutines.
+// Directory holds what one process knows of the stores. Use NewDirectory; its
+// methods are safe for concurrent use.
 type Directory struct {
-	mu      sync.Mutex
-	shelves map[string]*shelf
-	sharers int       // processes that use the stores alike, this one included
-	started int64     // tells this start of the process from others
-	clock   int64     // the engines' clock in ms …
-	clockAt time.Time // … not later than at this time
+	mu           sync.Mutex
+	stores       map[string]*storeState
+	processCount int       // processes that use the stores, including this one
+	incarnation  int64     // identifies this start of the process
+	clock        int64     // the engines' clock in ms as last reported; zero if it never was
+	clockAt      time.Time // when the report of clock arrived
 }
 
-// NewDirectory returns an empty Directory. Started is any number that differs from
-// that of other starts of the process, as the time in ns.
-func NewDirectory(started int64) *Directory {
-	return &Directory{shelves: make(map[string]*shelf), started: started, sharers: 1}
+// NewDirectory returns an empty Directory. Incarnation is any number that differs between
+// starts of the process, such as the time in ns.
+func NewDirectory(incarnation int64) *Directory {
+	return &Directory{stores: make(map[string]*storeState), incarnation: incarnation, processCount: 1}
 }
 
-// SetSharers sets how many processes use the stores, this one included. Each sees
-// only its own transfers, and takes those of the others to be as many.
+// SetSharers sets how many processes use the stores, including this one. A process sees
+// only its own transfers and assumes that each other process makes as many.
 func (d *Directory) SetSharers(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	d.sharers = max(n, 1)
+	d.processCount = max(n, 1)
 }
 
-// Promise notes that a copy will be fetched.
+// Promise reserves the link of the copy's store for the fetch of the copy.
 func (d *Directory) Promise(now time.Time, c Copy) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if sh := d.shelves[c.Address]; sh != nil {
-		d.promise(now, sh, c.Transfer)
+	if st := d.stores[c.Address]; st != nil {
+		d.reserveLink(now, st, c.Transfer)
 	}
 }
 
-// promise takes a store's link for a transfer. The caller holds mu.
-func (d *Directory) promise(now time.Time, s *shelf, t time.Duration) {
-	if s.busy.Before(now) {
-		s.busy = now
+// reserveLink reserves a store's link for a transfer. The caller holds mu.
+func (d *Directory) reserveLink(now time.Time, s *storeState, t time.Duration) {
+	if s.linkBusyUntil.Before(now) {
+		s.linkBusyUntil = now
 	}
 
-	// A transfer that would wait for longer isn't started.
-	if s.busy.Sub(now) < MostWait {
-		s.busy = s.busy.Add(t * time.Duration(d.sharers))
+	// Transfers that would wait longer than MaxLinkWait are not started.
+	if s.linkBusyUntil.Sub(now) < MaxLinkWait {
+		s.linkBusyUntil = s.linkBusyUntil.Add(t * time.Duration(d.processCount))
 	}
 }
 
-// Configure sets the stores that there are.
+// Configure sets the stores. It keeps what is known of those that were configured before.
 func (d *Directory) Configure(stores []Store) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	kept := make(map[string]*shelf, len(stores))
+	states := make(map[string]*storeState, len(stores))
 
 	for _, s := range stores {
-		sh, ok := d.shelves[s.Address]
+		st, ok := d.stores[s.Address]
 		if !ok {
-			sh = &shelf{away: true, parts: make(map[Part]int), pending: make(map[Part]pending)}
+			st = &storeState{unreachable: true, parts: make(map[Part]int), saves: make(map[Part]pendingSave)}
 		}
 
-		sh.store = s
-		kept[s.Address] = sh
+		st.store = s
+		states[s.Address] = st
 	}
 
-	d.shelves = kept
+	d.stores = states
 }
 
-// Position returns where a store's events go on; ok is false when its list has
-// to be read first.
-func (d *Directory) Position(address string) (next int64, ok bool) {
+// NextEvent returns the sequence number from which to read a store's events. It returns
+// false if the store's list has to be read first.
+func (d *Directory) NextEvent(address string) (next int64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	sh := d.shelves[address]
-	if sh == nil || !sh.known || !sh.direct {
+	st := d.stores[address]
+	if st == nil || !st.listed || !st.direct {
 		return 0, false
 	}
 
-	return sh.next, true
+	return st.next, true
 }
 
-// Learn takes a store's whole list.
+// Learn replaces what is known of a store's parts by the store's full list.
 func (d *Directory) Learn(now time.Time, address string, l Listing) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	d.setClock(now, l.Clock)
 
-	sh := d.shelves[address]
-	if sh == nil {
+	st := d.stores[address]
+	if st == nil {
 		return
 	}
 
-	sh.observeEpoch(l.Epoch, l.Clock, l.Clock)
-	sh.next, sh.known, sh.away, sh.direct, sh.callFailed = l.Next, true, false, true, false
-	sh.tokens, sh.short = 0, 0
-	sh.changes.forget()
+	st.observeEpoch(l.Epoch, l.Clock, l.Clock)
+	st.next, st.listed, st.unreachable, st.direct, st.callFailed = l.Next, true, false, true, false
+	st.tokens, st.shortTokens = 0, 0
+	st.changes.reset()
 
-	sh.parts = make(map[Part]int, len(l.Held))
+	st.parts = make(map[Part]int, len(l.Held))
 
 	for _, h := range l.Held {
-		sh.add(h)
+		st.add(h)
 	}
 }
 
-// Follow takes what changed. It returns false when the list has to be read anew:
-// the store restarted, or events are missing.
+// Follow applies a store's events. It returns false if the list has to be read again
+// because the store restarted or events are missing.
 func (d *Directory) Follow(now time.Time, address string, e Events) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	d.setClock(now, e.Clock)
 
-	sh := d.shelves[address]
-	if sh == nil {
+	st := d.stores[address]
+	if st == nil {
 		return true
 	}
 
-	sh.away, sh.callFailed = false, false
+	st.unreachable, st.callFailed = false, false
 
-	restarted := e.Epoch != sh.epoch
-	sh.observeEpoch(e.Epoch, e.Clock, e.Clock)
+	restarted := e.Epoch != st.epoch
+	st.observeEpoch(e.Epoch, e.Clock, e.Clock)
 
 	if e.Lost || restarted {
-		// Nothing of an earlier epoch is there any more.
-		sh.known, sh.tokens, sh.short = false, 0, 0
-		clear(sh.parts)
-		sh.changes.forget()
+		// A store is empty after a restart, and missing events leave the parts uncertain.
+		st.listed, st.tokens, st.shortTokens = false, 0, 0
+		clear(st.parts)
+		st.changes.reset()
 
 		return false
 	}
 
-	sh.next = e.Next
+	st.next = e.Next
 
-	sh.apply(e.Events)
+	st.apply(e.Events)
 
 	return true
 }
 
 // observeEpoch records that the store was in an epoch from firstSeen until lastSeen, in ms
-// on the engines' clock; zero means unknown. Times of a different epoch are discarded.
-func (s *shelf) observeEpoch(epoch, firstSeen, lastSeen int64) {
+// on the engines' clock; zero means unknown. It discards the times of a different epoch.
+func (s *storeState) observeEpoch(epoch, firstSeen, lastSeen int64) {
 	if epoch != s.epoch {
 		s.epoch, s.epochFirstSeen, s.epochLastSeen = epoch, firstSeen, lastSeen
 
@@ -198,8 +198,8 @@
 	s.epochLastSeen = max(s.epochLastSeen, lastSeen)
 }
 
-// apply takes changes in order.
-func (s *shelf) apply(events []Event) {
+// apply applies changes in order.
+func (s *storeState) apply(events []Event) {
 	for _, e := range events {
 		if e.Added {
 			s.add(e.Held)
@@ -209,46 +209,47 @@
 	}
 }
 
-// Lose takes that a store doesn't answer.
-func (d *Directory) Lose(address string) {
+// MarkUnreachable records that a direct call to a store failed.
+func (d *Directory) MarkUnreachable(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if sh := d.shelves[address]; sh != nil {
-		sh.away, sh.callFailed = true, true
+	if st := d.stores[address]; st != nil {
+		st.unreachable, st.callFailed = true, true
 	}
 }
 
-func (s *shelf) add(h Held) {
-	delete(s.pending, h.Part)
-	s.count(-s.parts[h.Part])
-	s.count(h.Tokens)
+func (s *storeState) add(h Held) {
+	delete(s.saves, h.Part)
+	s.addTokens(-s.parts[h.Part])
+	s.addTokens(h.Tokens)
 	s.parts[h.Part] = h.Tokens
-	s.changes.note(Event{Held: h, Added: true})
+	s.changes.record(Event{Held: h, Added: true})
 }
 
-// count adds tokens of one part, or takes them off.
-func (s *shelf) count(tokens int) {
+// addTokens adds the length of one part to the totals, or subtracts it if negative.
+func (s *storeState) addTokens(tokens int) {
 	s.tokens += tokens
-	if max(tokens, -tokens) < longPart {
-		s.short += tokens
+	if max(tokens, -tokens) < longPartTokens {
+		s.shortTokens += tokens
 	}
 }
 
-func (s *shelf) remove(p Part) {
-	s.count(-s.parts[p])
+func (s *storeState) remove(p Part) {
+	s.addTokens(-s.parts[p])
 	delete(s.parts, p)
-	s.changes.note(Event{Held: Held{Part: p}})
+	s.changes.record(Event{Held: Held{Part: p}})
 }
 
-// setClock keeps the engines' clock. The caller holds mu.
+// setClock records the engines' clock; zero means that it was not reported. The caller
+// holds mu.
 func (d *Directory) setClock(now time.Time, clock int64) {
 	if clock > 0 {
 		d.clock, d.clockAt = clock, now
 	}
 }
 
-// Hear takes the engines' clock as one of them told it.
+// Hear records the engines' clock, in ms, as an engine reported it.
 func (d *Directory) Hear(now time.Time, clock int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -256,8 +257,8 @@
 	d.setClock(now, clock)
 }
 
-// Clock returns the engines' clock in ms: never ahead of it, as what it told was
-// on its way for a while. ok is false until it was told.
+// Clock returns the engines' clock in ms, and false if it was never reported. The result
+// is never ahead of the clock, because reports take some time to arrive.
 func (d *Directory) Clock(now time.Time) (ms int64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -265,22 +266,23 @@
 	return d.clockNow(now), d.clock > 0
 }
 
-// clockNow returns the engines' clock in ms. The caller holds mu.
+// clockNow extrapolates the engines' clock, in ms, from the last report. The caller holds
+// mu.
 func (d *Directory) clockNow(now time.Time) int64 {
 	return d.clock + now.Sub(d.clockAt).Milliseconds()
 }
 
 // fetchUntil returns the time on the engines' clock, in ms, by which fetches from the store
 // must end.
-func (s *shelf) fetchUntil() int64 { return s.epochLastSeen + epochGrace.Milliseconds() }
+func (s *storeState) fetchUntil() int64 { return s.epochLastSeen + epochGrace.Milliseconds() }
 
 // earlierFetchesEnded reports whether all fetches granted in earlier epochs have ended.
-func (s *shelf) earlierFetchesEnded(clock int64) bool {
+func (s *storeState) earlierFetchesEnded(clock int64) bool {
 	return s.epochFirstSeen > 0 && clock >= s.epochFirstSeen+(epochGrace+freeMargin).Milliseconds()
 }
 
-// Find returns the copy of a part that is there soonest for an engine in a data
-// centre.
+// Find returns the copy of a part that an engine in a data centre can fetch soonest, and
+// false if there is none.
 func (d *Directory) Find(now time.Time, p Part, dataCentre string) (Copy, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -289,14 +291,14 @@
 
 	clock, found := d.clockNow(now), false
 
-	for address, sh := range d.shelves {
-		tokens, ok := sh.parts[p]
-		if !ok || sh.away || clock+minFetch.Milliseconds() > sh.fetchUntil() {
+	for address, st := range d.stores {
+		tokens, ok := st.parts[p]
+		if !ok || st.unreachable || clock+minFetchTime.Milliseconds() > st.fetchUntil() {
 			continue
 		}
 
-		near := sh.store.DataCentre == dataCentre
-		c := Copy{Address: address, Tokens: tokens, FetchUntil: min(clock+MaxFetch.Milliseconds(), sh.fetchUntil()), Near: near, Wait: max(sh.busy.Sub(now), 0), Transfer: sh.store.transfer(tokens, near)}
+		near := st.store.DataCentre == dataCentre
+		c := Copy{Address: address, Tokens: tokens, FetchUntil: min(clock+MaxFetch.Milliseconds(), st.fetchUntil()), Near: near, Wait: max(st.linkBusyUntil.Sub(now), 0), Transfer: st.store.transfer(tokens, near)}
 
 		if !found || c.Wait+c.Transfer < best.Wait+best.Transfer || (c == best && address < best.Address) {
 			best, found = c, true
@@ -306,11 +308,12 @@
 	return best, found
 }
 
-// Place returns the store in which a part is to be saved, if it is in none, is
-// not being saved and one has room, and notes that it is being saved. Long parts go
-// to quick stores only when the others are full, short ones to those alone. Stores
-// get parts in proportion to their room, each part always the same one while that
-// has room, so that entries which don't know of each other choose alike.
+// Place selects a store for a part and records the part as being saved there. It returns
+// false if a store holds the part, the part is being saved, or no store accepts it. Long
+// parts go to low-latency stores only if the other stores are full; short parts go only to
+// low-latency stores. Stores get parts in proportion to their capacity. A part always
+// goes to the same store while that has space, so that processes choose the same store
+// without coordination.
 func (d *Directory) Place(now time.Time, h Held) (address string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -319,17 +322,17 @@
 		return "", false
 	}
 
-	best, second := 0.0, false
+	bestScore, bestIsFallback := 0.0, false
 	clock := d.clockNow(now)
 
-	for a, sh := range d.shelves {
-		if !sh.earlierFetchesEnded(clock) || !sh.takes(now, h.Tokens) {
+	for a, st := range d.stores {
+		if !st.earlierFetchesEnded(clock) || !st.accepts(now, h.Tokens) {
 			continue
 		}
 
-		s, last := weight(a, h.Part, sh.store.Room), h.Tokens >= longPart && sh.store.quick()
-		if address == "" || (second && !last) || (second == last && s > best) {
-			address, best, second = a, s, last
+		score, isFallback := rendezvousScore(a, h.Part, st.store.Room), h.Tokens >= longPartTokens && st.store.lowLatency()
+		if address == "" || (bestIsFallback && !isFallback) || (bestIsFallback == isFallback && score > bestScore) {
+			address, bestScore, bestIsFallback = a, score, isFallback
 		}
 	}
 
@@ -337,22 +340,22 @@
 		return "", false
 	}
 
-	sh := d.shelves[address]
-	d.promise(now, sh, sh.store.transfer(h.Tokens, false))
-	sh.pending[h.Part] = pending{tokens: h.Tokens, until: now.Add(savePatience)}
+	st := d.stores[address]
+	d.reserveLink(now, st, st.store.transfer(h.Tokens, false))
+	st.saves[h.Part] = pendingSave{tokens: h.Tokens, expiresAt: now.Add(saveTimeout)}
 
 	return address, true
 }
 
-// held reports whether a part is in a store or on its way to one. The caller
-// holds mu.
+// held reports whether a store holds a part or the part is being saved. The caller holds
+// mu.
 func (d *Directory) held(now time.Time, p Part) bool {
-	for _, sh := range d.shelves {
-		if _, ok := sh.parts[p]; ok {
+	for _, st := range d.stores {
+		if _, ok := st.parts[p]; ok {
 			return true
 		}
 
-		if w, ok := sh.pending[p]; ok && now.Before(w.until) {
+		if save, ok := st.saves[p]; ok && now.Before(save.expiresAt) {
 			return true
 		}
 	}
@@ -360,75 +363,76 @@
 	return false
 }
 
-// takes reports whether the store may take a part of a length.
-func (s *shelf) takes(now time.Time, tokens int) bool {
-	if s.away || !s.known {
+// accepts reports whether a part of a length, in tokens, may be saved in the store.
+func (s *storeState) accepts(now time.Time, tokens int) bool {
+	if s.unreachable || !s.listed {
 		return false
 	}
 
-	if tokens >= longPart {
-		return s.free(now) >= tokens
+	if tokens >= longPartTokens {
+		return s.freeTokens(now) >= tokens
 	}
 
-	return s.store.quick() && s.free(now) >= tokens && float64(s.short) < shortRoom*float64(s.store.Room)
+	return s.store.lowLatency() && s.freeTokens(now) >= tokens && float64(s.shortTokens) < shortPartShare*float64(s.store.Room)
 }
 
-// free returns the tokens that fit, saves under way taken off.
-func (s *shelf) free(now time.Time) int {
+// freeTokens returns the store's free space in tokens, less the saves in flight.
+func (s *storeState) freeTokens(now time.Time) int {
 	free := s.store.Room - s.tokens
 
-	for p, w := range s.pending {
-		if now.After(w.until) {
-			delete(s.pending, p)
+	for p, save := range s.saves {
+		if now.After(save.expiresAt) {
+			delete(s.saves, p)
 
 			continue
 		}
 
-		free -= w.tokens
+		free -= save.tokens
 	}
 
 	return free
 }
 
-// weight is the score of weighted rendezvous hashing.
-func weight(address string, p Part, room int) float64 {
+// rendezvousScore returns the score of a store for a part in weighted rendezvous hashing.
+func rendezvousScore(address string, p Part, capacity int) float64 {
 	h := xxhash.Sum64String(address + "|" + p.Salt + "|" + p.ID)
 	u := (float64(h>>11) + 0.5) / (1 << 53)
 
-	return -float64(room) / math.Log(u)
+	return -float64(capacity) / math.Log(u)
 }
 
-// Replaced is what may be freed in one store.
-type Replaced struct {
-	// Address and Epoch are the store's.
+// FreeableParts are the parts that may be freed in one store.
+type FreeableParts struct {
+	// Address and Epoch are the store's address and epoch.
 	Address string
 	Epoch   int64
-	// Parts are those of replaced weight versions.
+	// Parts are parts of replaced weight versions.
 	Parts []Part
-	// Tokens is their sum.
+	// Tokens is the total length of Parts.
 	Tokens int
 }
 
-// Replaced returns the parts that are due to be freed, when a newer version of
-// their model than theirs was learned of so long ago, at most so many a store.
-// Answered is as for Part.FreeAfter.
-func (d *Directory) Replaced(model string, before int64, ago func(address string) time.Duration, answered bool, most int) []Replaced {
+// Freeable returns the parts that are due to be freed because version newer of the model
+// has replaced theirs: at most maxParts per store, the stores in order of address.
+// SinceReplaced returns, for the address of a store, the time since the process learned of
+// the newer version, less any additional delay. Confirmed is as in Part.FreeAfter.
+func (d *Directory) Freeable(model string, newer int64, sinceReplaced func(address string) time.Duration, confirmed bool, maxParts int) []FreeableParts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	var all []Replaced
+	var all []FreeableParts
 
-	for address, sh := range d.shelves {
-		if sh.away || !sh.known {
+	for address, st := range d.stores {
+		if st.unreachable || !st.listed {
 			continue
 		}
 
-		r := Replaced{Address: address, Epoch: sh.epoch}
-		since := ago(address)
+		r := FreeableParts{Address: address, Epoch: st.epoch}
+		elapsed := sinceReplaced(address)
 
-		for p, tokens := range sh.parts {
-			s, ok := ParseSalt(p.Salt)
-			if ok && s.Model == model && s.Version < before && since >= p.FreeAfter(answered) && len(r.Parts) < most {
+		for p, tokens := range st.parts {
+			scope, ok := ParseSalt(p.Salt)
+			if ok && scope.Model == model && scope.Version < newer && elapsed >= p.FreeAfter(confirmed) && len(r.Parts) < maxParts {
 				r.Parts = append(r.Parts, p)
 				r.Tokens += tokens
 			}
@@ -444,33 +448,34 @@
 	return all
 }
 
-// Freed takes that parts were freed, as the store's events come late.
-func (d *Directory) Freed(r Replaced) {
+// MarkFreed removes parts that were freed, because the store's events arrive late.
+func (d *Directory) MarkFreed(r FreeableParts) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	sh := d.shelves[r.Address]
-	if sh == nil || sh.epoch != r.Epoch {
+	st := d.stores[r.Address]
+	if st == nil || st.epoch != r.Epoch {
 		return
 	}
 
 	for _, p := range r.Parts {
-		sh.remove(p)
+		st.remove(p)
 	}
 }
 
-// Usage returns the tokens held and the room of all stores that answer.
-func (d *Directory) Usage() (held, room, parts int) {
+// Usage returns the tokens held, the capacity in tokens and the number of parts of all
+// reachable stores.
+func (d *Directory) Usage() (held, capacity, parts int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	for _, sh := range d.shelves {
-		if !sh.away {
-			held += sh.tokens
-			room += sh.store.Room
-			parts += len(sh.parts)
+	for _, st := range d.stores {
+		if !st.unreachable {
+			held += st.tokens
+			capacity += st.store.Room
+			parts += len(st.parts)
 		}
 	}
 
-	return held, room, parts
+	return held, capacity, parts
 }
--- a/vault/epoch_test.go
+++ b/vault/epoch_test.go
@@ -98,7 +98,7 @@
 
 // pollStore returns the store's answer to process i.
 func (s *epochSimulation) pollStore(i int) message {
-	next, ok := s.directories[i].Position(storeAddress)
+	next, ok := s.directories[i].NextEvent(storeAddress)
 	if !ok {
 		l := &Listing{Epoch: s.store.epoch, Next: int64(len(s.store.events)), Clock: s.clock}
 		for p := range s.store.held {
@@ -179,8 +179,8 @@
 	s.grants = append(s.grants, grant{p, s.clock, c.FetchUntil})
 }
 
-// Guards against fetches of contexts that are being saved again in a restarted store,
-// granted by processes that do not know of the restart.
+// Guards against fetches of parts that are being saved again in a restarted store, granted by
+// processes that do not know of the restart.
 func TestContextsSavedAgainAfterRestartAreNotFetched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEpochSimulation()
@@ -204,8 +204,8 @@
 					s.inbox[i] = s.inbox[i][1:]
 				}
 			},
-			"a context is saved":   func(t *rapid.T) { s.save(t, part.Draw(t, "part")) },
-			"a context is fetched": func(t *rapid.T) { s.fetch(t, process.Draw(t, "process"), part.Draw(t, "part")) },
+			"a part is saved":   func(t *rapid.T) { s.save(t, part.Draw(t, "part")) },
+			"a part is fetched": func(t *rapid.T) { s.fetch(t, process.Draw(t, "process"), part.Draw(t, "part")) },
 		})
 	})
 }
@@ -214,12 +214,12 @@
 // ended, and against never saving to it again.
 func TestRestartedStoreIsSavedToAfterEarlierFetchesEnd(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
-	p := held("a", 2000)
+	d := newTestDirectory(t, now)
+	p := newHeld("a", 2000)
 
 	clock := func(at time.Time) int64 { return 1000 + at.Sub(now.Add(-epochGrace-freeMargin)).Milliseconds() }
 	d.Follow(now, "large", Events{Epoch: 2, Clock: clock(now)})
-	d.Lose("quick")
+	d.MarkUnreachable("quick")
 	d.Learn(now, "large", Listing{Epoch: 2})
 
 	tests := []struct {
@@ -241,8 +241,8 @@
 // known.
 func TestStoreWithUncertainEpochIsNotFetchedFrom(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
-	p := held("a", 2000)
+	d := newTestDirectory(t, now)
+	p := newHeld("a", 2000)
 	clock, _ := d.Clock(now)
 	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Clock: clock, Events: []Event{{Held: p, Added: true}}})
 
@@ -250,7 +250,7 @@
 		after      time.Duration
 		fetchUntil time.Duration // after now; zero if no fetch is granted
 	}{
-		{0, MaxFetch}, {time.Second, epochGrace}, {epochGrace - minFetch, epochGrace}, {epochGrace, 0},
+		{0, MaxFetch}, {time.Second, epochGrace}, {epochGrace - minFetchTime, epochGrace}, {epochGrace, 0},
 	}
 
 	for _, tt := range tests {
--- a/vault/others_test.go
+++ b/vault/peers_test.go
@@ -12,24 +12,24 @@
 	"github.com/go-logr/logr"
 )
 
-// tellers are processes that follow the stores for all.
-type tellers struct {
+// fakeReporters are two processes that follow the stores for all others.
+type fakeReporters struct {
 	fakePeers
 
-	mu    sync.Mutex
-	dead  map[string]bool
-	away  bool           // they follow the stores, but the stores do not answer
-	asked map[string]int // questions
-	knows map[string]bool
+	mu                sync.Mutex
+	dead              map[string]bool
+	storesUnreachable bool           // they follow the stores, but the stores do not answer
+	asks              map[string]int // calls of Ask, by process
+	reachable         map[string]bool
 }
 
-func (*tellers) Watchers() ([]string, bool) { return []string{"one", "two"}, false }
+func (*fakeReporters) Watchers() ([]string, bool) { return []string{"one", "two"}, false }
 
-func (p *tellers) Ask(_ context.Context, peer string, positions []Position) ([]Update, error) {
+func (p *fakeReporters) Ask(_ context.Context, peer string, positions []Position) ([]Update, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.asked[peer]++
+	p.asks[peer]++
 
 	if p.dead[peer] {
 		return nil, errLogDown
@@ -38,14 +38,14 @@
 	var all []Update
 
 	for _, x := range positions {
-		x.Teller = 1
-		all = append(all, Update{Position: x, Watched: p.knows[x.Address] && !p.away, Away: p.away, Epoch: 1, Whole: true})
+		x.Reporter = 1
+		all = append(all, Update{Position: x, Watched: p.reachable[x.Address] && !p.storesUnreachable, Unreachable: p.storesUnreachable, Epoch: 1, Snapshot: true})
 	}
 
 	return all, nil
 }
 
-func (p *tellers) kill(peers ...string) {
+func (p *fakeReporters) kill(peers ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -54,15 +54,15 @@
 	}
 }
 
-// countedStore counts the calls of the stores.
-type countedStore struct {
+// countingStore counts the calls of List, by address.
+type countingStore struct {
 	fakeStore
 
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-func (s *countedStore) List(ctx context.Context, address string) (Listing, error) {
+func (s *countingStore) List(ctx context.Context, address string) (Listing, error) {
 	s.mu.Lock()
 	s.calls[address]++
 	s.mu.Unlock()
@@ -70,17 +70,18 @@
 	return s.fakeStore.List(ctx, address)
 }
 
-// In a large fleet each entry would ask about hundreds of stores three times a second.
-// One question covers all of them. When those who follow the stores die, or don't
-// follow one, an entry asks the stores itself; otherwise all contexts would be read anew.
+// Guards against a request per store in each of three polls a second, since a large fleet has
+// hundreds of stores, and against losing stores that no process reports: all prompts would be
+// recomputed. A process therefore calls a store directly if the processes that follow the stores
+// are dead or do not follow that store.
 func TestOneQuestionCoversAllStores(t *testing.T) {
 	tests := []struct {
 		name string
 		dead []string
-		// direct are the stores that are asked then.
+		// direct are the stores that are called directly.
 		direct map[string]bool
 	}{
-		{"both live", nil, map[string]bool{"s3": true}},
+		{"both are alive", nil, map[string]bool{"s3": true}},
 		{"one is dead", []string{"one"}, map[string]bool{"s3": true}},
 		{"both are dead", []string{"one", "two"}, map[string]bool{"s1": true, "s2": true, "s3": true}},
 	}
@@ -91,8 +92,8 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 
-				peers := &tellers{dead: map[string]bool{}, asked: map[string]int{}, knows: map[string]bool{"s1": true, "s2": true}}
-				store := &countedStore{calls: map[string]int{}}
+				peers := &fakeReporters{dead: map[string]bool{}, asks: map[string]int{}, reachable: map[string]bool{"s1": true, "s2": true}}
+				store := &countingStore{calls: map[string]int{}}
 				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
 				w.Configure([]Store{{Address: "s1"}, {Address: "s2"}, {Address: "s3"}})
 
@@ -105,27 +106,27 @@
 
 				for _, address := range []string{"s1", "s2", "s3"} {
 					if got := store.calls[address] > 0; got != tt.direct[address] {
-						t.Errorf("%s: got it asked %v, want %v", address, got, tt.direct[address])
+						t.Errorf("%s: got direct calls %v, want %v", address, got, tt.direct[address])
 					}
 				}
 
-				const rounds = 16 // of 300 ms in four seconds, and some to spare
-				if got := peers.asked["one"]; got > rounds {
-					t.Errorf("got %d questions, want %d at most", got, rounds)
+				const rounds = 16 // of 300 ms in four seconds, with a margin
+				if got := peers.asks["one"]; got > rounds {
+					t.Errorf("got %d calls of Ask, want at most %d", got, rounds)
 				}
 			})
 		})
 	}
 }
 
-// countedTellers counts the calls of Watchers.
-type countedTellers struct {
-	tellers
+// countingReporters counts the calls of Watchers.
+type countingReporters struct {
+	fakeReporters
 
 	watchersCalls int
 }
 
-func (p *countedTellers) Watchers() ([]string, bool) {
+func (p *countingReporters) Watchers() ([]string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -140,15 +141,15 @@
 	for _, n := range []int{3, 60, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			peers := &countedTellers{tellers: tellers{asked: make(map[string]int), knows: make(map[string]bool)}}
-			source := &countedStore{calls: make(map[string]int)}
+			peers := &countingReporters{fakeReporters: fakeReporters{asks: make(map[string]int), reachable: make(map[string]bool)}}
+			source := &countingStore{calls: make(map[string]int)}
 
 			var stores []Store
 
 			for i := range n {
 				s := Store{Address: strconv.Itoa(i)}
 				stores = append(stores, s)
-				peers.knows[s.Address] = true
+				peers.reachable[s.Address] = true
 			}
 
 			w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
@@ -163,7 +164,7 @@
 			synctest.Wait()
 
 			// One more call at the start, and one for the signal of Configure.
-			if got, want := peers.watchersCalls, int(30*time.Second/peerEvery)+2; got > want {
+			if got, want := peers.watchersCalls, int(30*time.Second/peerPollInterval)+2; got > want {
 				t.Errorf("%d stores: got %d calls of Watchers in 30 s, want at most %d", n, got, want)
 			}
 
@@ -175,7 +176,7 @@
 }
 
 // refusingStore counts and refuses calls to List, as a store with too many open calls does.
-type refusingStore struct{ countedStore }
+type refusingStore struct{ countingStore }
 
 var errTooManyCalls = errors.New("too many calls")
 
@@ -195,21 +196,21 @@
 
 	tests := []struct {
 		name     string
-		setUp    func(p *tellers)
+		setUp    func(p *fakeReporters)
 		maxCalls int // by one process
 	}{
-		{"the processes that follow the store cannot reach it", func(p *tellers) { p.away = true }, 0},
-		{"the processes that follow the store are dead", func(p *tellers) { p.dead = map[string]bool{"one": true, "two": true} }, 10},
+		{"the processes that follow the store cannot reach it", func(p *fakeReporters) { p.storesUnreachable = true }, 0},
+		{"the processes that follow the store are dead", func(p *fakeReporters) { p.dead = map[string]bool{"one": true, "two": true} }, 10},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				peers := &tellers{asked: make(map[string]int), knows: make(map[string]bool)}
+				peers := &fakeReporters{asks: make(map[string]int), reachable: make(map[string]bool)}
 				tt.setUp(peers)
 
-				source := &refusingStore{countedStore{calls: make(map[string]int)}}
+				source := &refusingStore{countingStore{calls: make(map[string]int)}}
 				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
 				w.Configure([]Store{{Address: "s"}})
 
@@ -229,23 +230,23 @@
 	}
 }
 
-// hangingTellers are tellers of which some never answer, so that calls to them time out.
-type hangingTellers struct {
-	tellers
+// hangingReporters are reporters of which some never answer, so that calls to them time out.
+type hangingReporters struct {
+	fakeReporters
 
 	hanging map[string]bool
 }
 
 const askTimeout = 400 * time.Millisecond
 
-func (p *hangingTellers) Ask(ctx context.Context, peer string, positions []Position) ([]Update, error) {
+func (p *hangingReporters) Ask(ctx context.Context, peer string, positions []Position) ([]Update, error) {
 	if p.hanging[peer] {
 		time.Sleep(askTimeout)
 
 		return nil, context.DeadlineExceeded
 	}
 
-	return p.tellers.Ask(ctx, peer, positions)
+	return p.fakeReporters.Ask(ctx, peer, positions)
 }
 
 // Guards against an unresponsive peer delaying updates until they are too old to be passed on,
@@ -253,8 +254,8 @@
 func TestProcessServesOthersWhileAPeerHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		peers := &hangingTellers{tellers{asked: make(map[string]int), knows: map[string]bool{"s": true}}, map[string]bool{"one": true}}
-		source := &countedStore{calls: make(map[string]int)}
+		peers := &hangingReporters{fakeReporters{asks: make(map[string]int), reachable: map[string]bool{"s": true}}, map[string]bool{"one": true}}
+		source := &countingStore{calls: make(map[string]int)}
 		d := NewDirectory(2)
 		w := NewWatcher(WatcherConfig{Directory: d, Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
 		w.Configure([]Store{{Address: "s"}})
--- a/vault/share.go
+++ b/vault/share.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// Position is how far a process has followed what another one knows of a store.
+// Position is how far a process has followed another process's updates on a store.
 type Position struct {
-	// Address is the store's.
+	// Address is the store's address.
 	Address string `cbor:"1,keyasint"`
-	// Teller is the start of the process that told, Sequence its last change.
-	Teller   int64  `cbor:"2,keyasint"`
+	// Reporter is the incarnation of the process that sent the updates, and Sequence the
+	// number of its last change.
+	Reporter int64  `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
 }
 
-// Update is what one process tells another of a store.
+// Update is what one process reports to another about a store.
 type Update struct {
 	Position
-	// Watched is set if the teller follows the store, directly or through another process,
+	// Watched is set if the reporter follows the store, directly or through another process,
 	// and the store answers.
 	Watched bool `cbor:"4,keyasint"`
-	// Epoch is the store's.
+	// Epoch is the store's epoch.
 	Epoch int64 `cbor:"5,keyasint"`
-	// Whole says that Events tell of all parts; otherwise they are changes, in order.
-	Whole  bool    `cbor:"6,keyasint"`
-	Events []Event `cbor:"7,keyasint"`
-	// Away is set if the teller follows the store, directly or through another process,
-	// and the store does not answer.
-	Away bool `cbor:"8,keyasint,omitempty"`
-	// Clock is the engines' clock in ms, never ahead of it.
+	// Snapshot is set if Events hold all parts; otherwise they are the changes since the
+	// receiver's position, in order.
+	Snapshot bool    `cbor:"6,keyasint"`
+	Events   []Event `cbor:"7,keyasint"`
+	// Unreachable is set if the reporter follows the store, directly or through another
+	// process, and the store does not answer.
+	Unreachable bool `cbor:"8,keyasint,omitempty"`
+	// Clock is the engines' clock in ms, never ahead of it; zero if the reporter does not
+	// know it.
 	Clock int64 `cbor:"9,keyasint"`
 	// EpochFirstSeen and EpochLastSeen are when the store was first and last known to be
 	// in Epoch, on the engines' clock in ms; zero if unknown.
@@ -36,19 +39,19 @@
 	EpochLastSeen  int64 `cbor:"11,keyasint"`
 }
 
-// keptChanges is how many changes of a store are kept for others to follow. At a
-// few hundred parts a second that change after new weights, it covers several
-// questions; who is further behind gets everything.
+// keptChanges is how many changes of a store are kept for other processes. A few hundred
+// parts a second change after new weights, so this covers several polls. Processes that are
+// further behind get all parts.
 const keptChanges = 512
 
-// changes are the last changes of a shelf.
-type changes struct {
-	sequence uint64 // of the newest
+// changeLog holds the most recent changes of a store.
+type changeLog struct {
+	sequence uint64 // of the newest change
 	kept     []Event
 }
 
-// note keeps a change.
-func (c *changes) note(e Event) {
+// record appends a change and trims the log.
+func (c *changeLog) record(e Event) {
 	c.sequence++
 	c.kept = append(c.kept, e)
 
@@ -57,15 +60,14 @@
 	}
 }
 
-// forget makes all others start anew.
-func (c *changes) forget() {
+// reset discards all changes, so that other processes get all parts in the next update.
+func (c *changeLog) reset() {
 	c.sequence++
 	c.kept = nil
 }
 
-// since returns the changes after a sequence number; ok is false when they are no
-// longer kept.
-func (c *changes) since(sequence uint64) (events []Event, ok bool) {
+// since returns the changes after a sequence number, and false if they are not kept.
+func (c *changeLog) since(sequence uint64) (events []Event, ok bool) {
 	if sequence > c.sequence || c.sequence-sequence > uint64(len(c.kept)) {
 		return nil, false
 	}
@@ -73,7 +75,7 @@
 	return c.kept[uint64(len(c.kept))-(c.sequence-sequence):], true
 }
 
-// Tell returns what changed since the positions.
+// Tell returns the updates since the positions, one for each position.
 func (d *Directory) Tell(now time.Time, positions []Position) []Update {
 	clock, known := d.Clock(now)
 	if !known {
@@ -86,13 +88,13 @@
 	updates := make([]Update, 0, len(positions))
 
 	for _, p := range positions {
-		u := Update{Position: Position{Address: p.Address, Teller: d.started}, Clock: clock}
+		u := Update{Position: Position{Address: p.Address, Reporter: d.incarnation}, Clock: clock}
 
-		if sh := d.shelves[p.Address]; sh != nil && sh.follows(now) {
-			if sh.known && !sh.away {
-				sh.tell(&u, p, d.started)
+		if st := d.stores[p.Address]; st != nil && st.follows(now) {
+			if st.listed && !st.unreachable {
+				st.fillUpdate(&u, p, d.incarnation)
 			} else {
-				u.Away = sh.away
+				u.Unreachable = st.unreachable
 			}
 		}
 
@@ -102,22 +104,22 @@
 	return updates
 }
 
-// maxPeerUpdateAge bounds the age of updates from another process that are passed on.
-const maxPeerUpdateAge = 2 * peerEvery
+// maxPeerUpdateAge is the maximum age of updates from another process that are passed on.
+const maxPeerUpdateAge = 2 * peerPollInterval
 
 // follows reports whether this process follows the store, directly or through another process.
-func (s *shelf) follows(now time.Time) bool {
+func (s *storeState) follows(now time.Time) bool {
 	return s.direct || s.callFailed || now.Sub(s.peerUpdateAt) < maxPeerUpdateAge
 }
 
-// tell fills in an update.
-func (s *shelf) tell(u *Update, p Position, started int64) {
+// fillUpdate fills in an update since a position.
+func (s *storeState) fillUpdate(u *Update, p Position, incarnation int64) {
 	u.Watched, u.Epoch, u.Sequence = true, s.epoch, s.changes.sequence
 	u.EpochFirstSeen, u.EpochLastSeen = s.epochFirstSeen, s.epochLastSeen
 
 	events, ok := s.changes.since(p.Sequence)
-	if p.Teller != started || !ok {
-		u.Whole = true
+	if p.Reporter != incarnation || !ok {
+		u.Snapshot = true
 
 		for part, tokens := range s.parts {
 			u.Events = append(u.Events, Event{Held: Held{Part: part, Tokens: tokens}, Added: true})
@@ -129,22 +131,22 @@
 	u.Events = slices.Clone(events)
 }
 
-// Followed returns how far this process has followed what another one told.
+// Followed returns how far this process has followed other processes' updates on a store.
 func (d *Directory) Followed(address string) Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	p := Position{Address: address}
-	if sh := d.shelves[address]; sh != nil {
-		p = sh.followed
+	if st := d.stores[address]; st != nil {
+		p = st.peerPosition
 		p.Address = address
 	}
 
 	return p
 }
 
-// Adopt takes what another process tells of a store. It returns false when that
-// one doesn't follow the store or gets no answer from it.
+// Adopt applies an update from another process. It returns false if that process does not
+// follow the store or gets no answer from it, or if the store is not configured here.
 func (d *Directory) Adopt(now time.Time, u Update) bool {
 	if !u.Watched {
 		return false
@@ -155,32 +157,32 @@
 
 	d.setClock(now, u.Clock)
 
-	sh := d.shelves[u.Address]
-	if sh == nil {
+	st := d.stores[u.Address]
+	if st == nil {
 		return false
 	}
 
-	if u.Whole {
-		clear(sh.parts)
-		sh.tokens, sh.short = 0, 0
-		sh.changes.forget()
+	if u.Snapshot {
+		clear(st.parts)
+		st.tokens, st.shortTokens = 0, 0
+		st.changes.reset()
 	}
 
-	sh.apply(u.Events)
+	st.apply(u.Events)
 
-	sh.observeEpoch(u.Epoch, u.EpochFirstSeen, u.EpochLastSeen)
-	sh.known, sh.away, sh.direct, sh.callFailed = true, false, false, false
-	sh.followed, sh.peerUpdateAt = u.Position, now
+	st.observeEpoch(u.Epoch, u.EpochFirstSeen, u.EpochLastSeen)
+	st.listed, st.unreachable, st.direct, st.callFailed = true, false, false, false
+	st.peerPosition, st.peerUpdateAt = u.Position, now
 
 	return true
 }
 
-// AdoptAway records that a store does not answer the processes that follow it.
-func (d *Directory) AdoptAway(now time.Time, address string) {
+// ApplyUnreachableReport records that a store does not answer the processes that follow it.
+func (d *Directory) ApplyUnreachableReport(now time.Time, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if sh := d.shelves[address]; sh != nil {
-		sh.away, sh.direct, sh.callFailed, sh.peerUpdateAt = true, false, false, now
+	if st := d.stores[address]; st != nil {
+		st.unreachable, st.direct, st.callFailed, st.peerUpdateAt = true, false, false, now
 	}
 }
--- a/vault/store.go
+++ b/vault/store.go
@@ -4,31 +4,32 @@
 	"time"
 )
 
-// Store is a store as operators configured it.
+// Store is the configuration of a store.
 type Store struct {
-	// Address is where engines reach it.
+	// Address is the address at which engines reach it.
 	Address string
-	// DataCentre is where it stands.
+	// DataCentre is the data centre that it runs in.
 	DataCentre string
-	// Room is how many tokens it holds.
+	// Room is its capacity in tokens.
 	Room int
-	// FirstByte is the wait before each transfer.
+	// FirstByte is the latency before the first byte of each transfer.
 	FirstByte time.Duration
-	// TokensPerMs is how fast its link carries parts within a data centre; zero
-	// takes it for infinitely fast.
+	// TokensPerMs is the rate of its link within a data centre; with zero, transfers
+	// take no time.
 	TokensPerMs float64
 }
 
-// farTransfer is how many times longer a transfer between data centres takes.
-const farTransfer = 2
+// remoteTransferFactor is how many times longer a transfer between data centres takes.
+const remoteTransferFactor = 2
 
-// transfer returns how long the store's link is taken by a transfer.
+// transfer returns how long a transfer occupies the store's link.
 func (s Store) transfer(tokens int, near bool) time.Duration {
 	return s.FirstByte + Transfer(tokens, s.TokensPerMs, near)
 }
 
-// Transfer returns how long a link of so many tokens a ms is taken by a transfer,
-// within a data centre or between two; nothing when its speed isn't known.
+// Transfer returns how long a transfer occupies a link with a rate of tokensPerMs. Near is
+// set for a transfer within a data centre. The result is zero if the rate is not known,
+// that is, not positive.
 func Transfer(tokens int, tokensPerMs float64, near bool) time.Duration {
 	if tokensPerMs <= 0 {
 		return 0
@@ -36,39 +37,41 @@
 
 	ms := float64(tokens) / tokensPerMs
 	if !near {
-		ms *= farTransfer
+		ms *= remoteTransferFactor
 	}
 
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// quick reports whether the store suits short parts, for which the wait before a
-// transfer is most of its time.
-func (s Store) quick() bool { return s.FirstByte < quickFirstByte }
+// lowLatency reports whether the store suits short parts, whose transfer time is mostly the
+// latency before the first byte.
+func (s Store) lowLatency() bool { return s.FirstByte < lowLatencyFirstByte }
 
 const (
-	// quickFirstByte separates stores of two makes: half a millisecond and six.
-	quickFirstByte = 2 * time.Millisecond
-	// longPart is the length from which a part is long. Reading a long one again
-	// holds its engine up for as long as fifty short ones.
-	longPart = 1000
-	// shortRoom is the part of a quick store's room that short parts may take: the
-	// rest is for long ones that find no room in the others.
-	shortRoom = 0.6
+	// lowLatencyFirstByte separates the two kinds of stores in use, with latencies of
+	// 0.5 ms and 6 ms.
+	lowLatencyFirstByte = 2 * time.Millisecond
+	// longPartTokens is the length from which a part is long. Recomputing a long part
+	// occupies its engine for as long as recomputing fifty short ones.
+	longPartTokens = 1000
+	// shortPartShare is the share of a low-latency store's capacity that short parts may
+	// use. The rest is for long parts that do not fit in the other stores.
+	shortPartShare = 0.6
 )
 
-// Copy is a part that may be fetched.
+// Copy is a copy of a part that an engine may fetch.
 type Copy struct {
-	// Address is the store's.
+	// Address is the address to fetch it from: a store's, or that of an engine that has the
+	// part in its memory.
 	Address string
-	// Tokens is the part's length.
+	// Tokens is the length of the part.
 	Tokens int
 	// FetchUntil is the time on the engines' clock, in ms, by which a fetch of the copy
 	// must end; zero sets no limit other than MaxFetch.
 	FetchUntil int64
-	// Near says that the store is in the engine's data centre.
+	// Near is set if Address is in the data centre of the fetching engine.
 	Near bool
-	// Wait is how long its link is expected to be taken by transfers before this
-	// one, Transfer how long by this one.
+	// Wait is how long earlier transfers are expected to occupy the link, and Transfer how
+	// long this one will.
 	Wait, Transfer time.Duration
 }
--- a/vault/vault.go
+++ b/vault/vault.go
@@ -1,39 +1,39 @@
-// Package vault knows which contexts the stores beside the engines keep, and
-// when one may be fetched, saved or freed.
+// Package vault tracks which parts of prompts' KV caches the stores hold, and decides when
+// a part may be fetched, saved or freed.
 //
 // # Model
 //
-// The stores drop nothing by themselves and don't know who reads from them. A
-// context that is freed while an engine fetches it would give that engine a
-// broken context, so this package frees nothing that anybody may still fetch:
+// Stores evict nothing by themselves and do not know which engines read from them. An
+// engine that fetches a part while it is freed would get corrupt KV cache, so this
+// package frees nothing that a process may still fetch:
 //
-//   - A context belongs to a Scope: model, weight version and, for isolated
-//     organisations, the organisation. Only contexts of replaced weight versions
-//     are freed.
-//   - A process fetches a context of a version only until a grace time after it
-//     last surely knew that no newer version was named (Part.Right). A fetch that
-//     was granted ends by itself at a time that goes with it.
-//   - A process frees a context only when its grace time and the longest fetch
-//     have passed since it learned of a newer version (Part.FreeAfter). Whoever
-//     did not know of it by then has lost its right to fetch.
-//   - Grace times are short, so that room comes free, and would end in an outage of
-//     the log. So a process registers in the log before it makes use of a longer
-//     one, and whoever frees asks all that are registered first: one that read the
-//     log before the newer version was named stands in the register that is read
-//     after it.
+//   - A part belongs to a Scope: model, weight version and, for isolated organisations,
+//     the organisation. Only parts of replaced weight versions are freed.
+//   - A process allows fetches of a version's parts only until a grace period after the
+//     last time at which it was certain that no newer version was announced (Part.Right).
+//     Each granted fetch carries a deadline, at which the engine discards it.
+//   - A process frees a part only when its grace period and the longest fetch have passed
+//     since the process learned of a newer version (Part.FreeAfter). By then, processes
+//     that do not know of the newer version may no longer fetch the part.
+//   - Grace periods are short, so that space is freed soon, and would expire during an
+//     outage of the log service. A process therefore registers in the log before it uses
+//     a longer grace period, and a process that frees parts first asks all registered
+//     processes whether they know the newer version. The register, read after the
+//     announcement, lists every process that may use the longer period, since each
+//     registered before it last read the log without the newer version.
 //   - A store may restart and lose everything. A process fetches from it only until a
-//     grace time after the store was last known to be in its epoch. It saves nothing in
-//     a new epoch until every process that does not know of it has lost its right to
-//     fetch.
+//     grace period after the store was last known to be in its epoch. It saves nothing in
+//     a new epoch until all processes that do not know of that epoch may no longer fetch.
 //
-// So it doesn't matter how many processes free, or which of them are cut off.
+// Parts are therefore safe from early freeing no matter how many processes free them, or
+// which processes are partitioned.
 //
-// A Directory learns from the stores' events, late and with gaps. Whatever it
-// gets wrong is a miss: the engine then reads the prompt.
+// A Directory learns from the stores' events, which may be late or missing. Stale
+// knowledge only causes misses: the engine then prefills the prompt.
 //
 // # Example
 //
-//	d := vault.NewDirectory()
+//	d := vault.NewDirectory(time.Now().UnixNano())
 //	d.Learn(now, address, listing)
 //	if c, ok := d.Find(now, part, "yvr-east"); ok { … }
 package vault
@@ -46,32 +46,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Scope says who may use a cached part: only requests with the same model, weight
-// version and wall.
+// Scope limits which requests may use a cached part: only those with the same model,
+// weight version and Wall.
 type Scope struct {
-	// Model is the model's name.
+	// Model is the name of the model.
 	Model string
 	// Version is its weight version.
 	Version int64
-	// Wall is the organisation whose parts nobody else may use; empty for those
-	// that all others share.
+	// Wall is the isolated organisation that alone may use the part; empty for parts
+	// that all other organisations share.
 	Wall string
 }
 
-// Salt returns the text under which engines and stores keep the parts of the
-// scope.
+// Salt returns the cache salt with which engines and stores keep the parts of the scope.
 func (s Scope) Salt() string {
 	return s.Model + "/" + strconv.FormatInt(s.Version, 10) + "/" + s.Wall
 }
 
-// ParseSalt reads what Salt wrote.
+// ParseSalt returns the scope of a text that Salt returned, and false for any other text.
 func ParseSalt(salt string) (Scope, bool) {
 	model, rest, ok := strings.Cut(salt, "/")
 	if !ok {
 		return Scope{}, false
 	}
 
-	version, wall, ok := strings.Cut(rest, "/")
+	version, organisation, ok := strings.Cut(rest, "/")
 	if !ok {
 		return Scope{}, false
 	}
@@ -81,119 +80,121 @@
 		return Scope{}, false
 	}
 
-	return Scope{Model: model, Version: v, Wall: wall}, true
+	return Scope{Model: model, Version: v, Wall: organisation}, true
 }
 
-// Part is one part of a prompt as a store keeps it.
+// Part identifies one part of a prompt's KV cache in a store.
 type Part struct {
-	// Salt is the scope's salt.
+	// Salt is the salt of its scope.
 	Salt string `cbor:"1,keyasint"`
-	// ID is the part's id.
+	// ID is its id within the scope.
 	ID string `cbor:"2,keyasint"`
 }
 
-// Held is a part that a store holds whole.
+// Held is a part that a store holds completely.
 type Held struct {
 	Part
-	// Tokens is its length.
+	// Tokens is its length in tokens.
 	Tokens int `cbor:"3,keyasint"`
 }
 
-// Event is one change of what a store holds.
+// Event is one change of the parts that a store holds.
 type Event struct {
 	Held
-	// Added says that the part is there now; otherwise it is gone.
+	// Added is set if the part is held now; otherwise it no longer is.
 	Added bool `cbor:"4,keyasint"`
 }
 
-// Events is the answer to the question what changed.
+// Events is a store's answer to a request for changes.
 type Events struct {
-	// Epoch is new at each start of the store.
+	// Epoch identifies the start of the store; each start has a new one.
 	Epoch int64
-	// Next is where to go on.
+	// Next is the sequence number from which to request further events.
 	Next int64
-	// Lost says that events before these are missing.
+	// Lost is set if events before these are missing.
 	Lost bool
-	// Clock is the engines' clock in ms, zero when not told.
+	// Clock is the engines' clock in ms; zero if the answer does not report it.
 	Clock int64
-	// Events are in order.
+	// Events are the changes, in order.
 	Events []Event
 }
 
-// Listing is all that a store holds.
+// Listing is the full list of the parts that a store holds.
 type Listing struct {
 	// Epoch, Next and Clock are as in Events.
 	Epoch, Next, Clock int64
-	// Held are the parts that are whole.
+	// Held are the parts that the store holds completely.
 	Held []Held
 }
 
 // Timing of fetches and frees.
 const (
-	// graceLeast and graceMost bound how long after a process surely knew that a
-	// version was the newest it may still fetch contexts of it. What it knows is
-	// two long polls of the log old at most, 2 s, while the log answers. Parts
-	// differ, so that the room of replaced contexts comes free bit by bit while
-	// engines change over to the new weights, which takes some seven seconds: all
-	// at once would leave either the engines that have yet to change without
-	// contexts, or those that have without room to keep new ones.
-	graceLeast = 2500 * time.Millisecond
-	graceMost  = 7000 * time.Millisecond
-	// MaxFetch is how long a fetch may take before the engine throws it away. The
-	// largest context takes 0.3 s between data centres, with a few others before it,
-	// and the request may wait for its engine first.
+	// minGrace and maxGrace bound how long a process may still fetch a version's parts after
+	// it was last certain that the version was the newest. While the log service answers,
+	// that was at most two long polls, 2 s, ago. The period differs between parts, so that
+	// the space of replaced parts is freed gradually while engines load the new weights,
+	// which takes about 7 s. Freeing all at once would leave either the engines that have
+	// yet to reload without parts, or those that have reloaded without space to save new
+	// ones.
+	minGrace = 2500 * time.Millisecond
+	maxGrace = 7000 * time.Millisecond
+	// MaxFetch is how long a fetch may take before the engine discards it. The largest
+	// prompt takes 0.3 s between data centres, a few other transfers may precede it, and the
+	// request may first wait for its engine.
 	MaxFetch = 2000 * time.Millisecond
-	// MostWait is how long a transfer may wait for links; one that would wait longer
-	// isn't started, and the engine reads the prompt.
-	MostWait = 2 * time.Second
+	// MaxLinkWait is how long a transfer may wait for a link. One that would wait longer
+	// is not started, and the engine prefills the prompt instead.
+	MaxLinkWait = 2 * time.Second
 	// epochGrace is how long engines may fetch from a store after it was last known to be
 	// in its epoch. Nothing is saved in a new epoch until epochGrace and freeMargin have
 	// passed since it was first known: an engine whose process does not know of the
-	// restart could otherwise fetch a context that is only partly saved. In normal
-	// operation, what entries know of a store is at most 1.8 s old: one event call and
-	// two polls between entries.
+	// restart could otherwise fetch a part that is only partly saved. In normal
+	// operation, what processes know of a store is at most 1.8 s old: one event call and
+	// two polls between processes.
 	epochGrace = 3 * time.Second
-	// minFetch is the least time that must be left for a fetch to be granted.
-	minFetch = 300 * time.Millisecond
-	// freeMargin is for what clocks and messages differ by.
+	// minFetchTime is the minimum time to its deadline for a fetch to be granted.
+	minFetchTime = 300 * time.Millisecond
+	// freeMargin allows for clock differences and message delays.
 	freeMargin = 300 * time.Millisecond
 )
 
-// grace returns how long a part may be fetched after its version was surely the
-// newest. All processes agree on it.
+// grace returns how long a part may be fetched after its version was last certain to be the
+// newest. It is a function of the part's id, so that all processes use the same value.
 func (p Part) grace() time.Duration {
 	const steps = 1024
 
 	step := time.Duration(xxhash.Sum64String("grace|"+p.ID) % steps)
 
-	return graceLeast + (graceMost-graceLeast)*step/steps
+	return minGrace + (maxGrace-minGrace)*step/steps
 }
 
-// LongGrace is how long a registered process may fetch contexts of a version that it
-// takes for the newest. An outage of the log lasts some seconds; without it all
-// contexts would be read anew meanwhile.
-const LongGrace = 15 * time.Second
-
-// Right reports whether the part may be fetched at now, when the process last
-// surely knew at current that no newer version was named. Asked says that the
-// process is registered and knows of no newer version, so that nothing is freed
-// before it was asked, or LongGrace has passed.
-func (p Part) Right(now, current time.Time, asked bool) bool {
+// RegisteredGrace is how long a registered process may fetch parts of the version that is
+// the newest to its knowledge. It bridges outages of the log service, which last some
+// seconds and during which all prompts would otherwise be recomputed.
+const RegisteredGrace = 15 * time.Second
+
+// Right reports whether the part may be fetched at now. NewestAt is the last time at which
+// the process was certain that no newer version was announced; zero means never.
+// Registered is set if the process is registered and knows of no newer version: nothing
+// is then freed before the process has confirmed the newer version or RegisteredGrace has
+// passed.
+func (p Part) Right(now, newestAt time.Time, registered bool) bool {
 	g := p.grace()
-	if asked {
-		g = LongGrace
+	if registered {
+		g = RegisteredGrace
 	}
 
-	return !current.IsZero() && now.Before(current.Add(g))
+	return !newestAt.IsZero() && now.Before(newestAt.Add(g))
 }
 
-// FreeAfter returns how long after learning of a newer version the part is freed.
-// Answered says that every registered process has answered that it knows the newer
-// version; who has not registered, or was not reached, loses its right by time.
-func (p Part) FreeAfter(answered bool) time.Duration {
+// FreeAfter returns how long after learning of a newer version a process frees the part.
+// Confirmed is set if every registered process has answered that it knows the newer
+// version. For processes that have not registered or could not be reached, the right to
+// fetch expires by time.
+func (p Part) FreeAfter(confirmed bool) time.Duration {
 	g := p.grace()
-	if !answered {
-		g = LongGrace
+	if !confirmed {
+		g = RegisteredGrace
 	}
 
 	return g + MaxFetch + freeMargin
--- a/vault/vault_test.go
+++ b/vault/vault_test.go
@@ -8,68 +8,67 @@
 	"pgregory.net/rapid"
 )
 
-// seen returns the last look, up to a time, that shows no newer version, and the
-// first that shows it; -1 for none.
-func seen(looks []int64, named, until int64) (before, known int64) {
-	before, known = -1, -1
+// splitReads returns the last read, up to a time, that shows no newer version, and the first
+// that shows it; -1 for none.
+func splitReads(reads []int64, replacedAt, until int64) (lastOld, firstNew int64) {
+	lastOld, firstNew = -1, -1
 
-	for _, l := range looks {
+	for _, read := range reads {
 		switch {
-		case l > until:
-		case l < named:
-			before = max(before, l)
-		case known < 0 || l < known:
-			known = l
+		case read > until:
+		case read < replacedAt:
+			lastOld = max(lastOld, read)
+		case firstNew < 0 || read < firstNew:
+			firstNew = read
 		}
 	}
 
-	return before, known
+	return lastOld, firstNew
 }
 
-// TestNothingIsFreedThatMayStillBeFetched draws processes that learn of new weight
-// versions early, late or not at all, fetch contexts while they may, and free
-// what was replaced. A context that is freed while an engine fetches it is
-// broken, and the caller gets an answer made from somebody else's memory.
+// Guards against freeing a part while an engine fetches it: the engine would get corrupt KV
+// cache, and the caller an answer computed from another prompt's. The processes learn of new
+// weight versions early, late or not at all.
 func TestNothingIsFreedThatMayStillBeFetched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
-		named := rapid.Int64Range(0, 20_000).Draw(t, "named at ms")
+		replacedAt := rapid.Int64Range(0, 20_000).Draw(t, "replaced at ms")
 		part := Part{Salt: Scope{Model: "m", Version: 1}.Salt(), ID: fmt.Sprint(rapid.Uint32().Draw(t, "part"))}
 		at := func(ms int64) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-		// A process looks at the log at some times; what it sees is true then.
-		looks := rapid.SliceOfN(rapid.Int64Range(0, 40_000), 0, 8).Draw(t, "looks at ms")
+		// A process reads the log at some times. What it reads is current at that time.
+		reads := rapid.SliceOfN(rapid.Int64Range(0, 40_000), 0, 8).Draw(t, "reads at ms")
 		fetch := rapid.Int64Range(0, 60_000).Draw(t, "fetches at ms")
 
-		before, known := seen(looks, named, fetch)
+		lastOld, firstNew := splitReads(reads, replacedAt, fetch)
 
-		current := time.Time{}
-		if before >= 0 {
-			current = at(before)
+		newestAt := time.Time{}
+		if lastOld >= 0 {
+			newestAt = at(lastOld)
 		}
 
-		// The process registers at some time. Whoever frees reads the register when the
-		// version is named, and asks those that stand there until they know.
-		registers := rapid.Int64Range(0, 60_000).Draw(t, "registers at ms")
+		// The process registers at some time. The process that frees parts reads the register
+		// when the version is announced, and asks the registered processes until they know it.
+		registeredAt := rapid.Int64Range(0, 60_000).Draw(t, "registers at ms")
 		reached := rapid.Bool().Draw(t, "reached")
-		listed := registers <= named
+		registered := registeredAt <= replacedAt
 
-		if listed && reached && (known < 0 || known > named) {
-			known = named
+		if registered && reached && (firstNew < 0 || firstNew > replacedAt) {
+			firstNew = replacedAt
 		}
 
-		asked := before >= registers && (known < 0 || known > fetch)
-		if !part.Right(at(fetch), current, asked) {
+		longGrace := lastOld >= registeredAt && (firstNew < 0 || firstNew > fetch)
+		if !part.Right(at(fetch), newestAt, longGrace) {
 			return
 		}
 
-		// Another process learned of the version the moment it was named, and frees
-		// as early as it ever may: without an answer only if nobody is registered.
-		freed := at(named).Add(part.FreeAfter(reached || !listed))
-		ends := at(fetch).Add(MaxFetch)
+		// Another process learned of the version immediately, and frees the part as early as it
+		// may: without an answer only if no process is registered.
+		freedAt := at(replacedAt).Add(part.FreeAfter(reached || !registered))
+		fetchEnd := at(fetch).Add(MaxFetch)
 
-		if ends.After(freed) {
-			t.Fatalf("a fetch granted at %d ms lasts until %v, freed at %v (named at %d ms, last look before at %d ms)", fetch, ends, freed, named, before)
+		if fetchEnd.After(freedAt) {
+			t.Fatalf("a fetch granted at %d ms lasts until %v, freed at %v (version replaced at %d ms, last read before at %d ms)", fetch, fetchEnd, freedAt, replacedAt, lastOld)
 		}
 	})
 }
@@ -79,11 +78,11 @@
 
 	for i := range 1000 {
 		p := Part{ID: fmt.Sprint(i)}
-		if p.grace() < graceLeast || p.grace() > graceMost {
-			t.Fatalf("grace %v out of bounds", p.grace())
+		if p.grace() < minGrace || p.grace() > maxGrace {
+			t.Fatalf("got grace %v, want it within its bounds", p.grace())
 		}
 
-		if p.grace() < (graceLeast+graceMost)/2 {
+		if p.grace() < (minGrace+maxGrace)/2 {
 			early++
 		} else {
 			late++
@@ -116,13 +115,13 @@
 	}
 }
 
-// stores are a large store and a quick one.
+// stores are a large store and a low-latency one.
 var stores = []Store{
 	{Address: "large", DataCentre: "east", Room: 20_000, FirstByte: 6 * time.Millisecond},
 	{Address: "quick", DataCentre: "west", Room: 10_000, FirstByte: 500 * time.Microsecond},
 }
 
-func open(t *testing.T, now time.Time) *Directory {
+func newTestDirectory(t *testing.T, now time.Time) *Directory {
 	t.Helper()
 
 	d := NewDirectory(1)
@@ -138,21 +137,23 @@
 	return d
 }
 
-func held(id string, tokens int) Held { return Held{Part: Part{Salt: "m/1/", ID: id}, Tokens: tokens} }
+func newHeld(id string, tokens int) Held {
+	return Held{Part: Part{Salt: "m/1/", ID: id}, Tokens: tokens}
+}
 
 func TestPlaceFillsLargeStoresWithLongParts(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
+	d := newTestDirectory(t, now)
 
 	tests := []struct {
 		part Held
 		want string
 	}{
-		{held("long-1", 12_000), "large"},
-		{held("long-2", 9_000), "quick"}, // the large one is full
-		{held("short-1", 500), "quick"},
-		{held("short-2", 600), ""}, // nowhere is room left
-		{held("long-1", 12_000), ""},
+		{newHeld("long-1", 12_000), "large"},
+		{newHeld("long-2", 9_000), "quick"}, // the large store is full
+		{newHeld("short-1", 500), "quick"},
+		{newHeld("short-2", 600), ""}, // no store has space left
+		{newHeld("long-1", 12_000), ""},
 	}
 
 	for _, tt := range tests {
@@ -162,15 +163,15 @@
 	}
 }
 
-// Short parts come by the thousand. Without a bound they would take all the room
-// of the quick stores, and long ones that find no other would be read again.
+// Guards against thousands of short parts that fill the low-latency stores, so that long parts
+// that fit in no other store have to be recomputed.
 func TestShortPartsLeaveRoomForLongOnes(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
+	d := newTestDirectory(t, now)
 	placed := 0
 
 	for i := range 100 {
-		h := held(fmt.Sprint(i), 500)
+		h := newHeld(fmt.Sprint(i), 500)
 		if a, ok := d.Place(now, h); ok {
 			d.Follow(now, a, Events{Epoch: 1, Next: int64(i), Events: []Event{{Held: h, Added: true}}})
 
@@ -178,17 +179,17 @@
 		}
 	}
 
-	if want := int(shortRoom * 10_000); placed != want {
+	if want := int(shortPartShare * 10_000); placed != want {
 		t.Errorf("got %d tokens of short parts, want %d", placed, want)
 	}
 }
 
-// A store restarts empty. Until its list is read again nothing may be taken to be
-// there: each fetch from it would be a miss that costs its caller time.
+// Guards against fetches of parts that a store held before a restart. A store is empty after a
+// restart, so each of these fetches is a miss that delays its caller.
 func TestRestartedStoreHoldsNothing(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
-	p := held("a", 2000)
+	d := newTestDirectory(t, now)
+	p := newHeld("a", 2000)
 	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
 
 	if _, ok := d.Find(now, p.Part, "east"); !ok {
@@ -196,38 +197,38 @@
 	}
 
 	if d.Follow(now, "large", Events{Epoch: 2, Next: 1}) {
-		t.Error("got the new epoch followed, want the list asked for")
+		t.Error("got the events of a new epoch applied, want the list requested")
 	}
 
 	if _, ok := d.Find(now, p.Part, "east"); ok {
-		t.Error("got a copy of the epoch before, want none")
+		t.Error("got a copy of the earlier epoch, want none")
 	}
 }
 
 func TestStoreThatDoesNotAnswerIsNotUsed(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
-	p := held("a", 2000)
+	d := newTestDirectory(t, now)
+	p := newHeld("a", 2000)
 	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
-	d.Lose("large")
+	d.MarkUnreachable("large")
 
 	if _, ok := d.Find(now, p.Part, "east"); ok {
-		t.Error("got a copy in a store that is away, want none")
+		t.Error("got a copy in an unreachable store, want none")
 	}
 
-	if a, _ := d.Place(now, held("b", 2000)); a != "quick" {
+	if a, _ := d.Place(now, newHeld("b", 2000)); a != "quick" {
 		t.Errorf("got %q, want quick", a)
 	}
 }
 
 func TestOnlyReplacedVersionsAreFreed(t *testing.T) {
 	now := time.Unix(100, 0)
-	d := open(t, now)
+	d := newTestDirectory(t, now)
 	parts := []Held{
 		{Part{Salt: Scope{Model: "m", Version: 1}.Salt(), ID: "a"}, 100},
 		{Part{Salt: Scope{Model: "m", Version: 2}.Salt(), ID: "b"}, 100},
 		{Part{Salt: Scope{Model: "n", Version: 1}.Salt(), ID: "c"}, 100},
-		{Part{Salt: "not ours", ID: "d"}, 100},
+		{Part{Salt: "other format", ID: "d"}, 100},
 	}
 
 	for i, p := range parts {
@@ -235,70 +236,70 @@
 	}
 
 	long := func(string) time.Duration { return time.Hour }
-	got := d.Replaced("m", 2, long, true, 10)
+	got := d.Freeable("m", 2, long, true, 10)
 
 	if len(got) != 1 || len(got[0].Parts) != 1 || got[0].Parts[0].ID != "a" {
-		t.Errorf("got %v, want a alone", got)
+		t.Errorf("got %v, want part a only", got)
 	}
 
-	soon := func(string) time.Duration { return graceLeast }
-	if got := d.Replaced("m", 2, soon, true, 10); len(got) != 0 {
-		t.Errorf("too early: got %v, want none", got)
+	soon := func(string) time.Duration { return minGrace }
+	if got := d.Freeable("m", 2, soon, true, 10); len(got) != 0 {
+		t.Errorf("before the grace period has passed: got %v, want none", got)
 	}
 
-	if got := d.Replaced("m", 2, func(string) time.Duration { return LongGrace }, false, 10); len(got) != 0 {
-		t.Errorf("not answered by all: got %v, want none", got)
+	if got := d.Freeable("m", 2, func(string) time.Duration { return RegisteredGrace }, false, 10); len(got) != 0 {
+		t.Errorf("not confirmed by all processes: got %v, want none", got)
 	}
 }
 
-// TestFollowersKnowWhatTheirTellerKnows draws changes of a store and questions of
-// another process at any time, also across restarts of store and teller. A part
-// that the follower believes in and the teller doesn't costs a miss each time.
+// Guards against updates that leave the receiver's parts different from the reporter's, at any
+// order of changes, polls and restarts of the store or the reporter. Each fetch of a part that
+// only the receiver knows is a miss.
 func TestFollowersKnowWhatTheirTellerKnows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		teller := NewDirectory(1)
-		teller.Configure(stores)
-		teller.Learn(now, "large", Listing{Epoch: 1, Clock: 5000})
+		reporter := NewDirectory(1)
+		reporter.Configure(stores)
+		reporter.Learn(now, "large", Listing{Epoch: 1, Clock: 5000})
 
 		follower := NewDirectory(2)
 		follower.Configure(stores)
 
-		epoch, next, started := int64(1), int64(0), int64(1)
+		epoch, next, incarnation := int64(1), int64(0), int64(1)
 		id := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				next++
-				teller.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: held(id.Draw(t, "id"), 200), Added: rapid.Bool().Draw(t, "added")}}})
+				reporter.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld(id.Draw(t, "id"), 200), Added: rapid.Bool().Draw(t, "added")}}})
 			},
 			"many changes": func(*rapid.T) {
 				for range 3 * keptChanges {
 					next++
-					teller.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: held("x", 200), Added: next%2 == 0}}})
+					reporter.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld("x", 200), Added: next%2 == 0}}})
 				}
 			},
 			"store restarts": func(*rapid.T) {
 				epoch++
-				teller.Follow(now, "large", Events{Epoch: epoch})
-				teller.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
+				reporter.Follow(now, "large", Events{Epoch: epoch})
+				reporter.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
 			},
-			"teller restarts": func(*rapid.T) {
-				started += 2
-				teller = NewDirectory(started)
-				teller.Configure(stores)
-				teller.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
+			"the reporter restarts": func(*rapid.T) {
+				incarnation += 2
+				reporter = NewDirectory(incarnation)
+				reporter.Configure(stores)
+				reporter.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
 			},
 			"ask": func(t *rapid.T) {
-				for _, u := range teller.Tell(now, []Position{follower.Followed("large")}) {
+				for _, u := range reporter.Tell(now, []Position{follower.Followed("large")}) {
 					if !follower.Adopt(now, u) {
-						t.Fatal("got the update refused")
+						t.Fatal("Adopt returned false, want the update applied")
 					}
 				}
 
-				got, want := follower.shelves["large"], teller.shelves["large"]
-				if len(got.parts) != len(want.parts) || got.tokens != want.tokens || got.short != want.short {
-					t.Fatalf("got %v (%d tokens, %d short), want %v (%d, %d)", got.parts, got.tokens, got.short, want.parts, want.tokens, want.short)
+				got, want := follower.stores["large"], reporter.stores["large"]
+				if len(got.parts) != len(want.parts) || got.tokens != want.tokens || got.shortTokens != want.shortTokens {
+					t.Fatalf("got %v (%d tokens, %d short), want %v (%d, %d)", got.parts, got.tokens, got.shortTokens, want.parts, want.tokens, want.shortTokens)
 				}
 
 				for p := range want.parts {
@@ -314,7 +315,7 @@
 func TestClockIsNeverAhead(t *testing.T) {
 	d := NewDirectory(1)
 	if _, ok := d.Clock(time.Unix(100, 0)); ok {
-		t.Error("got a clock before any was told")
+		t.Error("got a clock before any was reported")
 	}
 
 	d.Configure(stores)
@@ -325,33 +326,33 @@
 	}
 }
 
-// A store's link carries one transfer after another. Entries that don't count what
-// is promised on it send more than it carries; the transfers then wait for seconds
-// and are given up, and all that they were to bring is read again.
+// Guards against overloading a store's link, which carries one transfer at a time. Without
+// counting the transfers planned already, processes start more than the link can carry. Those
+// transfers wait for seconds and are discarded, and the prompts are recomputed.
 func TestPromisedTransfersMakeTheNextOneWait(t *testing.T) {
 	now := time.Unix(100, 0)
 	d := NewDirectory(1)
 	d.Configure([]Store{{Address: "large", DataCentre: "east", Room: 20_000, FirstByte: 6 * time.Millisecond, TokensPerMs: 250}})
-	d.Learn(now, "large", Listing{Epoch: 1, Clock: 7000, Held: []Held{held("a", 5000)}})
+	d.Learn(now, "large", Listing{Epoch: 1, Clock: 7000, Held: []Held{newHeld("a", 5000)}})
 	d.SetSharers(4)
 
-	near, _ := d.Find(now, held("a", 0).Part, "east")
+	near, _ := d.Find(now, newHeld("a", 0).Part, "east")
 	if want := 26 * time.Millisecond; near.Wait != 0 || near.Transfer != want {
-		t.Errorf("near: got %v after %v, want %v after 0", near.Transfer, near.Wait, want)
+		t.Errorf("same data centre: got a transfer of %v after %v, want %v after 0", near.Transfer, near.Wait, want)
 	}
 
-	far, _ := d.Find(now, held("a", 0).Part, "west")
+	far, _ := d.Find(now, newHeld("a", 0).Part, "west")
 	if want := 46 * time.Millisecond; far.Transfer != want {
-		t.Errorf("far: got %v, want %v", far.Transfer, want)
+		t.Errorf("other data centre: got a transfer of %v, want %v", far.Transfer, want)
 	}
 
 	d.Promise(now, near)
 
-	if c, _ := d.Find(now, held("a", 0).Part, "east"); c.Wait != 4*near.Transfer {
-		t.Errorf("after a promise: got a wait of %v, want %v", c.Wait, 4*near.Transfer)
+	if c, _ := d.Find(now, newHeld("a", 0).Part, "east"); c.Wait != 4*near.Transfer {
+		t.Errorf("after a reservation: got a wait of %v, want %v", c.Wait, 4*near.Transfer)
 	}
 
-	if c, _ := d.Find(now.Add(time.Second), held("a", 0).Part, "east"); c.Wait != 0 {
+	if c, _ := d.Find(now.Add(time.Second), newHeld("a", 0).Part, "east"); c.Wait != 0 {
 		t.Errorf("a second later: got a wait of %v, want none", c.Wait)
 	}
 }
--- a/vault/watcher.go
+++ b/vault/watcher.go
@@ -13,142 +13,143 @@
 	"boragehub/pause"
 )
 
-// Source calls stores.
+// Source calls the stores.
 type Source interface {
-	// Events returns what changed in a store, waiting for the first change.
+	// Events returns a store's changes from the sequence number since. It waits for the
+	// first change, up to wait.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (Events, error)
-	// List returns all that a store holds.
+	// List returns the full list of the parts that a store holds.
 	List(ctx context.Context, address string) (Listing, error)
-	// Free frees parts, unless the store restarted since the epoch or the
-	// engines' clock is past until.
+	// Free frees parts, unless the store is no longer in the epoch or the engines' clock,
+	// in ms, is past until.
 	Free(ctx context.Context, address string, epoch int64, parts []Part, until int64) error
 }
 
-// Timing of the watch.
+// Timing of the Watcher.
 const (
-	// eventWait is how long one question waits for a change: the longest that
-	// stores allow, so that an idle store costs one call a second.
+	// eventWait is how long a call for events waits for a change. It is the longest wait
+	// that stores allow, so an idle store costs one call a second.
 	eventWait = time.Second
-	// clockWait is the first wait of a process that doesn't know the engines' clock:
-	// lists don't tell it, and until an answer with events does, nothing is fetched.
-	// An entry that has just started read all contexts anew for a second; stores
-	// count a wait of less as a probe.
-	clockWait = 200 * time.Millisecond
-	// eventSlack is how much longer the answer may take.
-	eventSlack = 700 * time.Millisecond
-	// listTimeout bounds the reading of a whole list.
+	// clockEventWait replaces eventWait while the process does not know the engines' clock,
+	// which only answers with events report and without which nothing is fetched. With a
+	// wait of 1 s, all prompts were recomputed for the first second after a start. Stores
+	// count a shorter wait as a probe.
+	clockEventWait = 200 * time.Millisecond
+	// eventTimeoutMargin is how much longer than its wait a call for events may take.
+	eventTimeoutMargin = 700 * time.Millisecond
+	// listTimeout is the timeout for reading a full list.
 	listTimeout = time.Second
-	// peerEvery is the pause between two questions to a process that follows a store.
-	peerEvery = 300 * time.Millisecond
-	// awayPause is the pause before a store that doesn't answer is asked again.
-	awayPause = 500 * time.Millisecond
-	// maxAwayPause bounds that pause, which doubles with each failure, in processes that do
+	// peerPollInterval is the pause between two polls of the processes that follow the
+	// stores.
+	peerPollInterval = 300 * time.Millisecond
+	// minRetryPause is the pause after the first failed call to a store.
+	minRetryPause = 500 * time.Millisecond
+	// maxRetryPause bounds that pause, which doubles with each failure, in processes that do
 	// not follow the stores for others. If those that do are lost, hundreds of processes may
 	// call a store at once.
-	maxAwayPause = 4 * time.Second
+	maxRetryPause = 4 * time.Second
 	// directCallDelay is how long a store must go unreported by other processes before a process
 	// that does not follow the stores for others calls it. When all processes start together,
 	// those that follow the stores need some rounds before they know them.
 	directCallDelay = time.Second
 	// maxPeerFailureAge is how long a process that failed to answer is ranked behind the others.
 	maxPeerFailureAge = 20 * time.Second
-	// askAgain is the pause between two questions whether processes know a version.
-	askAgain = 200 * time.Millisecond
-	// sweepEvery is the pause between two looks for parts to free.
-	sweepEvery = 500 * time.Millisecond
-	// freeAtOnce bounds the parts of one call.
-	freeAtOnce = 500
-	// freePatience is how long a call to free may be under way until the store
-	// ignores it.
-	freePatience = time.Second
+	// versionPollInterval is the pause between two rounds of asking processes whether they
+	// know a version.
+	versionPollInterval = 200 * time.Millisecond
+	// sweepInterval is the pause between two searches for parts to free.
+	sweepInterval = 500 * time.Millisecond
+	// maxFreedParts is the maximum number of parts in one call to Free.
+	maxFreedParts = 500
+	// freeTimeout is the timeout of a call to Free. A store ignores calls that arrive later.
+	freeTimeout = time.Second
 )
 
-// Peers are the other processes that know of stores.
+// Peers calls the other processes that use the stores.
 type Peers interface {
 	// Watchers returns the processes to ask about the stores, in order of preference. Self
 	// reports whether this process follows the stores directly.
 	Watchers() (others []string, self bool)
-	// Ask asks a process what changed since the positions.
+	// Ask requests a process's updates since the positions.
 	Ask(ctx context.Context, peer string, positions []Position) ([]Update, error)
-	// Registered reads from the log which processes may make use of a long grace.
+	// Registered reads from the log which processes may use RegisteredGrace.
 	Registered(ctx context.Context) ([]string, error)
-	// Knows reports whether a process has read the operators' topic up to and with
-	// an offset.
+	// Knows reports whether a process has read the operators' topic up to and including an
+	// offset.
 	Knows(ctx context.Context, peer string, offset int64) bool
 }
 
-// WatcherConfig says what a Watcher works with.
+// WatcherConfig configures a Watcher.
 type WatcherConfig struct {
-	// Directory takes what is learned.
+	// Directory receives what the Watcher learns.
 	Directory *Directory
 	// Source calls the stores.
 	Source Source
-	// Peers are asked about stores that they follow; stores answer only few callers
-	// at once.
+	// Peers are asked about the stores that they follow, because stores accept only a few
+	// concurrent calls.
 	Peers Peers
-	// Turn returns how many others of the processes that free go first for a
-	// store; each waits so many times TurnWait longer.
+	// Turn returns this process's rank among the processes that free parts of a store,
+	// zero for the first. Each waits its rank times RankDelay.
 	Turn func(address string) int
-	// Still reports whether a machine with an engine stands still, or did until a
-	// moment ago; nil takes none to.
+	// Still reports whether a VM with an engine is paused, or was until recently; nil means
+	// that none ever is.
 	Still func(now time.Time) bool
-	// Log gets a line for each change.
+	// Log receives a line whenever a store is lost, is reachable again, misses events or
+	// has parts freed.
 	Log logr.Logger
 }
 
-// stillGrace is how much longer contexts are kept while a machine with an engine stands
-// still.
+// pausedGrace is how much longer parts are kept while a VM with an engine is paused.
 //
-// A fetch under way stands still with its engine, and goes on when that does, past the
-// time at which it should have been thrown away: what it reads then must not have been
-// freed. Machines stand still for some seconds; one that does for longer is taken for
-// dead, or the room of replaced contexts would never come free.
-const stillGrace = 10 * time.Second
-
-// TurnWait is how much longer the next process in turn waits before it frees, so
-// that usually one process alone calls.
-const TurnWait = 2 * time.Second
-
-// Watcher follows all stores and frees what was replaced. Use NewWatcher; its
-// methods may be called from many goroutines.
+// A fetch in flight is paused with its engine and continues with it, past the deadline at
+// which the engine should have discarded it. The part that it then reads must not have been
+// freed. VMs are paused for some seconds. One that is paused for longer is taken for dead,
+// since the space of replaced parts would otherwise never be freed.
+const pausedGrace = 10 * time.Second
+
+// RankDelay is the delay per rank before a process frees parts, so that usually only one
+// process calls a store.
+const RankDelay = 2 * time.Second
+
+// Watcher follows all stores and frees the parts of replaced weight versions. Use
+// NewWatcher; its methods are safe for concurrent use.
 type Watcher struct {
 	cfg WatcherConfig
 
 	mu       sync.Mutex
-	ctx      context.Context //nolint:containedctx // of the goroutines that Named starts
+	ctx      context.Context //nolint:containedctx // for the goroutines that Named starts
 	stores   []Store
 	stops    map[string]context.CancelFunc // by address, of the stores followed directly
-	replaced map[string][]replacement
-	told     map[string]bool // addresses of the stores that another process told of
-	changed  chan struct{}   // signals that Configure was called
+	replaced map[string][]replacement      // by model, oldest version first
+	reported map[string]bool               // addresses of the stores that another process reported
+	changed  chan struct{}                 // signals that Configure was called
 
-	// Only the askOthers goroutine may use these.
+	// Only the pollPeers goroutine may use these.
 	peerFailedAt    map[string]time.Time // last failures to answer, by process
 	unreportedSince map[string]time.Time // start of the current period without reports from other processes, by address
 }
 
-// maxReplacements bounds the versions remembered of a model.
+// maxReplacements is the maximum number of versions kept per model.
 const maxReplacements = 8
 
-// replacement is a version of a model that replaced those before, and when it was
-// learned of.
+// replacement is a weight version of a model that replaced the earlier ones.
 type replacement struct {
-	version int64
-	at      time.Time
-	// answered says that all registered processes know of it.
-	answered bool
+	version   int64
+	learnedAt time.Time
+	// confirmed is set once all registered processes know of the version.
+	confirmed bool
 }
 
 // NewWatcher returns a Watcher that Run starts.
 func NewWatcher(cfg WatcherConfig) *Watcher {
 	return &Watcher{
 		cfg: cfg, stops: make(map[string]context.CancelFunc), replaced: make(map[string][]replacement),
-		told: make(map[string]bool), changed: make(chan struct{}, 1), peerFailedAt: make(map[string]time.Time),
+		reported: make(map[string]bool), changed: make(chan struct{}, 1), peerFailedAt: make(map[string]time.Time),
 		unreportedSince: make(map[string]time.Time),
 	}
 }
 
-// Configure sets the stores that there are.
+// Configure sets the stores.
 func (w *Watcher) Configure(stores []Store) {
 	w.cfg.Directory.Configure(stores)
 
@@ -157,7 +158,7 @@
 
 	w.stores = stores
 
-	maps.DeleteFunc(w.told, func(address string, _ bool) bool {
+	maps.DeleteFunc(w.reported, func(address string, _ bool) bool {
 		return !slices.ContainsFunc(stores, func(s Store) bool { return s.Address == address })
 	})
 
@@ -167,9 +168,9 @@
 	}
 }
 
-// follow starts following the stores at these addresses directly and stops following all others.
-// The pause after each failed call doubles up to maxPause.
-func (w *Watcher) follow(ctx context.Context, addresses map[string]bool, maxPause time.Duration) {
+// followStores starts following the stores at these addresses directly and stops following all
+// others. The pause after each failed call doubles up to maxPause.
+func (w *Watcher) followStores(ctx context.Context, addresses map[string]bool, maxPause time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -181,9 +182,9 @@
 		c, cancel := context.WithCancel(ctx)
 		w.stops[address] = cancel
 
-		go w.watch(c, address, !w.told[address], maxPause)
+		go w.followStore(c, address, !w.reported[address], maxPause)
 
-		delete(w.told, address)
+		delete(w.reported, address)
 	}
 
 	for address, stop := range w.stops {
@@ -194,8 +195,8 @@
 	}
 }
 
-// Named takes that a version of a model is the newest, as the record at an offset
-// of the operators' topic says.
+// Named records that a version of a model is the newest, according to the record at an
+// offset of the operators' topic.
 func (w *Watcher) Named(now time.Time, model string, version, offset int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,101 +206,102 @@
 		return
 	}
 
-	all = append(all, replacement{version: version, at: now})
+	all = append(all, replacement{version: version, learnedAt: now})
 	w.replaced[model] = all[max(0, len(all)-maxReplacements):]
 
 	if w.ctx != nil {
-		go w.askAll(w.ctx, model, version, offset)
+		go w.confirmVersion(w.ctx, model, version, offset)
 	}
 }
 
-// Run frees what was replaced until ctx ends. Configure may be called before.
+// Run follows the stores and frees replaced parts until ctx ends. Configure may be called
+// before Run.
 func (w *Watcher) Run(ctx context.Context) {
 	w.mu.Lock()
 	w.ctx = ctx
 	w.mu.Unlock()
 
-	go w.askOthers(ctx)
+	go w.pollPeers(ctx)
 
-	for pause.For(ctx, sweepEvery) {
+	for pause.For(ctx, sweepInterval) {
 		w.sweep(ctx, time.Now())
 	}
 }
 
-// watch follows one store directly until ctx ends. Away is false if the store is known to
-// be reachable.
-func (w *Watcher) watch(ctx context.Context, address string, away bool, maxPause time.Duration) {
-	retryPause := awayPause
+// followStore follows one store directly until ctx ends. Unreachable is false if the store is
+// known to be reachable.
+func (w *Watcher) followStore(ctx context.Context, address string, unreachable bool, maxPause time.Duration) {
+	retryPause := minRetryPause
 
 	for ctx.Err() == nil {
-		err := w.ask(ctx, address)
+		err := w.pollStore(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 
-		w.tellChange(address, away, err)
-		away = err != nil
+		w.logChange(address, unreachable, err)
+		unreachable = err != nil
 
-		if !away {
-			retryPause = awayPause
+		if !unreachable {
+			retryPause = minRetryPause
 
 			continue
 		}
 
-		w.cfg.Directory.Lose(address)
+		w.cfg.Directory.MarkUnreachable(address)
 		pause.For(ctx, retryPause)
 		retryPause = min(2*retryPause, maxPause)
 	}
 }
 
-// tellChange logs that a store was lost or answers again.
-func (w *Watcher) tellChange(address string, away bool, err error) {
+// logChange logs that a store became unreachable or reachable.
+func (w *Watcher) logChange(address string, unreachable bool, err error) {
 	switch {
-	case err == nil && away:
+	case err == nil && unreachable:
 		held, room, parts := w.cfg.Directory.Usage()
 		event.Log(w.cfg.Log, event.VaultRegained, "vault", address, "held", held, "room", room, "parts", parts)
-	case err != nil && !away:
+	case err != nil && !unreachable:
 		event.Fail(w.cfg.Log, err, event.VaultLost, "vault", address)
 	}
 }
 
-// askOthers asks those who follow the stores what changed, until ctx ends: one question
-// for all stores, since in a large fleet there are hundreds of them. Stores that no
-// other process tells of are followed directly, see delayDirectCalls.
-func (w *Watcher) askOthers(ctx context.Context) {
+// pollPeers requests updates from the processes that follow the stores, until ctx ends. One
+// request covers all stores, since a large fleet has hundreds of them. Stores that no
+// other process reports are followed directly, see delayDirectCalls.
+func (w *Watcher) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		open := w.addresses()
-		others, self := w.cfg.Peers.Watchers()
-		maxPause := awayPause
+		remaining := w.addresses()
+		peers, self := w.cfg.Peers.Watchers()
+		maxPause := minRetryPause
 
 		if self {
 			clear(w.unreportedSince)
 		} else {
-			w.askRound(ctx, others, open)
-			w.delayDirectCalls(time.Now(), open)
+			w.pollPeersOnce(ctx, peers, remaining)
+			w.delayDirectCalls(time.Now(), remaining)
 
-			maxPause = maxAwayPause
+			maxPause = maxRetryPause
 		}
 
 		if ctx.Err() != nil {
 			return
 		}
 
-		w.follow(ctx, open, maxPause)
+		w.followStores(ctx, remaining, maxPause)
 		w.waitRound(ctx)
 	}
 }
 
-// delayDirectCalls removes from open the stores that have been unreported for less than
-// directCallDelay, except those followed directly already. Open must hold the stores that no
-// other process reported in this round.
-func (w *Watcher) delayDirectCalls(now time.Time, open map[string]bool) {
-	maps.DeleteFunc(w.unreportedSince, func(address string, _ time.Time) bool { return !open[address] })
+// delayDirectCalls removes from remaining the stores that have been unreported for less than
+// directCallDelay, except those followed directly already. Remaining must hold the stores that
+// no other process reported in this round.
+func (w *Watcher) delayDirectCalls(now time.Time, remaining map[string]bool) {
+	maps.DeleteFunc(w.unreportedSince, func(address string, _ time.Time) bool { return !remaining[address] })
 
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	for address := range open {
+	for address := range remaining {
 		if _, ok := w.stops[address]; ok {
 			continue
 		}
@@ -310,14 +312,14 @@
 		}
 
 		if now.Sub(since) < directCallDelay {
-			delete(open, address)
+			delete(remaining, address)
 		}
 	}
 }
 
 // waitRound waits until the next round is due, Configure is called or ctx ends.
 func (w *Watcher) waitRound(ctx context.Context) {
-	timer := time.NewTimer(peerEvery)
+	timer := time.NewTimer(peerPollInterval)
 	defer timer.Stop()
 
 	select {
@@ -340,60 +342,60 @@
 	return all
 }
 
-// askRound asks one process after the other, each about the stores that none of those
-// before reported as answering. It removes from open all stores that were reported, including
-// those reported only as not answering: direct calls from hundreds of processes would
-// overload such a store when it comes back.
-func (w *Watcher) askRound(ctx context.Context, others []string, open map[string]bool) {
-	away := make(map[string]bool)
+// pollPeersOnce requests updates from one process after the other, each for the stores that
+// none of the earlier ones reported as reachable. It removes from remaining all stores that were
+// reported, including those reported only as unreachable: direct calls from hundreds of
+// processes would overload such a store when it recovers.
+func (w *Watcher) pollPeersOnce(ctx context.Context, peers []string, remaining map[string]bool) {
+	unreachable := make(map[string]bool)
 
-	for _, peer := range w.askOrder(time.Now(), others) {
-		if len(open) == 0 {
+	for _, peer := range w.peerOrder(time.Now(), peers) {
+		if len(remaining) == 0 {
 			return
 		}
 
-		updates, err := w.cfg.Peers.Ask(ctx, peer, w.positions(open))
+		updates, err := w.cfg.Peers.Ask(ctx, peer, w.positions(remaining))
 		if err != nil {
 			w.peerFailedAt[peer] = time.Now()
 
-			continue // the next one, or the store itself
+			continue // with the next process; stores that none reports are called directly
 		}
 
 		delete(w.peerFailedAt, peer)
 
 		for _, u := range updates {
 			switch {
-			case !open[u.Address]:
+			case !remaining[u.Address]:
 			case w.cfg.Directory.Adopt(time.Now(), u):
-				delete(open, u.Address)
-				w.setTold(u.Address)
-			case u.Away:
-				away[u.Address] = true
+				delete(remaining, u.Address)
+				w.setReported(u.Address)
+			case u.Unreachable:
+				unreachable[u.Address] = true
 			}
 		}
 	}
 
-	for address := range open {
-		if away[address] {
-			w.cfg.Directory.AdoptAway(time.Now(), address)
-			delete(open, address)
+	for address := range remaining {
+		if unreachable[address] {
+			w.cfg.Directory.ApplyUnreachableReport(time.Now(), address)
+			delete(remaining, address)
 		}
 	}
 }
 
-// askOrder returns the processes in the order in which to ask them. Those that failed to answer
+// peerOrder returns the processes in the order in which to ask them. Those that failed to answer
 // within maxPeerFailureAge come last, the most recent failure at the end: waiting for the timeout
 // of an unreachable process in each round would make updates too old to be passed on.
-func (w *Watcher) askOrder(now time.Time, others []string) []string {
+func (w *Watcher) peerOrder(now time.Time, peers []string) []string {
 	maps.DeleteFunc(w.peerFailedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= maxPeerFailureAge })
 
-	order := slices.Clone(others)
+	order := slices.Clone(peers)
 	slices.SortStableFunc(order, func(a, b string) int { return w.peerFailedAt[a].Compare(w.peerFailedAt[b]) })
 
 	return order
 }
 
-// positions returns how far stores were followed.
+// positions returns the positions of this process in the updates on the stores.
 func (w *Watcher) positions(addresses map[string]bool) []Position {
 	all := make([]Position, 0, len(addresses))
 	for a := range addresses {
@@ -403,26 +405,26 @@
 	return all
 }
 
-func (w *Watcher) setTold(address string) {
+func (w *Watcher) setReported(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.told[address] = true
+	w.reported[address] = true
 }
 
-// ask asks a store once for what changed, or for everything.
-func (w *Watcher) ask(ctx context.Context, address string) error {
-	next, ok := w.cfg.Directory.Position(address)
+// pollStore requests a store's changes once, or its full list if that is not known.
+func (w *Watcher) pollStore(ctx context.Context, address string) error {
+	next, ok := w.cfg.Directory.NextEvent(address)
 	if !ok {
-		return w.list(ctx, address)
+		return w.readList(ctx, address)
 	}
 
 	wait := eventWait
 	if _, ok := w.cfg.Directory.Clock(time.Now()); !ok {
-		wait = clockWait
+		wait = clockEventWait
 	}
 
-	c, cancel := context.WithTimeout(ctx, wait+eventSlack)
+	c, cancel := context.WithTimeout(ctx, wait+eventTimeoutMargin)
 	defer cancel()
 
 	e, err := w.cfg.Source.Events(c, address, next, wait)
@@ -437,7 +439,7 @@
 	return nil
 }
 
-func (w *Watcher) list(ctx context.Context, address string) error {
+func (w *Watcher) readList(ctx context.Context, address string) error {
 	c, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 
@@ -451,45 +453,45 @@
 	return nil
 }
 
-// askAll asks all registered processes until each knows a version, or until that
-// no longer matters.
-func (w *Watcher) askAll(ctx context.Context, model string, version, offset int64) {
-	ctx, cancel := context.WithTimeout(ctx, LongGrace)
+// confirmVersion asks all registered processes until each knows a version, and then marks the
+// version as confirmed. It gives up after RegisteredGrace, when parts are freed regardless.
+func (w *Watcher) confirmVersion(ctx context.Context, model string, version, offset int64) {
+	ctx, cancel := context.WithTimeout(ctx, RegisteredGrace)
 	defer cancel()
 
-	open, err := w.cfg.Peers.Registered(ctx)
+	remaining, err := w.cfg.Peers.Registered(ctx)
 	for err != nil {
-		if !pause.For(ctx, askAgain) {
+		if !pause.For(ctx, versionPollInterval) {
 			return
 		}
 
-		open, err = w.cfg.Peers.Registered(ctx)
+		remaining, err = w.cfg.Peers.Registered(ctx)
 	}
 
-	for len(open) > 0 {
-		open = slices.DeleteFunc(open, func(peer string) bool { return w.cfg.Peers.Knows(ctx, peer, offset) })
+	for len(remaining) > 0 {
+		remaining = slices.DeleteFunc(remaining, func(peer string) bool { return w.cfg.Peers.Knows(ctx, peer, offset) })
 
-		if len(open) > 0 && !pause.For(ctx, askAgain) {
+		if len(remaining) > 0 && !pause.For(ctx, versionPollInterval) {
 			return
 		}
 	}
 
-	w.answered(model, version)
+	w.markConfirmed(model, version)
 }
 
-// answered notes that all registered processes know a version.
-func (w *Watcher) answered(model string, version int64) {
+// markConfirmed records that all registered processes know a version.
+func (w *Watcher) markConfirmed(model string, version int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	for i := range w.replaced[model] {
 		if w.replaced[model][i].version == version {
-			w.replaced[model][i].answered = true
+			w.replaced[model][i].confirmed = true
 		}
 	}
 }
 
-// sweep frees what was replaced long enough ago.
+// sweep frees the parts that are due to be freed.
 func (w *Watcher) sweep(ctx context.Context, now time.Time) {
 	w.mu.Lock()
 	replaced := make(map[string][]replacement, len(w.replaced))
@@ -499,39 +501,39 @@
 	}
 	w.mu.Unlock()
 
-	later := time.Duration(0)
+	extra := time.Duration(0)
 	if w.cfg.Still != nil && w.cfg.Still(now) {
-		later = stillGrace
+		extra = pausedGrace
 	}
 
 	for model, all := range replaced {
-		for _, r := range all {
-			ago := func(address string) time.Duration {
-				return now.Sub(r.at) - time.Duration(w.cfg.Turn(address))*TurnWait - later
+		for _, newer := range all {
+			sinceReplaced := func(address string) time.Duration {
+				return now.Sub(newer.learnedAt) - time.Duration(w.cfg.Turn(address))*RankDelay - extra
 			}
 
-			for _, old := range w.cfg.Directory.Replaced(model, r.version, ago, r.answered, freeAtOnce) {
-				w.free(ctx, now, model, r, old)
+			for _, parts := range w.cfg.Directory.Freeable(model, newer.version, sinceReplaced, newer.confirmed, maxFreedParts) {
+				w.free(ctx, now, model, newer, parts)
 			}
 		}
 	}
 }
 
-func (w *Watcher) free(ctx context.Context, now time.Time, model string, r replacement, old Replaced) {
+func (w *Watcher) free(ctx context.Context, now time.Time, model string, newer replacement, parts FreeableParts) {
 	clock, ok := w.cfg.Directory.Clock(now)
 	if !ok {
 		return
 	}
 
-	c, cancel := context.WithTimeout(ctx, freePatience)
+	c, cancel := context.WithTimeout(ctx, freeTimeout)
 	defer cancel()
 
-	if err := w.cfg.Source.Free(c, old.Address, old.Epoch, old.Parts, clock+freePatience.Milliseconds()); err != nil {
-		event.Fail(w.cfg.Log, err, event.VaultLost, "vault", old.Address, "step", "free")
+	if err := w.cfg.Source.Free(c, parts.Address, parts.Epoch, parts.Parts, clock+freeTimeout.Milliseconds()); err != nil {
+		event.Fail(w.cfg.Log, err, event.VaultLost, "vault", parts.Address, "step", "free")
 
 		return
 	}
 
-	w.cfg.Directory.Freed(old)
-	event.Log(w.cfg.Log, event.VaultFreed, "vault", old.Address, "parts", len(old.Parts), "tokens", old.Tokens, "model", model, "before", r.version)
+	w.cfg.Directory.MarkFreed(parts)
+	event.Log(w.cfg.Log, event.VaultFreed, "vault", parts.Address, "parts", len(parts.Parts), "tokens", parts.Tokens, "model", model, "before", newer.version)
 }
--- a/vault/watcher_test.go
+++ b/vault/watcher_test.go
@@ -11,14 +11,14 @@
 	"github.com/go-logr/logr"
 )
 
-// fakePeers are registered processes that learn of versions late or never.
+// fakePeers are registered processes, each of which knows the newer version or does not.
 type fakePeers struct {
 	mu      sync.Mutex
 	knows   map[string]bool
 	logDown bool
 }
 
-var errLogDown = errors.New("the log is down")
+var errLogDown = errors.New("log service is down")
 
 func (p *fakePeers) set(peer string) {
 	p.mu.Lock()
@@ -54,38 +54,38 @@
 	return p.knows[peer]
 }
 
-// fakeStore holds one part of version 1.
+// fakeStore holds one part of version 1 and records when it is freed.
 type fakeStore struct {
 	mu    sync.Mutex
 	freed time.Time
 }
 
-// quietStore is one whose list doesn't tell the clock, and whose events don't change.
-type quietStore struct{ fakeStore }
+// clocklessStore is a store whose list does not report the clock and that has no new events.
+type clocklessStore struct{ fakeStore }
 
-func (*quietStore) List(context.Context, string) (Listing, error) {
+func (*clocklessStore) List(context.Context, string) (Listing, error) {
 	return Listing{Epoch: 1, Next: 1, Held: []Held{oldPart}}, nil
 }
 
-// All processes were killed and start anew. A store tells the engines' clock only
-// with its events, and nothing changes for now; until an entry knows the clock it
-// fetches nothing, so that all contexts were read anew for a second.
+// Guards against recomputing all prompts for the first second after a start. Stores report the
+// engines' clock only with their events, and a process fetches nothing until it knows the clock.
+// While nothing changes, a call for events would wait for a full second.
 func TestClockIsKnownSoonAfterAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 
 		d := NewDirectory(1)
-		w := NewWatcher(WatcherConfig{Directory: d, Source: &quietStore{}, Peers: &fakePeers{}, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+		w := NewWatcher(WatcherConfig{Directory: d, Source: &clocklessStore{}, Peers: &fakePeers{}, Turn: func(string) int { return 0 }, Log: logr.Discard()})
 		w.Configure([]Store{{Address: "s1"}})
 
 		go w.Run(ctx)
 
-		time.Sleep(clockWait + time.Millisecond)
+		time.Sleep(clockEventWait + time.Millisecond)
 		synctest.Wait()
 
 		if _, ok := d.Clock(time.Now()); !ok {
-			t.Error("got no clock, want it known")
+			t.Error("got no clock, want one")
 		}
 	})
 }
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// freedAfter runs a watcher for half a minute and returns how long after a newer
-// version was named the old part was freed.
-func freedAfter(t *testing.T, peers *fakePeers, meanwhile func(), still ...func(time.Time) bool) time.Duration {
+// freedAfter runs a Watcher for 30 s and returns how long after the announcement of a newer
+// version the old part was freed.
+func freedAfter(t *testing.T, peers *fakePeers, meanwhile func(), paused ...func(time.Time) bool) time.Duration {
 	t.Helper()
 
 	var after time.Duration
@@ -126,7 +126,7 @@
 		store := &fakeStore{}
 		cfg := WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()}
 
-		for _, f := range still {
+		for _, f := range paused {
 			cfg.Still = f
 		}
 
@@ -138,8 +138,8 @@
 		w.Configure([]Store{{Address: "s", Room: 1000}})
 		time.Sleep(time.Second)
 
-		named := time.Now()
-		w.Named(named, "m", 2, 7)
+		replacedAt := time.Now()
+		w.Named(replacedAt, "m", 2, 7)
 
 		if meanwhile != nil {
 			meanwhile()
@@ -150,63 +150,64 @@
 		running.Wait()
 		synctest.Wait()
 
-		after = store.freed.Sub(named)
+		after = store.freed.Sub(replacedAt)
 	})
 
 	return after
 }
 
-// Room for contexts of new weights is short, so the old ones go as soon as nobody
-// can fetch them any more.
+// Guards against a shortage of space for parts of the new weights: the old parts must be freed as
+// soon as no process may fetch them.
 func TestOldContextsGoOnceAllKnowOfTheNewVersion(t *testing.T) {
 	got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": true}}, nil)
 
-	if want := oldPart.FreeAfter(true); got < want || got > want+2*sweepEvery {
-		t.Errorf("got it freed after %v, want %v", got, want)
+	if want := oldPart.FreeAfter(true); got < want || got > want+2*sweepInterval {
+		t.Errorf("got the part freed after %v, want %v", got, want)
 	}
 }
 
-// A machine with an engine stands still in the middle of a fetch and goes on five seconds
-// later, with the fetch: the engine reads what the store holds then. Freed meanwhile, it
-// would get a broken context. One that never goes on must not keep the room for ever.
+// Guards against freeing a part that a paused VM is fetching. The fetch continues when the VM
+// does, 5 s later in the first case, and the engine would get corrupt KV cache. A VM that never
+// continues must not prevent the freeing for good.
 func TestOldContextsStayWhileAMachineStandsStill(t *testing.T) {
 	usual := oldPart.FreeAfter(true)
 
 	tests := []struct {
 		name  string
-		until time.Duration // how long after the start it stands still
+		until time.Duration // how long the VM is paused from the start
 		want  time.Duration
 	}{
-		{"for a while", usual + 5*time.Second, usual + 4*time.Second},
-		{"for good", time.Hour, usual + stillGrace},
+		{"the VM continues", usual + 5*time.Second, usual + 4*time.Second},
+		{"the VM never continues", time.Hour, usual + pausedGrace},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var began time.Time
+			var start time.Time
 
 			got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": true}}, nil, func(now time.Time) bool {
-				if began.IsZero() {
-					began = now
+				if start.IsZero() {
+					start = now
 				}
 
-				return now.Sub(began) < tt.until
+				return now.Sub(start) < tt.until
 			})
 
-			if got < tt.want-2*sweepEvery || got > tt.want+2*sweepEvery {
-				t.Errorf("got it freed after %v, want about %v", got, tt.want)
+			if got < tt.want-2*sweepInterval || got > tt.want+2*sweepInterval {
+				t.Errorf("got the part freed after %v, want about %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// A registered process doesn't answer: it is dead, or cut off and still fetching.
-// Freed early, the context that it fetches would be broken.
+// Guards against freeing a part that an unresponsive process is fetching. A registered process
+// that does not answer may be partitioned and still fetching, and its engine would get corrupt KV
+// cache.
 func TestOldContextsStayWhileARegisteredProcessIsSilent(t *testing.T) {
 	got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": false}}, nil)
 
-	if want := oldPart.FreeAfter(false); got < want || got > want+2*sweepEvery {
-		t.Errorf("got it freed after %v, want %v", got, want)
+	if want := oldPart.FreeAfter(false); got < want || got > want+2*sweepInterval {
+		t.Errorf("got the part freed after %v, want %v", got, want)
 	}
 }
 
@@ -217,8 +218,8 @@
 		peers.set("a")
 	})
 
-	if got < 10*time.Second || got > 10*time.Second+askAgain+2*sweepEvery {
-		t.Errorf("got it freed after %v, want just after 10 s", got)
+	if got < 10*time.Second || got > 10*time.Second+versionPollInterval+2*sweepInterval {
+		t.Errorf("got the part freed after %v, want just after 10 s", got)
 	}
 }
 
@@ -226,6 +227,6 @@
 	got := freedAfter(t, &fakePeers{logDown: true}, nil)
 
 	if want := oldPart.FreeAfter(false); got < want {
-		t.Errorf("got it freed after %v, want %v", got, want)
+		t.Errorf("got the part freed after %v, want %v", got, want)
 	}
 }
