--- a/resident/resident.go
+++ b/resident/resident.go
@@ -1,15 +1,16 @@
-// Package resident tells which long parts of prompts an engine has in its memory.
+// Package resident tracks which long parts of prompts' KV caches an engine has in its memory.
 //
 // # Model
 //
-// An engine keeps what it has read until other prompts push it out. The side process
-// beside it follows its cache events, which come late and with gaps, and tells
-// entries with each pulse. An entry then sends a prompt to the engine that has its
-// opening, or has the opening fetched from there where no store keeps it.
+// An engine keeps the KV cache of prompts until other prompts evict it. The side process of
+// the engine follows its cache events, which may be late or missing, and reports the parts to
+// entries in each load report. An entry then sends a prompt to the engine that has its shared
+// prefix, or, if no store holds the prefix, has another engine fetch it from there.
 //
-// What is told may be wrong either way. An engine that has a part no longer reads it,
-// and a fetch from it brings nothing, which costs a millisecond; neither can give an
-// engine something else, as a part's salt names model, weight version and wall.
+// Reports may list parts that were evicted and omit parts that are held. An engine prefills a
+// part that it no longer has, and a fetch of that part returns nothing, which costs 1 ms. Wrong
+// reports cannot give an engine another part, because a part's salt identifies the model, the
+// weight version and the organisation that it is isolated for.
 //
 // # Example
 //
@@ -31,101 +32,102 @@
 	"boragehub/vault"
 )
 
-// Part is a part in an engine's memory.
+// Part is a part in an engine's memory, as load reports carry it.
 type Part struct {
 	_ struct{} `cbor:",toarray"`
-	// Key stands for its salt and id.
+	// Key is the hash of its salt and id, as from the function Key.
 	Key uint64
-	// Tokens is how much of it is there.
+	// Tokens is how many of its tokens are in memory.
 	Tokens int
 }
 
-// Key returns the key of a part.
+// Key returns the hash of a part's salt and id by which load reports identify it.
 func Key(p vault.Part) uint64 { return xxhash.Sum64String(p.Salt + "|" + p.ID) }
 
-// Bounds of what is told.
+// Limits on the reported parts.
 const (
-	// LongPart is the length from which a part is told. A shorter one is read in the
-	// time that a transfer takes, and an engine has hundreds of them.
+	// LongPart is the minimum length, in tokens, of a reported part. Prefill of a shorter part
+	// takes no longer than its transfer, and an engine has hundreds of such parts.
 	LongPart = 1000
-	// most bounds the parts told, so that a pulse stays within one packet. An
-	// engine's memory holds some six openings of the usual length.
-	most = 16
+	// maxReportedParts keeps a load report within one packet. An engine's memory holds about
+	// six shared prefixes of the usual length.
+	maxReportedParts = 16
 )
 
-// Source gives an engine's cache events.
+// Source reads the cache events of engines.
 type Source interface {
-	// Events returns what changed since, waiting so long for the first change.
+	// Events returns the changes from the sequence number since. It waits for the first
+	// change, up to wait.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (vault.Events, error)
 }
 
-// Config is what a Follower works with.
+// Config configures a Follower.
 type Config struct {
-	// Address is the engine's.
+	// Address is the address of the engine.
 	Address string
-	// Source gives its events.
+	// Source reads its events.
 	Source Source
 }
 
-// Follower follows the cache events of one engine. Use NewFollower; its methods may
-// be called from many goroutines.
+// Follower follows the cache events of one engine. Use NewFollower; its methods are safe for
+// concurrent use.
 type Follower struct {
 	cfg  Config
 	next int64
 
-	mu    sync.Mutex
-	epoch int64
-	order uint64
-	parts map[vault.Part]entry
+	mu       sync.Mutex
+	epoch    int64
+	sequence uint64
+	parts    map[vault.Part]partState
 }
 
-// entry is what is known of a part.
-type entry struct {
-	tokens int
-	order  uint64 // of its last event
+// partState is what is known of one part.
+type partState struct {
+	tokens   int
+	sequence uint64 // of its last event; increases with each event
 }
 
 // NewFollower returns a Follower that Run starts.
 func NewFollower(cfg Config) *Follower {
-	return &Follower{cfg: cfg, parts: make(map[vault.Part]entry)}
+	return &Follower{cfg: cfg, parts: make(map[vault.Part]partState)}
 }
 
-// Timing of the questions.
+// Timing of the calls for events.
 const (
-	// wait is how long a question waits for the first event.
-	wait = time.Second
-	// slack is how much longer an answer may take.
-	slack = 500 * time.Millisecond
-	// rest is the pause between two questions: an engine for short prompts has
-	// a hundred events a second, none of which is told.
-	rest = 100 * time.Millisecond
-	// awayRest is the pause after a question without an answer.
-	awayRest = 500 * time.Millisecond
+	// eventWait is how long a call waits for the first event.
+	eventWait = time.Second
+	// eventTimeoutMargin is how much longer than its wait a call may take.
+	eventTimeoutMargin = 500 * time.Millisecond
+	// pollInterval is the pause between two calls. An engine for short prompts has about a
+	// hundred events a second, none of them for a part that is reported.
+	pollInterval = 100 * time.Millisecond
+	// retryDelay is the pause after a failed call.
+	retryDelay = 500 * time.Millisecond
 )
 
 // Run follows the events until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c, cancel := context.WithTimeout(ctx, wait+slack)
-		e, err := f.cfg.Source.Events(c, f.cfg.Address, f.next, wait)
+		c, cancel := context.WithTimeout(ctx, eventWait+eventTimeoutMargin)
+		e, err := f.cfg.Source.Events(c, f.cfg.Address, f.next, eventWait)
 
 		cancel()
 
 		if err != nil {
-			// An engine that doesn't answer may have lost everything; its silence is
-			// logged by who orders it.
+			// An engine that does not answer may have restarted and lost all parts. The process
+			// that sends it orders logs that it is unresponsive.
 			f.Forget()
-			pause.For(ctx, awayRest)
+			pause.For(ctx, retryDelay)
 
 			continue
 		}
 
-		f.take(e)
-		pause.For(ctx, rest)
+		f.apply(e)
+		pause.For(ctx, pollInterval)
 	}
 }
 
-// Forget takes that the engine was started anew and has nothing in its memory.
+// Forget discards all parts, since the engine may have restarted with an empty memory.
 func (f *Follower) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,9 +135,9 @@
 	clear(f.parts)
 }
 
-// take takes events in order. After a gap or a restart nothing known before counts:
-// a part that is missed is read or fetched once more than needed.
-func (f *Follower) take(e vault.Events) {
+// apply applies events in order. After missing events or a restart it discards all earlier
+// knowledge. A part that is held but not reported only costs an unnecessary prefill or fetch.
+func (f *Follower) apply(e vault.Events) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -146,35 +148,36 @@
 	f.epoch, f.next = e.Epoch, e.Next
 
 	for _, ev := range e.Events {
-		f.order++
+		f.sequence++
 
 		if ev.Added && ev.Tokens >= LongPart {
-			f.parts[ev.Part] = entry{ev.Tokens, f.order}
+			f.parts[ev.Part] = partState{ev.Tokens, f.sequence}
 		} else {
 			delete(f.parts, ev.Part)
 		}
 	}
 }
 
-// Parts returns the parts that the engine has, those of the last events first.
+// Parts returns the parts that the engine has, at most maxReportedParts, those with the most
+// recent events first.
 func (f *Follower) Parts() []Part {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	type row struct {
-		part  Part
-		order uint64
+		part     Part
+		sequence uint64
 	}
 
 	rows := make([]row, 0, len(f.parts))
 	for p, e := range f.parts {
-		rows = append(rows, row{Part{Key: Key(p), Tokens: e.tokens}, e.order})
+		rows = append(rows, row{Part{Key: Key(p), Tokens: e.tokens}, e.sequence})
 	}
 
-	slices.SortFunc(rows, func(a, b row) int { return cmp.Compare(b.order, a.order) })
+	slices.SortFunc(rows, func(a, b row) int { return cmp.Compare(b.sequence, a.sequence) })
 
-	parts := make([]Part, 0, min(len(rows), most))
-	for _, r := range rows[:min(len(rows), most)] {
+	parts := make([]Part, 0, min(len(rows), maxReportedParts))
+	for _, r := range rows[:min(len(rows), maxReportedParts)] {
 		parts = append(parts, r.part)
 	}
 
--- a/resident/resident_test.go
+++ b/resident/resident_test.go
@@ -23,24 +23,24 @@
 func TestLongPartsAreTold(t *testing.T) {
 	tests := []struct {
 		name string
-		// answers are the engine's, one after the other.
+		// answers are the engine's answers, in order.
 		answers []vault.Events
 		want    []Part
 	}{
-		{"nothing", nil, nil},
-		{"the last one first", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 5000), added("b", 6000)}}}, []Part{{Key: Key(part("b")), Tokens: 6000}, {Key: Key(part("a")), Tokens: 5000}}},
-		{"short parts aren't", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", LongPart-1)}}}, nil},
-		{"as much as is read so far", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 2048), added("a", 4096)}}}, []Part{{Key: Key(part("a")), Tokens: 4096}}},
-		{"what was pushed out in part isn't", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 5000), removed("a", 3000)}}}, nil},
-		{"after a gap nothing counts", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, {Epoch: 1, Next: 9, Lost: true, Events: []vault.Event{added("b", 5000)}}}, []Part{{Key: Key(part("b")), Tokens: 5000}}},
-		{"after a restart neither", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, {Epoch: 2, Next: 1}}, nil},
+		{"no events", nil, nil},
+		{"most recent event first", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 5000), added("b", 6000)}}}, []Part{{Key: Key(part("b")), Tokens: 6000}, {Key: Key(part("a")), Tokens: 5000}}},
+		{"short parts are omitted", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", LongPart-1)}}}, nil},
+		{"partly prefilled part", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 2048), added("a", 4096)}}}, []Part{{Key: Key(part("a")), Tokens: 4096}}},
+		{"partly evicted part is omitted", []vault.Events{{Epoch: 1, Next: 2, Events: []vault.Event{added("a", 5000), removed("a", 3000)}}}, nil},
+		{"earlier parts are discarded after missing events", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, {Epoch: 1, Next: 9, Lost: true, Events: []vault.Event{added("b", 5000)}}}, []Part{{Key: Key(part("b")), Tokens: 5000}}},
+		{"earlier parts are discarded after a restart", []vault.Events{{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, {Epoch: 2, Next: 1}}, nil},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := NewFollower(Config{})
 			for _, a := range tt.answers {
-				f.take(a)
+				f.apply(a)
 			}
 
 			got := f.Parts()
@@ -60,50 +60,51 @@
 func TestNoMoreIsToldThanAPulseHolds(t *testing.T) {
 	f := NewFollower(Config{})
 
-	for i := range 10 * most {
-		f.take(vault.Events{Events: []vault.Event{added(string(rune('a'+i)), 2000)}})
+	for i := range 10 * maxReportedParts {
+		f.apply(vault.Events{Events: []vault.Event{added(string(rune('a'+i)), 2000)}})
 	}
 
-	if got := len(f.Parts()); got != most {
-		t.Errorf("got %d parts, want %d", got, most)
+	if got := len(f.Parts()); got != maxReportedParts {
+		t.Errorf("got %d parts, want %d", got, maxReportedParts)
 	}
 }
 
-// once answers one question and is gone then.
-type once struct{ asked int }
+// oneAnswerSource answers the first call and fails all later ones.
+type oneAnswerSource struct{ calls int }
 
-func (o *once) Events(context.Context, string, int64, time.Duration) (vault.Events, error) {
-	o.asked++
-	if o.asked > 1 {
-		return vault.Events{}, errors.New("gone")
+func (o *oneAnswerSource) Events(context.Context, string, int64, time.Duration) (vault.Events, error) {
+	o.calls++
+	if o.calls > 1 {
+		return vault.Events{}, errors.New("engine is gone")
 	}
 
 	return vault.Events{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, nil
 }
 
-// An engine dies with its memory. Entries that go on sending prompts to where their
-// opening was would have it read there, beside what lies in a store.
+// Guards against reporting the parts of an engine that does not answer. An engine loses its
+// memory when it dies, and entries that continue to send it prompts with these shared prefixes
+// make it recompute them, although a store may hold them.
 func TestEngineThatDoesNotAnswerHasNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFollower(Config{Source: &once{}})
+		f := NewFollower(Config{Source: &oneAnswerSource{}})
 
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 
 		go f.Run(ctx)
 
-		time.Sleep(rest / 2)
+		time.Sleep(pollInterval / 2)
 		synctest.Wait()
 
 		if got := len(f.Parts()); got != 1 {
 			t.Errorf("got %d parts, want 1", got)
 		}
 
-		time.Sleep(rest)
+		time.Sleep(pollInterval)
 		synctest.Wait()
 
 		if got := len(f.Parts()); got != 0 {
-			t.Errorf("got %d parts of an engine that is gone, want 0", got)
+			t.Errorf("got %d parts of an engine that does not answer, want 0", got)
 		}
 	})
 }
