--- a/profile/fleet.go
+++ b/profile/fleet.go
@@ -7,84 +7,86 @@
 )
 
 // Fleet is what one entry has learned of a service's engines and of the prompts that it
-// sends there. The zero value has learned nothing; its methods may be called from many
-// goroutines.
+// sends to them. The zero value has learned nothing; its methods are safe for concurrent
+// use.
 type Fleet struct {
-	reader Reader
-	// unread are the tokens that a prompt makes its engine read, memory those that it
-	// takes of its memory.
-	unread, memory Mean
-	// little are the tokens to read of the prompts with no more than usual, quickAim
-	// their aim in ms.
-	little, quickAim Mean
-	// token is how long a token takes that an answer may have, from the first event
-	// on, in ms. Answers mostly have fewer than they may.
-	token Mean
+	prefillRate RateEstimator
+	// prefillTokens are the tokens of a prompt that its engine has to prefill, and kvTokens
+	// those that the prompt and its answer take in the engine's memory.
+	prefillTokens, kvTokens Mean
+	// shortPrefillTokens are the tokens to prefill of the prompts that have no more of them
+	// than the mean, and shortLatencyGoalMs the time in ms within which their first event is
+	// on time.
+	shortPrefillTokens, shortLatencyGoalMs Mean
+	// outputTokenMs is the time in ms from the first event to the end of an answer, per token
+	// of the answer's maximum length. Answers are mostly shorter than their maximum.
+	outputTokenMs Mean
 }
 
-// Sent takes what a prompt asks of its engine: tokens to read, tokens of memory, and the
-// time within which its first event is on time.
-func (f *Fleet) Sent(unread, memory int, aim time.Duration) {
-	f.unread.Observe(float64(unread))
-	f.memory.Observe(float64(memory))
+// Sent records what a prompt requires of its engine: tokens to prefill, tokens of memory,
+// and the time within which its first event is on time.
+func (f *Fleet) Sent(prefillTokens, kvTokens int, latencyGoal time.Duration) {
+	f.prefillTokens.Observe(float64(prefillTokens))
+	f.kvTokens.Observe(float64(kvTokens))
 
-	if f.Quick(unread) {
-		f.little.Observe(float64(unread))
-		f.quickAim.Observe(float64(aim) / float64(time.Millisecond))
+	if f.Quick(prefillTokens) {
+		f.shortPrefillTokens.Observe(float64(prefillTokens))
+		f.shortLatencyGoalMs.Observe(float64(latencyGoal) / float64(time.Millisecond))
 	}
 }
 
-// Read takes the time to the first event of a prompt that found its engine with nothing
-// else to read and brought nothing from elsewhere.
-func (f *Fleet) Read(unread int, first time.Duration) { f.reader.Observe(unread, first) }
+// Read records the time to the first event of a prompt whose engine had nothing else to
+// prefill and fetched no part of it.
+func (f *Fleet) Read(prefillTokens int, first time.Duration) {
+	f.prefillRate.Observe(prefillTokens, first)
+}
 
-// Ended takes that an answer that might have so many tokens was complete so long after
-// its first event.
+// Ended records the time from the first event to the end of a complete answer with a
+// maximum length of output tokens.
 func (f *Fleet) Ended(output int, after time.Duration) {
 	if output > 0 {
-		f.token.Observe(float64(after) / float64(time.Millisecond) / float64(output))
+		f.outputTokenMs.Observe(float64(after) / float64(time.Millisecond) / float64(output))
 	}
 }
 
-// Quick reports whether so many tokens to read are no more than usual.
-func (f *Fleet) Quick(unread int) bool {
-	mean, _ := f.unread.Value()
+// Quick reports whether a number of tokens to prefill is no more than the mean.
+func (f *Fleet) Quick(prefillTokens int) bool {
+	mean, _ := f.prefillTokens.Value()
 
-	return float64(unread) <= mean
+	return float64(prefillTokens) <= mean
 }
 
-// Run returns how long an answer is expected to take that may have so many tokens; zero
-// while no answer was complete.
+// Run returns the expected time from the first event to the end of an answer with a maximum
+// length of output tokens; zero if no answer was complete yet.
 func (f *Fleet) Run(output int) time.Duration {
-	ms, _ := f.token.Value()
+	ms, _ := f.outputTokenMs.Value()
 
 	return time.Duration(ms * float64(output) * float64(time.Millisecond))
 }
 
-// Memory returns the tokens of memory that a prompt usually takes, zero while none was
-// sent.
+// Memory returns the mean number of tokens of memory per prompt; zero if none was sent yet.
 func (f *Fleet) Memory() int {
-	mean, _ := f.memory.Value()
+	mean, _ := f.kvTokens.Value()
 
 	return int(mean)
 }
 
-// TokensPerMs returns how fast engines read; zero while that is not known.
+// TokensPerMs returns the prefill rate of the engines; zero if it is not known yet.
 func (f *Fleet) TokensPerMs() float64 {
-	rate, _ := f.reader.TokensPerMs()
+	rate, _ := f.prefillRate.TokensPerMs()
 
 	return rate
 }
 
-// Opening returns what is known for the decision on an opening, for engines with so much
-// memory. What isn't known is left zero.
+// Opening returns what is known for the routing of a prompt by its shared prefix, for
+// engines with memoryTokens of memory. Values that are not known yet are zero.
 func (f *Fleet) Opening(memoryTokens int) route.OpeningConfig {
 	cfg := route.OpeningConfig{MemoryTokens: memoryTokens, TokensPerMs: f.TokensPerMs()}
-	cfg.PromptTokens, _ = f.unread.Value()
-	cfg.QuickTokens, _ = f.little.Value()
+	cfg.PromptTokens, _ = f.prefillTokens.Value()
+	cfg.QuickTokens, _ = f.shortPrefillTokens.Value()
 
-	aim, _ := f.quickAim.Value()
-	cfg.QuickAim = time.Duration(aim * float64(time.Millisecond))
+	goalMs, _ := f.shortLatencyGoalMs.Value()
+	cfg.QuickAim = time.Duration(goalMs * float64(time.Millisecond))
 
 	return cfg
 }
--- a/profile/profile.go
+++ b/profile/profile.go
@@ -1,18 +1,18 @@
-// Package profile learns from a fleet's own work how fast its engines read prompts
-// and what a usual prompt asks of them.
+// Package profile learns from the requests of a fleet how fast its engines prefill prompts
+// and what a typical prompt requires of them.
 //
 // # Model
 //
-// Deployments differ by a factor of ten in what an engine reads in a ms and in how long
-// prompts are, and nobody tells either. A decision that weighs waiting against reading
-// needs both, so they are learned from answers: a Reader fits the time to the first
-// event of prompts that found their engine with nothing else to read, and a Mean keeps
-// a moving mean. A learner that has seen too little says so, and the decision then goes
-// by its own safe default.
+// Deployments differ by a factor of ten in the prefill rate of an engine and in the length
+// of prompts, and neither is configured or reported. A decision between waiting and
+// recomputing needs both, so they are learned from answers: a RateEstimator fits the times
+// to the first event of prompts whose engine had nothing else to prefill, and a Mean keeps a
+// moving mean. Both report when they have too few values; the decision then uses its own
+// safe default.
 //
 // # Example
 //
-//	var r profile.Reader
+//	var r profile.RateEstimator
 //	r.Observe(4260, 85*time.Millisecond)
 //	if rate, ok := r.TokensPerMs(); ok { … }
 package profile
@@ -23,77 +23,80 @@
 	"time"
 )
 
-// Bounds of what a Reader keeps.
+// Parameters of a RateEstimator.
 const (
-	// keptSamples is how many observations count: the last few seconds of an entry's
-	// prompts, which cover short and long ones.
-	keptSamples = 64
-	// leastSamples is how many there have to be before the rate is told.
-	leastSamples = 6
-	// refitAfter is how many new observations make a new fit worth its time, some 20 us.
-	refitAfter = 4
-	// leastApart is by how many tokens two prompts have to differ for their times to
-	// tell the rate: reading them takes longer than the times vary by chance.
-	leastApart = 500
-	// leastPairs is how many such pairs there have to be.
-	leastPairs = 8
+	// maxSamples is the number of most recent observations in the fit: the last few seconds
+	// of an entry's prompts, which include short and long ones.
+	maxSamples = 64
+	// minSamples is the number of observations before the first fit.
+	minSamples = 6
+	// refitInterval is the number of new observations between fits, since a fit takes some
+	// 20 us.
+	refitInterval = 4
+	// minTokenDifference is the difference in tokens from which two prompts contribute to
+	// the fit: their times then differ by more than the random variation.
+	minTokenDifference = 500
+	// minPairs is the number of such pairs that a fit needs.
+	minPairs = 8
 )
 
-// Reader learns how fast engines read prompts. The zero value has learned nothing; its
-// methods may be called from many goroutines.
+// RateEstimator estimates how fast engines prefill prompts. The zero value has no
+// observations; its methods are safe for concurrent use.
 //
-// The rate is the median of the slopes between all pairs of observations (Theil 1950,
-// Sen 1968): up to a quarter of the observations may be wrong, as of a prompt that had
-// to wait after all or that the engine had already, without moving it much.
-type Reader struct {
-	mu      sync.Mutex
-	samples []sample
-	next    int // where the next one goes, once keptSamples are there
-	fresh   int // since the last fit
-	rate    float64
+// The rate is the inverse of the median of the slopes between all pairs of observations
+// (Theil 1950, Sen 1968). Up to a quarter of the observations may be wrong without moving it
+// much, such as those of prompts that had to wait after all or whose parts the engine had
+// already.
+type RateEstimator struct {
+	mu       sync.Mutex
+	samples  []sample
+	next     int // index to overwrite next, once there are maxSamples
+	sinceFit int // observations since the last fit
+	rate     float64
 }
 
-// sample is one prompt that was read.
+// sample is the observation of one prompt.
 type sample struct {
 	tokens int
 	ms     float64
 }
 
-// Observe takes that a prompt of which an engine had to read so many tokens, and which
-// found it with nothing else to read, had its first event after so long.
-func (r *Reader) Observe(tokens int, first time.Duration) {
+// Observe records the time to the first event of a prompt with a number of tokens to prefill,
+// on an engine that had nothing else to prefill.
+func (r *RateEstimator) Observe(tokens int, first time.Duration) {
 	s := sample{tokens, float64(first) / float64(time.Millisecond)}
 
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if len(r.samples) < keptSamples {
+	if len(r.samples) < maxSamples {
 		r.samples = append(r.samples, s)
 	} else {
 		r.samples[r.next] = s
-		r.next = (r.next + 1) % keptSamples
+		r.next = (r.next + 1) % maxSamples
 	}
 
-	r.fresh++
-	if r.fresh >= refitAfter && len(r.samples) >= leastSamples {
-		r.fresh = 0
+	r.sinceFit++
+	if r.sinceFit >= refitInterval && len(r.samples) >= minSamples {
+		r.sinceFit = 0
 		r.fit()
 	}
 }
 
-// fit sets the rate. One that makes no sense leaves the last one. The caller holds mu.
-func (r *Reader) fit() {
+// fit sets the rate; it keeps the last one if there are too few pairs or the median slope is
+// not positive. The caller holds mu.
+func (r *RateEstimator) fit() {
 	var slopes []float64
 
 	for i, a := range r.samples {
 		for _, b := range r.samples[:i] {
-			if d := a.tokens - b.tokens; d >= leastApart || d <= -leastApart {
+			if d := a.tokens - b.tokens; d >= minTokenDifference || d <= -minTokenDifference {
 				slopes = append(slopes, (a.ms-b.ms)/float64(d))
 			}
 		}
 	}
 
-	if len(slopes) < leastPairs {
+	if len(slopes) < minPairs {
 		return
 	}
 
@@ -104,40 +107,40 @@
 	}
 }
 
-// TokensPerMs returns the rate; ok is false while too little was seen.
-func (r *Reader) TokensPerMs() (rate float64, ok bool) {
+// TokensPerMs returns the rate, and false if there are too few observations.
+func (r *RateEstimator) TokensPerMs() (rate float64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	return r.rate, r.rate > 0
 }
 
-// meanWeight is the weight of one more value: the mean follows the last hundred or so,
-// a few seconds of an entry's requests.
+// meanWeight is the weight of a new value. The mean follows about the last hundred values, a
+// few seconds of an entry's requests.
 const meanWeight = 0.01
 
-// Mean is a moving mean. The zero value has seen nothing; its methods may be called
-// from many goroutines.
+// Mean is a moving mean. The zero value has no observations; its methods are safe for
+// concurrent use.
 type Mean struct {
 	mu    sync.Mutex
-	seen  int
+	count int
 	value float64
 }
 
-// Observe takes a value.
+// Observe adds a value.
 func (m *Mean) Observe(v float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	m.seen++
-	// The first values weigh alike.
-	m.value += (v - m.value) * max(meanWeight, 1/float64(m.seen))
+	m.count++
+	// The first values have equal weights.
+	m.value += (v - m.value) * max(meanWeight, 1/float64(m.count))
 }
 
-// Value returns the mean; ok is false while nothing was seen.
+// Value returns the mean, and false if there are no observations.
 func (m *Mean) Value() (v float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	return m.value, m.seen > 0
+	return m.value, m.count > 0
 }
--- a/profile/profile_test.go
+++ b/profile/profile_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// after returns the time to the first event of a prompt on an engine: 40 ms before its
-// reading, and up to 8 ms more by chance.
-func after(r *rand.Rand, tokens int, tokensPerMs float64) time.Duration {
+// firstEventTime returns the time to the first event of a prompt on an engine: 40 ms before
+// the prefill, the prefill, and up to 8 ms of random variation.
+func firstEventTime(r *rand.Rand, tokens int, tokensPerMs float64) time.Duration {
 	ms := 40 + 8*r.Float64() + float64(tokens)/tokensPerMs
 
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Engines of the three deployments known read 51, 64 and 157 tokens a ms, those of two
-// years from now perhaps 500; their prompts have 80 to 17,000 tokens to read.
+// Engines of the three known deployments prefill 51, 64 and 157 tokens a ms, and those of two
+// years from now perhaps 500. Their prompts have 80 to 17,000 tokens to prefill.
 func TestReadingRateIsLearned(t *testing.T) {
 	for _, want := range []float64{51, 64, 157, 500} {
 		r := rand.New(rand.NewPCG(1, uint64(want)))
 
-		var l Reader
+		var l RateEstimator
 
-		for range keptSamples {
+		for range maxSamples {
 			tokens := 80 + r.IntN(400)
 			if r.IntN(4) == 0 {
 				tokens = 2000 + r.IntN(15_000)
 			}
 
-			l.Observe(tokens, after(r, tokens, want))
+			l.Observe(tokens, firstEventTime(r, tokens, want))
 		}
 
 		if got, ok := l.TokensPerMs(); !ok || math.Abs(got-want) > want/5 {
@@ -38,23 +38,23 @@
 	}
 }
 
-// Now and then a prompt has to wait though its engine seemed to have nothing to do,
-// or the engine had a part already that nobody told of. Taken at its word, one such
-// answer would have prompts wait for engines that are ten times slower.
+// Guards against an estimate that follows outliers: a prompt may have to wait although its
+// engine seemed to be idle, or the engine may have held a part already that was not reported.
+// Following one such answer would make prompts wait for engines that are ten times slower.
 func TestReadingRateStandsMisleadingAnswers(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 
-	var l Reader
+	var l RateEstimator
 
-	for i := range 4 * keptSamples {
+	for i := range 4 * maxSamples {
 		tokens := 300 + r.IntN(12_000)
-		took := after(r, tokens, 157)
+		took := firstEventTime(r, tokens, 157)
 
 		switch i % 10 {
 		case 3:
 			took += 400 * time.Millisecond
 		case 6:
-			took = after(r, 0, 157)
+			took = firstEventTime(r, 0, 157)
 		}
 
 		l.Observe(tokens, took)
@@ -66,25 +66,25 @@
 }
 
 func TestNothingIsToldBeforeEnoughWasSeen(t *testing.T) {
-	var l Reader
+	var l RateEstimator
 
-	for range leastSamples - 1 {
+	for range minSamples - 1 {
 		l.Observe(5000, time.Second)
 	}
 
 	if got, ok := l.TokensPerMs(); ok {
-		t.Errorf("after few prompts: got %v, want nothing", got)
+		t.Errorf("too few prompts: got %v, want no rate", got)
 	}
 
-	var alike Reader
+	var sameLength RateEstimator
 
-	for range keptSamples {
-		alike.Observe(100, 50*time.Millisecond)
-		alike.Observe(120, 40*time.Millisecond)
+	for range maxSamples {
+		sameLength.Observe(100, 50*time.Millisecond)
+		sameLength.Observe(120, 40*time.Millisecond)
 	}
 
-	if got, ok := alike.TokensPerMs(); ok {
-		t.Errorf("after prompts of one length: got %v, want nothing", got)
+	if got, ok := sameLength.TokensPerMs(); ok {
+		t.Errorf("prompts of similar length: got %v, want no rate", got)
 	}
 }
 
@@ -92,7 +92,7 @@
 	var m Mean
 
 	if _, ok := m.Value(); ok {
-		t.Error("got a mean of nothing")
+		t.Error("got a mean without observations")
 	}
 
 	m.Observe(10)
