--- a/slowstart/guard.go
+++ b/slowstart/guard.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Guard is the slow start of the target beside a process. Use NewGuard; its methods may be
-// called from many goroutines.
+// Guard issues the permits for the slow start of one target, in the process beside it. Use
+// NewGuard; its methods are safe for concurrent use.
 type Guard struct {
-	mu     sync.Mutex
-	limit  Limit
-	until  time.Time // when the target is warm
-	warm   bool      // the target said so, and nothing else was heard since
-	at     time.Time // up to when permits were saved up
-	saved  float64   // permits that may be handed out
-	random *rand.Rand
+	mu            sync.Mutex
+	limit         Limit
+	coldUntil     time.Time // when the target is expected to be warm
+	confirmedWarm bool      // the target reported that it is warm, and nothing since suggests otherwise
+	accruedUntil  time.Time // up to when permits were accrued
+	accrued       float64   // permits that may be issued
+	rng           *rand.Rand
 }
 
-// NewGuard returns a Guard of a target that is warm. Permits are drawn by seed.
+// NewGuard returns a Guard of a target that is not known to be cold. Seed seeds the random
+// distribution of permits.
 func NewGuard(l Limit, seed uint64) *Guard {
-	return &Guard{limit: l, random: rand.New(rand.NewPCG(seed, 0))}
+	return &Guard{limit: l, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// SetLimit sets what the target bears while it is cold.
+// SetLimit sets the limit on requests to the target while it is cold.
 func (g *Guard) SetLimit(l Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,7 +32,7 @@
 	g.limit = l
 }
 
-// Bounded reports whether the target is bounded while it is cold.
+// Bounded reports whether requests to the target are limited while it is cold.
 func (g *Guard) Bounded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -39,27 +40,28 @@
 	return g.limit.Bounded()
 }
 
-// Started takes how long ago the target was started.
+// Started records that the target was started some time ago.
 func (g *Guard) Started(now time.Time, ago time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	g.cold(now, g.limit.Duration-ago)
+	g.extendCold(now, g.limit.Duration-ago)
 }
 
-// Told takes how much longer the target says that it stays cold; zero for one that is warm.
-func (g *Guard) Told(now time.Time, left time.Duration) {
+// Told records how much longer the target stays cold, as it reported; zero means that it is
+// warm.
+func (g *Guard) Told(now time.Time, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	g.warm = left <= 0
-	if g.warm {
-		g.until = earlier(g.until, now)
+	g.confirmedWarm = remaining <= 0
+	if g.confirmedWarm {
+		g.coldUntil = earlier(g.coldUntil, now)
 
 		return
 	}
 
-	g.cold(now, left)
+	g.extendCold(now, remaining)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -70,99 +72,102 @@
 	return b
 }
 
-// Doubt takes that the target may be cold from now on.
+// Doubt records that the target may have become cold at now.
 func (g *Guard) Doubt(now time.Time) { g.Started(now, 0) }
 
-// cold lengthens the time for which the target counts as cold. The caller holds mu.
-func (g *Guard) cold(now time.Time, left time.Duration) {
-	until := now.Add(left)
-	if left <= 0 {
+// extendCold extends the time for which the target is taken for cold; it never shortens it.
+// The caller holds mu.
+func (g *Guard) extendCold(now time.Time, remaining time.Duration) {
+	until := now.Add(remaining)
+	if remaining <= 0 {
 		return
 	}
 
-	g.warm = false
+	g.confirmedWarm = false
 
-	if !until.After(g.until) {
+	if !until.After(g.coldUntil) {
 		return
 	}
 
-	if !now.Before(g.until) {
-		g.at, g.saved = now.Add(newsTime), 0
+	if !now.Before(g.coldUntil) {
+		g.accruedUntil, g.accrued = now.Add(coldPropagationTime), 0
 	}
 
-	g.until = until
+	g.coldUntil = until
 }
 
-// newsTime is how long entries may send to a target that has just turned cold as if it were
-// warm. No permits are saved up in that time.
-const newsTime = 250 * time.Millisecond
+// coldPropagationTime is how long entries may treat a target that has just become cold as warm,
+// because they do not know yet. No permits accrue in that time.
+const coldPropagationTime = 250 * time.Millisecond
 
 // Warm reports whether the target is known to be warm.
 func (g *Guard) Warm(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	return g.warm && !now.Before(g.until)
+	return g.confirmedWarm && !now.Before(g.coldUntil)
 }
 
-// Left returns how much longer the target stays cold.
+// Left returns how much longer the target stays cold; zero if its requests are not limited.
 func (g *Guard) Left(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	return g.left(now)
+	return g.remaining(now)
 }
 
-func (g *Guard) left(now time.Time) time.Duration {
+func (g *Guard) remaining(now time.Time) time.Duration {
 	if !g.limit.Bounded() {
 		return 0
 	}
 
-	return max(g.until.Sub(now), 0)
+	return max(g.coldUntil.Sub(now), 0)
 }
 
-// Claim is an entry that may get permits.
+// Claim is the claim of one entry to permits.
 type Claim struct {
-	// Name is the entry's.
+	// Name is the name of the entry.
 	Name string
-	// Demand is how many requests a second come to it, as far as it has told.
+	// Demand is how many requests a second arrive at the entry; zero if it has not reported
+	// any.
 	Demand int
 }
 
-// Permits hands out the permits that were saved up since the last call to some of the
-// entries, in proportion to their demand. It returns how many each gets.
+// Permits issues the permits that have accrued since the last call. It draws the entry that
+// gets each permit at random, in proportion to demand, and returns the number of permits by
+// entry name.
 func (g *Guard) Permits(now time.Time, claims []Claim) map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	if !g.limit.Bounded() || len(claims) == 0 || !now.Before(g.until.Add(warmNews)) {
+	if !g.limit.Bounded() || len(claims) == 0 || !now.Before(g.coldUntil.Add(warmPropagationTime)) {
 		return nil
 	}
 
-	g.save(now)
+	g.accrue(now)
 
 	permits := make(map[string]int)
-	draw := newLottery(claims)
+	l := newLottery(claims)
 
-	for ; g.saved >= 1; g.saved-- {
-		permits[draw.next(g.random)]++
+	for ; g.accrued >= 1; g.accrued-- {
+		permits[l.next(g.rng)]++
 	}
 
 	return permits
 }
 
-// warmNews is how long after the target turned warm permits are still handed out: entries
-// that heard of its state late take it for cold for that much longer.
-const warmNews = 700 * time.Millisecond
+// warmPropagationTime is how long permits are issued after the target became warm, since entries
+// with stale reports still take it for cold.
+const warmPropagationTime = 700 * time.Millisecond
 
-// saveMost is for how long permits are saved up: longer, and those of a second that nobody
-// asked for would all be used at once.
-const saveMost = 150 * time.Millisecond
+// maxAccrualTime is the maximum time between calls of Permits for which permits accrue. With a
+// longer one, the permits of a second without calls could all be used at once.
+const maxAccrualTime = 150 * time.Millisecond
 
-// save adds the permits of the time since the last call. The caller holds mu.
-func (g *Guard) save(now time.Time) {
-	if since := now.Sub(g.at); since > 0 {
-		g.saved = min(g.saved, 1) + min(since, saveMost).Seconds()*g.limit.permitRate()
-		g.at = now
+// accrue adds the permits for the time since the last call. The caller holds mu.
+func (g *Guard) accrue(now time.Time) {
+	if since := now.Sub(g.accruedUntil); since > 0 {
+		g.accrued = min(g.accrued, 1) + min(since, maxAccrualTime).Seconds()*g.limit.permitRate()
+		g.accruedUntil = now
 	}
 }
--- a/slowstart/guard_test.go
+++ b/slowstart/guard_test.go
@@ -12,8 +12,8 @@
 	limit = NewLimit(3*time.Second, 32, 1.5, 5)
 )
 
-// issue lets a guard hand out permits every 100 ms and returns what each entry got.
-func issue(g *Guard, from time.Time, d time.Duration, claims ...Claim) map[string]int {
+// issuePermits calls Permits every 100 ms and returns the number of permits by entry.
+func issuePermits(g *Guard, from time.Time, d time.Duration, claims ...Claim) map[string]int {
 	all := make(map[string]int)
 
 	for now := from; now.Before(from.Add(d)); now = now.Add(100 * time.Millisecond) {
@@ -29,27 +29,27 @@
 	g := NewGuard(limit, 1)
 	claim := Claim{"a", 10}
 
-	if got := issue(g, epoch, time.Second, claim); len(got) != 0 {
+	if got := issuePermits(g, epoch, time.Second, claim); len(got) != 0 {
 		t.Errorf("warm: got %v permits, want none", got)
 	}
 
 	g.Started(epoch, 0)
 
-	if got := issue(g, epoch, 200*time.Millisecond, claim); len(got) != 0 {
-		t.Errorf("before entries know: got %v permits, want none", got)
+	if got := issuePermits(g, epoch, 200*time.Millisecond, claim); len(got) != 0 {
+		t.Errorf("before entries know that it is cold: got %v permits, want none", got)
 	}
 
-	if got, want := issue(g, epoch.Add(time.Second), 2*time.Second, claim)["a"], 51; got < want || got > 64 {
-		t.Errorf("cold: got %d permits in two seconds, want %d to 64", got, want)
+	if got, want := issuePermits(g, epoch.Add(time.Second), 2*time.Second, claim)["a"], 51; got < want || got > 64 {
+		t.Errorf("cold: got %d permits in 2 s, want %d to 64", got, want)
 	}
 
 	g.Told(epoch.Add(3*time.Second), 0)
 
 	if !g.Warm(epoch.Add(3 * time.Second)) {
-		t.Error("got a target that isn't known to be warm")
+		t.Error("got a target not known to be warm, want it known")
 	}
 
-	if got := issue(g, epoch.Add(4*time.Second), time.Second, claim); len(got) != 0 {
+	if got := issuePermits(g, epoch.Add(4*time.Second), time.Second, claim); len(got) != 0 {
 		t.Errorf("warm again: got %v permits, want none", got)
 	}
 }
@@ -61,18 +61,19 @@
 	g := NewGuard(limit, 1)
 	g.Started(epoch, 0)
 
-	first := issue(g, epoch.Add(time.Second), 20*time.Second, Claim{"idle", 0}, Claim{"usual", 30}, Claim{"busy", 90})
+	first := issuePermits(g, epoch.Add(time.Second), 20*time.Second, Claim{"idle", 0}, Claim{"usual", 30}, Claim{"busy", 90})
 	if first["busy"] < 2*first["usual"] || first["usual"] < 2*first["idle"] || first["idle"] == 0 {
 		t.Errorf("got %v, want permits in proportion to the demand and some for the idle entry", first)
 	}
 
-	then := issue(g, epoch.Add(21*time.Second), 2*time.Second, Claim{"idle", 90}, Claim{"usual", 30}, Claim{"busy", 0})
+	then := issuePermits(g, epoch.Add(21*time.Second), 2*time.Second, Claim{"idle", 90}, Claim{"usual", 30}, Claim{"busy", 0})
 	if then["idle"] < then["usual"] {
-		t.Errorf("got %v after the demand changed, want most for the one that was idle", then)
+		t.Errorf("got %v after the demand changed, want most for the entry that was idle before", then)
 	}
 }
 
-// Guards against an engine that counts as warm from its last start's answers.
+// Guards against a target that is taken for warm because of the answers that it gave before it
+// was restarted.
 func TestDoubtStandsUntilTheTargetIsAsked(t *testing.T) {
 	g := NewGuard(limit, 1)
 	g.Told(epoch, 0)
@@ -85,51 +86,51 @@
 	g.Told(epoch.Add(2*time.Second), 500*time.Millisecond)
 
 	if got := g.Left(epoch.Add(4 * time.Second)); got != 0 {
-		t.Errorf("got %v left after the time told, want none", got)
+		t.Errorf("got %v left after the reported time, want none", got)
 	}
 }
 
-// health is a target that tells how long it stays cold.
-type health struct {
-	cold time.Duration
-	err  error
-	got  []string
+// fakeHealth is a target that reports how long it stays cold.
+type fakeHealth struct {
+	cold     time.Duration
+	err      error
+	requests []string
 }
 
-func (h *health) Health(_ context.Context, address, path string) (time.Duration, error) {
-	h.got = append(h.got, address+path)
+func (h *fakeHealth) Health(_ context.Context, address, path string) (time.Duration, error) {
+	h.requests = append(h.requests, address+path)
 
 	return h.cold, h.err
 }
 
 func TestProbeAsksOnlyWhereItMatters(t *testing.T) {
-	h := &health{cold: time.Second}
+	h := &fakeHealth{cold: time.Second}
 	g := NewGuard(Limit{}, 1)
 	p := NewProbe(ProbeConfig{Guard: g, Health: h, Address: "a"})
 	p.SetPath("/health")
 
-	if got := p.next(); got != "" {
-		t.Errorf("nothing is bounded: got a question at %q", got)
+	if got := p.nextPath(); got != "" {
+		t.Errorf("without a limit: got a check at %q, want none", got)
 	}
 
 	g.SetLimit(limit)
 	p.Hold(true)
 
-	if got := p.next(); got != "" {
-		t.Errorf("evacuated: got a question at %q", got)
+	if got := p.nextPath(); got != "" {
+		t.Errorf("on hold: got a check at %q, want none", got)
 	}
 
 	p.Hold(false)
-	p.ask(t.Context(), p.next())
+	p.checkHealth(t.Context(), p.nextPath())
 
-	if got := g.Left(time.Now()); len(h.got) != 1 || h.got[0] != "a/health" || got <= 0 {
-		t.Errorf("got %v asked and %v left, want one question and a second", h.got, got)
+	if got := g.Left(time.Now()); len(h.requests) != 1 || h.requests[0] != "a/health" || got <= 0 {
+		t.Errorf("got checks at %v and %v left, want one check and up to 1 s", h.requests, got)
 	}
 
 	h.err = errors.New("busy")
-	p.ask(t.Context(), p.next())
+	p.checkHealth(t.Context(), p.nextPath())
 
 	if g.Warm(time.Now()) {
-		t.Error("no answer: got a target that is warm")
+		t.Error("no answer: got a target known to be warm, want it unknown")
 	}
 }
--- a/slowstart/lottery.go
+++ b/slowstart/lottery.go
@@ -5,38 +5,38 @@
 	"sort"
 )
 
-// leastShare is the part of the mean demand for which each entry counts at least: one that
-// has just started has told no demand yet.
-const leastShare = 0.25
+// minDemandShare is the minimum weight of an entry as a share of the mean demand, since an entry
+// that has just started has reported no demand yet.
+const minDemandShare = 0.25
 
 // lottery draws entries in proportion to their demand (lottery scheduling, Waldspurger and
-// Weihl 1994). It keeps no debts, so that it follows a demand that changes at once.
+// Weihl 1994). It carries nothing over between draws, so it follows sudden changes of demand.
 type lottery struct {
-	claims []Claim
-	upTo   []float64 // sum of the weights up to and with each claim
+	claims     []Claim
+	cumulative []float64 // sum of the weights up to and including each claim
 }
 
 func newLottery(claims []Claim) lottery {
-	all := 0
+	total := 0
 	for _, c := range claims {
-		all += c.Demand
+		total += c.Demand
 	}
 
-	least := max(leastShare*float64(all)/float64(len(claims)), 1)
-	l := lottery{claims: claims, upTo: make([]float64, len(claims))}
+	minWeight := max(minDemandShare*float64(total)/float64(len(claims)), 1)
+	l := lottery{claims: claims, cumulative: make([]float64, len(claims))}
 	sum := 0.0
 
 	for i, c := range claims {
-		sum += max(float64(c.Demand), least)
-		l.upTo[i] = sum
+		sum += max(float64(c.Demand), minWeight)
+		l.cumulative[i] = sum
 	}
 
 	return l
 }
 
-// next returns the name of the entry that is drawn.
+// next returns the name of a randomly drawn entry.
 func (l lottery) next(r *rand.Rand) string {
-	x := r.Float64() * l.upTo[len(l.upTo)-1]
+	x := r.Float64() * l.cumulative[len(l.cumulative)-1]
 
-	return l.claims[sort.SearchFloat64s(l.upTo, x)].Name
+	return l.claims[sort.SearchFloat64s(l.cumulative, x)].Name
 }
--- a/slowstart/probe.go
+++ b/slowstart/probe.go
@@ -8,46 +8,47 @@
 	"boragehub/pause"
 )
 
-// Health asks a target how it is.
+// Health checks the health of a target.
 type Health interface {
-	// Health returns how much longer the target at an address stays cold.
+	// Health returns how much longer the target at an address stays cold; zero means that it
+	// is warm.
 	Health(ctx context.Context, address, path string) (cold time.Duration, err error)
 }
 
-// ProbeConfig is what a Probe works with.
+// ProbeConfig configures a Probe.
 type ProbeConfig struct {
-	// Guard takes what the target says.
+	// Guard receives the target's answers.
 	Guard *Guard
-	// Health is asked, for the target at Address.
+	// Health checks the target at Address.
 	Health  Health
 	Address string
 }
 
-// Probe asks the target beside a process whether it is cold: it may be so again at any time.
-// Use NewProbe.
+// Probe regularly checks whether the target beside a process is cold, since it may become cold
+// again at any time. Use NewProbe.
 type Probe struct {
 	cfg ProbeConfig
 
-	mu   sync.Mutex
-	path string
-	held bool
+	mu        sync.Mutex
+	path      string
+	suspended bool
 }
 
 const (
-	// probeEvery is the pause between two questions. Each takes one of the target's places
-	// for a moment.
-	probeEvery = time.Second
-	// firstProbe is the pause until it is known where to ask. A target counts as cold until it
-	// was asked once.
-	firstProbe = 50 * time.Millisecond
-	// probeTimeout is how long an answer may take.
+	// probeInterval is the pause between two checks. Each briefly occupies one of the target's
+	// request slots.
+	probeInterval = time.Second
+	// firstProbeInterval is the pause until the path to check is known. A target is not known
+	// to be warm before its first check.
+	firstProbeInterval = 50 * time.Millisecond
+	// probeTimeout is the timeout of a check.
 	probeTimeout = 500 * time.Millisecond
 )
 
 // NewProbe returns a Probe that Run starts.
 func NewProbe(cfg ProbeConfig) *Probe { return &Probe{cfg: cfg} }
 
-// SetPath sets where the target is asked; empty asks nothing.
+// SetPath sets the path of the checks; without one the target is not checked.
 func (p *Probe) SetPath(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,44 +56,44 @@
 	p.path = path
 }
 
-// Hold has the target left alone, or asked again.
-func (p *Probe) Hold(held bool) {
+// Hold suspends or resumes the checks.
+func (p *Probe) Hold(suspended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.held = held
+	p.suspended = suspended
 }
 
-// next returns where the target is to be asked now; empty for nowhere.
-func (p *Probe) next() string {
+// nextPath returns the path to check now; empty for no check.
+func (p *Probe) nextPath() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if p.held || !p.cfg.Guard.Bounded() {
+	if p.suspended || !p.cfg.Guard.Bounded() {
 		return ""
 	}
 
 	return p.path
 }
 
-// Run asks until ctx ends.
+// Run checks the target until ctx ends.
 func (p *Probe) Run(ctx context.Context) {
-	every := firstProbe
+	every := firstProbeInterval
 
 	for pause.For(ctx, every) {
-		if path := p.next(); path != "" {
-			p.ask(ctx, path)
+		if path := p.nextPath(); path != "" {
+			p.checkHealth(ctx, path)
 
-			every = probeEvery
+			every = probeInterval
 		}
 	}
 }
 
-func (p *Probe) ask(ctx context.Context, path string) {
+func (p *Probe) checkHealth(ctx context.Context, path string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 
-	// One that doesn't answer is busy or gone, which its pulse tells.
+	// A target that does not answer is busy or dead; its load reports tell which.
 	if cold, err := p.cfg.Health.Health(ctx, p.cfg.Address, path); err == nil {
 		p.cfg.Guard.Told(time.Now(), cold)
 	}
