--- a/vault/vault_test.go
+++ b/vault/vault_test.go
@@ -27,8 +27,8 @@
 }
 
 // Guards against freeing a part while an engine fetches it: the engine would get corrupt KV
-// cache, and the caller an answer computed from another prompt's. The processes learn of new
-// weight versions early, late or not at all.
+// cache, and the caller an answer computed from the KV cache of another prompt. The processes
+// learn of new weight versions early, late or not at all.
 func TestNothingIsFreedThatMayStillBeFetched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -252,7 +252,7 @@
 	}
 }
 
-// Guards against updates that leave the receiver's parts different from the reporter's, at any
+// Guards against updates that leave the receiver's parts different from the reporter's, in any
 // order of changes, polls and restarts of the store or the reporter. Each fetch of a part that
 // only the receiver knows is a miss.
 func TestFollowersKnowWhatTheirTellerKnows(t *testing.T) {
