--- a/pulse/listener.go
+++ b/pulse/listener.go
@@ -13,39 +13,40 @@
 
 // ListenerConfig configures a Listener.
 type ListenerConfig struct {
-	// Address is where pulses come in.
+	// Address is the local UDP address at which load reports arrive.
 	Address string
-	// Port is the port of side processes' beacons.
+	// Port is the UDP port at which side processes accept subscriptions.
 	Port int
-	// Engines returns the addresses of the engines to subscribe to, and the pause
-	// between two pulses of one.
-	Engines func() (addresses []string, pace time.Duration)
-	// Demand returns how many prompts a second come to this process, and whether engines share
-	// their rate by that now; nil tells nothing.
+	// Engines returns the addresses of the engines to subscribe to, and the time
+	// between two load reports of one engine.
+	Engines func() (addresses []string, interval time.Duration)
+	// Demand returns the rate of prompts at this process, per second, and whether engines
+	// currently divide their permits by it; nil reports no demand.
 	Demand func(now time.Time) (perSecond int, shared bool)
-	// OnPulse gets each pulse, newest last, from one goroutine.
+	// OnPulse is called with each load report, per engine in the order of sending, from one
+	// goroutine.
 	OnPulse func(now time.Time, p Pulse)
 }
 
-// Listener subscribes to engines and takes their pulses. Use Listen.
+// Listener subscribes to engines and receives their load reports. Use Listen.
 type Listener struct {
-	cfg  ListenerConfig
-	conn *net.UDPConn
-	seen map[string]Pulse
-	pace atomic.Int64 // in ns, as asked for last
+	cfg      ListenerConfig
+	conn     *net.UDPConn
+	latest   map[string]Pulse
+	interval atomic.Int64 // requested report interval in ns
 }
 
-// Listen binds the address.
+// Listen returns a Listener that is bound to cfg.Address.
 func Listen(cfg ListenerConfig) (*Listener, error) {
 	conn, err := listen(cfg.Address)
 	if err != nil {
 		return nil, err
 	}
 
-	return &Listener{cfg: cfg, conn: conn, seen: make(map[string]Pulse)}, nil
+	return &Listener{cfg: cfg, conn: conn, latest: make(map[string]Pulse)}, nil
 }
 
-// Run subscribes and listens until ctx ends.
+// Run renews the subscriptions and receives load reports until ctx ends.
 func (l *Listener) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { closeConn(l.conn) })
 	defer stop()
@@ -57,7 +58,7 @@
 	for ctx.Err() == nil {
 		n, _, err := l.conn.ReadFromUDP(buf)
 		if err != nil {
-			pause.For(ctx, Every)
+			pause.For(ctx, MinInterval)
 
 			continue
 		}
@@ -67,46 +68,46 @@
 			continue
 		}
 
-		p.Pace = time.Duration(l.pace.Load())
+		p.Interval = time.Duration(l.interval.Load())
 		l.cfg.OnPulse(time.Now(), p)
 	}
 }
 
-// newer reports whether a pulse is newer than those seen: datagrams may overtake
-// each other.
+// newer reports whether a load report is newer than the latest one of its engine, and if so
+// records it. Datagrams may arrive out of order.
 func (l *Listener) newer(p Pulse) bool {
-	old, ok := l.seen[p.Engine]
+	old, ok := l.latest[p.Engine]
 	if ok && (p.Start < old.Start || (p.Start == old.Start && p.Sequence <= old.Sequence)) {
 		return false
 	}
 
 	const maxSeen = 4096
-	if len(l.seen) >= maxSeen {
-		clear(l.seen)
+	if len(l.latest) >= maxSeen {
+		clear(l.latest)
 	}
 
-	l.seen[p.Engine] = p
+	l.latest[p.Engine] = p
 
 	return true
 }
 
-// subscribe subscribes to the engines now and then.
+// subscribe sends subscriptions to the engines periodically until ctx ends.
 func (l *Listener) subscribe(ctx context.Context) {
 	for {
-		engines, pace := l.cfg.Engines()
-		l.pace.Store(int64(pace))
+		engines, interval := l.cfg.Engines()
+		l.interval.Store(int64(interval))
 
-		s := Subscription{PaceMs: pace.Milliseconds()}
-		every := subscribeEvery
+		s := Subscription{IntervalMs: interval.Milliseconds()}
+		every := subscribeInterval
 
 		if l.cfg.Demand != nil {
 			var shared bool
 			if s.Demand, shared = l.cfg.Demand(time.Now()); shared {
-				every = demandEvery
+				every = demandInterval
 			}
 		}
 
-		body := subscription(s)
+		body := encodeSubscription(s)
 
 		for _, engine := range engines {
 			host, _, err := net.SplitHostPort(engine)
@@ -114,13 +115,13 @@
 				continue
 			}
 
-			//nolint:errcheck,gosec // the next one may arrive
+			//nolint:errcheck,gosec // a lost subscription is renewed
 			l.conn.WriteToUDP(body, &net.UDPAddr{IP: net.ParseIP(host), Port: l.cfg.Port})
 		}
 
 		if len(engines) == 0 {
-			// The register was not read yet.
-			every = Every
+			// The register has not been read yet.
+			every = MinInterval
 		}
 
 		if !pause.For(ctx, every) {
@@ -129,11 +130,11 @@
 	}
 }
 
-// subscription returns what is sent to engines.
-func subscription(s Subscription) []byte {
+// encodeSubscription returns the CBOR encoding of a subscription.
+func encodeSubscription(s Subscription) []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		return []byte{0} // a number always has a form
+		return []byte{0} // a struct of numbers can always be encoded
 	}
 
 	return body
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -1,20 +1,19 @@
-// Package pulse tells entries, several times a second, how much an engine has to
-// do, at first hand.
+// Package pulse sends load reports of engines directly to entries, several times a second.
 //
 // # Model
 //
-// Answers tell an engine's load too, but an entry gets one from each engine only
-// every second or so, and what a long prompt waits for, memory, is not in them.
-// The side process can ask its engine for nothing. So an entry subscribes to the
-// engines that it may choose, with a datagram a second, and a side process
-// answers with its engine's pulse at once and then regularly for as long as the
-// subscription lasts. A lost datagram costs nothing but the age of a belief, and
-// a side process needs to know no entry.
+// Answers carry an engine's load too, but an entry gets one from each engine only about
+// once a second, and they don't include memory use, which long prompts wait for. The side
+// process can query its engine at no cost. An entry therefore subscribes to the engines
+// that it may route to, with one UDP datagram a second. The side process sends its engine's
+// load report at its next tick and then at the requested interval until the subscription
+// expires. A lost datagram only makes the known load staler, and a side process needs no
+// list of entries.
 //
-// A pulse has about 60 bytes, and 12 more for each long part of a prompt in the
-// engine's memory. At the default pace one engine costs an entry some 1.5 kilobytes a
-// second, so an entry that may choose among many engines subscribes to
-// a few and asks them less often (Share).
+// A load report has about 60 bytes, and 12 more for each long part of a prompt in the
+// engine's KV cache. At the default interval one engine costs an entry about 1.5 kilobytes
+// a second, so an entry that may route to many engines subscribes to some of them only, at
+// a longer interval (PlanSubscriptions).
 //
 // # Example
 //
@@ -28,59 +27,59 @@
 	"boragehub/resident"
 )
 
-// Pulse is how much an engine has to do.
+// Pulse is a load report of an engine.
 type Pulse struct {
 	// Engine is the engine's address.
 	Engine string `cbor:"1,keyasint"`
-	// Sequence rises with each pulse of one start of the side process; Start is
-	// when that began, in ns of its clock.
+	// Sequence increases by one with each load report since the start of the side
+	// process; Start is the time of that start, in ns of its clock.
 	Sequence uint64 `cbor:"2,keyasint"`
 	Start    int64  `cbor:"3,keyasint"`
-	// Running and Waiting are the engine's requests.
+	// Running and Waiting are the numbers of the engine's running and queued requests.
 	Running int `cbor:"4,keyasint"`
 	Waiting int `cbor:"5,keyasint"`
-	// Reading are those of Running whose prompt is still being read.
+	// Reading is the number of running requests that are still in prefill.
 	Reading int `cbor:"13,keyasint,omitempty"`
-	// UsedTokens is the memory that requests hold, of TotalTokens.
+	// UsedTokens is the part of the KV cache that requests hold, TotalTokens its size.
 	UsedTokens  int `cbor:"7,keyasint"`
 	TotalTokens int `cbor:"8,keyasint"`
-	// Model and Version are what it has loaded.
+	// Model and Version are the loaded model and its weight version.
 	Model   string `cbor:"9,keyasint"`
 	Version int64  `cbor:"10,keyasint"`
-	// Clock is the engines' clock in ms when the engine was asked.
+	// Clock is the engine's clock in ms when it was queried.
 	Clock int64 `cbor:"12,keyasint,omitempty"`
-	// Born is when the engine was started, in ms of its clock; zero when it doesn't
-	// tell.
+	// Born is the engine's start time in ms of its clock; zero when not reported.
 	Born int64 `cbor:"14,keyasint,omitempty"`
-	// LoadInMs is how long it is until the engine is to load new weights, at least 1;
-	// zero when it isn't to.
+	// LoadInMs is the time until the engine's next weight load, at least 1; zero when
+	// none is scheduled.
 	LoadInMs int64 `cbor:"15,keyasint,omitempty"`
-	// ColdMs is how much longer the engine stays cold after its start; zero when it isn't
-	// known to be. Warm says that it is known not to be.
+	// ColdMs is the time until the engine is warm after its start; zero when it isn't known
+	// to be cold. Warm reports whether it is known to be warm.
 	ColdMs int64 `cbor:"16,keyasint,omitempty"`
 	Warm   bool  `cbor:"18,keyasint,omitempty"`
-	// Permits are how many requests the subscriber may send while the engine is cold,
-	// besides those that it was permitted before.
+	// Permits is the number of requests that the subscriber may send while the engine is
+	// cold, in addition to those permitted earlier.
 	Permits int `cbor:"17,keyasint,omitempty"`
-	// Resident are the long parts of prompts in its memory.
+	// Resident lists the long parts of prompts in the engine's KV cache.
 	Resident []resident.Part `cbor:"11,keyasint,omitempty"`
-	// Pace is the pause between two pulses that the listener asked for.
-	Pace time.Duration `cbor:"-"`
+	// Interval is the time between two load reports that the listener asked for.
+	Interval time.Duration `cbor:"-"`
 }
 
-// Forgotten returns what is left of a pulse when its engine was started anew: nothing
-// but the pace at which it is told.
-func (p Pulse) Forgotten() Pulse { return Pulse{Engine: p.Engine, Pace: p.Pace} }
+// AfterRestart returns the part of p that stays valid when the engine has restarted: its
+// address and the report interval.
+func (p Pulse) AfterRestart() Pulse { return Pulse{Engine: p.Engine, Interval: p.Interval} }
 
-// Subscription is what an entry sends to a side process.
+// Subscription is the datagram that an entry sends to a side process.
 type Subscription struct {
-	// PaceMs is the pause between two pulses, zero for the shortest one.
-	PaceMs int64 `cbor:"1,keyasint,omitempty"`
-	// Demand is how many prompts a second come to the entry.
+	// IntervalMs is the time between two load reports; zero means MinInterval.
+	IntervalMs int64 `cbor:"1,keyasint,omitempty"`
+	// Demand is the rate of prompts at the entry, per second.
 	Demand int `cbor:"2,keyasint,omitempty"`
 }
 
-// Has reports whether the engine has so many tokens of a part.
+// Has reports whether the engine's KV cache holds at least that many tokens of the part
+// with the given key.
 func (p Pulse) Has(key uint64, tokens int) bool {
 	for _, r := range p.Resident {
 		if r.Key == key {
@@ -93,20 +92,22 @@
 
 // Timing.
 const (
-	// Every is the pause between two pulses. A long prompt is read in 0.1 to 0.4 s.
-	Every = 100 * time.Millisecond
-	// subscribeEvery is the pause between two subscriptions.
-	subscribeEvery = time.Second
-	// demandEvery is the pause while engines share their rate by the demand told.
-	demandEvery = 250 * time.Millisecond
-	// subscribed is how long one lasts, so that two may be lost.
-	subscribed = 3500 * time.Millisecond
+	// MinInterval is the shortest time between two load reports. Prefill of a long prompt
+	// takes 0.1 to 0.4 s.
+	MinInterval = 100 * time.Millisecond
+	// subscribeInterval is the time between two subscription datagrams.
+	subscribeInterval = time.Second
+	// demandInterval replaces subscribeInterval while engines divide their permits by the reported demand.
+	demandInterval = 250 * time.Millisecond
+	// subscriptionTTL is the lifetime of a subscription; up to two datagrams in a row may be
+	// lost.
+	subscriptionTTL = 3500 * time.Millisecond
 )
 
 // Bounds.
 const (
-	// maxDatagram is more than a pulse has.
+	// maxDatagram is the size of receive buffers in bytes; load reports are smaller.
 	maxDatagram = 512
-	// maxSubscribers bounds the entries that one engine is told to.
+	// maxSubscribers bounds the number of entries that get reports of one engine.
 	maxSubscribers = 64
 )
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -11,13 +11,13 @@
 	"boragehub/resident"
 )
 
-// fixed is an engine that always tells the same.
-type fixed struct{ pulse Pulse }
+// fixedEngine is an engine that always returns the same load report.
+type fixedEngine struct{ report Pulse }
 
-func (f fixed) Pulse(context.Context, string) (Pulse, error) { return f.pulse, nil }
+func (f fixedEngine) Pulse(context.Context, string) (Pulse, error) { return f.report, nil }
 
 func TestSubscribersGetPulses(t *testing.T) {
-	b, err := NewBeacon(BeaconConfig{Address: "127.0.0.1:0", Engine: fixed{Pulse{Running: 3, Version: 2}}, EngineAddress: "127.0.0.1:9"})
+	r, err := NewBeacon(BeaconConfig{Address: "127.0.0.1:0", Engine: fixedEngine{Pulse{Running: 3, Version: 2}}, EngineAddress: "127.0.0.1:9"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,15 +28,15 @@
 	got := make(chan Pulse, 16)
 
 	l, err := Listen(ListenerConfig{
-		Address: "127.0.0.1:0", Port: b.conn.LocalAddr().(*net.UDPAddr).Port,
-		Engines: func() ([]string, time.Duration) { return []string{"127.0.0.1:9"}, Every },
+		Address: "127.0.0.1:0", Port: r.conn.LocalAddr().(*net.UDPAddr).Port,
+		Engines: func() ([]string, time.Duration) { return []string{"127.0.0.1:9"}, MinInterval },
 		OnPulse: func(_ time.Time, p Pulse) { got <- p },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	go b.Run(ctx)
+	go r.Run(ctx)
 	go l.Run(ctx)
 
 	last := uint64(0)
@@ -50,15 +50,15 @@
 
 			last = p.Sequence
 		case <-time.After(10 * time.Second):
-			t.Fatal("got no pulse")
+			t.Fatal("got no load report")
 		}
 	}
 }
 
-// Datagrams overtake each other, and a side process is started anew with numbers
-// from one. Taken in the wrong order, an engine that is busy would look idle.
+// Datagrams arrive out of order, and a restarted side process numbers its load reports from one
+// again. Applied in the wrong order, they would make a busy engine look idle.
 func TestOnlyNewerPulsesCount(t *testing.T) {
-	l := &Listener{seen: map[string]Pulse{}}
+	l := &Listener{latest: map[string]Pulse{}}
 
 	tests := []struct {
 		start    int64
@@ -76,74 +76,74 @@
 }
 
 func TestSubscriptionsEndAndAreBounded(t *testing.T) {
-	b := &Beacon{subscribers: map[string]subscriber{}}
+	r := &Reporter{subscribers: map[string]subscriber{}}
 	now := time.Unix(100, 0)
-	b.subscribe(now, &net.UDPAddr{Port: 1}, Subscription{})
-	b.subscribe(now.Add(-2*subscribed), &net.UDPAddr{Port: 2}, Subscription{})
+	r.subscribe(now, &net.UDPAddr{Port: 1}, Subscription{})
+	r.subscribe(now.Add(-2*subscriptionTTL), &net.UDPAddr{Port: 2}, Subscription{})
 
-	if got := len(b.due(now)); got != 1 {
+	if got := len(r.due(now)); got != 1 {
 		t.Errorf("got %d subscribers, want 1", got)
 	}
 
-	if got := len(b.subscribers); got != 1 {
+	if got := len(r.subscribers); got != 1 {
 		t.Errorf("got %d kept, want 1", got)
 	}
 
 	for i := range 2 * maxSubscribers {
-		b.subscribe(now, &net.UDPAddr{Port: 10 + i}, Subscription{})
+		r.subscribe(now, &net.UDPAddr{Port: 10 + i}, Subscription{})
 	}
 
-	if got := len(b.subscribers); got != maxSubscribers {
+	if got := len(r.subscribers); got != maxSubscribers {
 		t.Errorf("got %d kept, want %d", got, maxSubscribers)
 	}
 }
 
 func TestSubscribersGetPulsesAtTheirPace(t *testing.T) {
 	tests := []struct {
-		pace time.Duration
-		want int // pulses in ten looks
+		interval time.Duration
+		want     int // load reports in ten calls of due
 	}{
-		{0, 10}, {Every, 10}, {2 * Every, 5}, {5 * Every, 2},
+		{0, 10}, {MinInterval, 10}, {2 * MinInterval, 5}, {5 * MinInterval, 2},
 	}
 
 	for _, tt := range tests {
-		b := &Beacon{subscribers: map[string]subscriber{}}
+		r := &Reporter{subscribers: map[string]subscriber{}}
 		now := time.Unix(100, 0)
-		b.subscribe(now, &net.UDPAddr{Port: 1}, Subscription{PaceMs: tt.pace.Milliseconds()})
+		r.subscribe(now, &net.UDPAddr{Port: 1}, Subscription{IntervalMs: tt.interval.Milliseconds()})
 
 		got := 0
 		for i := range 10 {
-			got += len(b.due(now.Add(time.Duration(i) * Every)))
+			got += len(r.due(now.Add(time.Duration(i) * MinInterval)))
 		}
 
 		if got != tt.want {
-			t.Errorf("%v: got %d pulses, want %d", tt.pace, got, tt.want)
+			t.Errorf("%v: got %d load reports, want %d", tt.interval, got, tt.want)
 		}
 	}
 }
 
-// In a large fleet each entry may choose among hundreds of engines. Pulses of all of
-// them several times a second would take more than all callers' requests.
+// In a large fleet each entry may route to hundreds of engines. Load reports of all of them
+// several times a second would take more bandwidth than all callers' requests.
 func TestPulsesOfALargeFleetAreBounded(t *testing.T) {
 	tests := []struct {
-		engines, most int
-		pace          time.Duration
+		engines, subscribed int
+		interval            time.Duration
 	}{
-		{0, 0, Every},
-		{12, 12, Every},
+		{0, 0, MinInterval},
+		{12, 12, MinInterval},
 		{48, 48, 200 * time.Millisecond},
-		{1700, leastPulses, time.Second},
+		{1700, minReportsPerSecond, time.Second},
 	}
 
 	for _, tt := range tests {
-		if most, pace := Share(tt.engines); most != tt.most || pace != tt.pace {
-			t.Errorf("%d engines: got %d each %v, want %d each %v", tt.engines, most, pace, tt.most, tt.pace)
+		if subscribed, interval := PlanSubscriptions(tt.engines); subscribed != tt.subscribed || interval != tt.interval {
+			t.Errorf("%d engines: got %d each %v, want %d each %v", tt.engines, subscribed, interval, tt.subscribed, tt.interval)
 		}
 	}
 
 	for n := range 2000 {
-		if most, pace := Share(n); int64(most)*1000 > mostPulses*pace.Milliseconds() {
-			t.Errorf("%d engines: got %d each %v", n, most, pace)
+		if subscribed, interval := PlanSubscriptions(n); int64(subscribed)*1000 > maxReportsPerSecond*interval.Milliseconds() {
+			t.Errorf("%d engines: got %d each %v", n, subscribed, interval)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-// Entries are told of a load of weights ahead, so that long answers end before it.
+// Entries learn of a scheduled weight load in advance, so that long answers can end before it.
 func TestPulseTellsTheNextLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 
@@ -185,15 +185,15 @@
 		loadIn func(time.Time) (time.Duration, bool)
 		want   int64
 	}{
-		{"nobody knows", nil, 0},
-		{"none", func(time.Time) (time.Duration, bool) { return 0, false }, 0},
-		{"under way", func(time.Time) (time.Duration, bool) { return 0, true }, 1},
+		{"not known", nil, 0},
+		{"none scheduled", func(time.Time) (time.Duration, bool) { return 0, false }, 0},
+		{"due now", func(time.Time) (time.Duration, bool) { return 0, true }, 1},
 		{"in a second", func(time.Time) (time.Duration, bool) { return time.Second, true }, 1000},
 	}
 
 	for _, tt := range tests {
-		b := &Beacon{cfg: BeaconConfig{LoadIn: tt.loadIn}}
-		if got := b.loadIn(now); got != tt.want {
+		r := &Reporter{cfg: BeaconConfig{LoadIn: tt.loadIn}}
+		if got := r.loadIn(now); got != tt.want {
 			t.Errorf("%s: got %d, want %d", tt.name, got, tt.want)
 		}
 	}
--- /dev/null
+++ b/pulse/reporter.go
@@ -0,0 +1,268 @@
+package pulse
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"boragehub/pause"
+	"boragehub/resident"
+	"boragehub/slowstart"
+)
+
+// Engine queries the engine of this side process.
+type Engine interface {
+	// Pulse queries the engine at address. The Reporter sets Engine, Sequence and Start.
+	Pulse(ctx context.Context, address string) (Pulse, error)
+}
+
+// BeaconConfig configures a Reporter.
+type BeaconConfig struct {
+	// Address is the local UDP address at which subscriptions arrive.
+	Address string
+	// Engine queries the engine at EngineAddress.
+	Engine        Engine
+	EngineAddress string
+	// Resident returns the long parts of prompts in the engine's KV cache; nil reports none.
+	Resident func() []resident.Part
+	// LoadIn returns the time until the engine is ordered to load new weights; ok is false
+	// when no load is scheduled. Nil reports none.
+	LoadIn func(now time.Time) (in time.Duration, ok bool)
+	// SlowStart divides the request rate of a cold engine among the subscribers; nil means
+	// no limit.
+	SlowStart *slowstart.Guard
+	// Restarted is called when the engine has restarted, before its next load report is
+	// sent; may be nil.
+	Restarted func()
+}
+
+// Reporter sends an engine's load reports to its subscribers. Use NewBeacon.
+type Reporter struct {
+	cfg  BeaconConfig
+	conn *net.UDPConn
+
+	mu          sync.Mutex
+	subscribers map[string]subscriber
+}
+
+type subscriber struct {
+	address   *net.UDPAddr
+	expiresAt time.Time
+	interval  time.Duration
+	demand    int       // rate of prompts at the entry, per second
+	dueAt     time.Time // when its next load report is due
+}
+
+// NewBeacon returns a Reporter that is bound to cfg.Address.
+func NewBeacon(cfg BeaconConfig) (*Reporter, error) {
+	conn, err := listen(cfg.Address)
+	if err != nil {
+		return nil, err
+	}
+
+	return &Reporter{cfg: cfg, conn: conn, subscribers: make(map[string]subscriber)}, nil
+}
+
+func listen(address string) (*net.UDPConn, error) {
+	a, err := net.ResolveUDPAddr("udp4", address)
+	if err != nil {
+		return nil, err
+	}
+
+	return net.ListenUDP("udp4", a)
+}
+
+// Run serves subscriptions and sends load reports until ctx ends.
+func (r *Reporter) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { closeConn(r.conn) })
+	defer stop()
+
+	go r.subscriptions(ctx)
+
+	p := Pulse{Start: time.Now().UnixNano()}
+	lost := true
+
+	for pause.For(ctx, MinInterval) {
+		to := r.due(time.Now())
+		if len(to) == 0 {
+			continue
+		}
+
+		c, cancel := context.WithTimeout(ctx, MinInterval)
+		next, err := r.cfg.Engine.Pulse(c, r.cfg.EngineAddress)
+
+		cancel()
+
+		if err != nil {
+			lost = true
+
+			continue // entries notice the missing reports
+		}
+
+		if lost && r.cfg.SlowStart != nil {
+			// The engine may have restarted.
+			r.cfg.SlowStart.Doubt(time.Now())
+		}
+
+		lost = false
+
+		if next.Born > p.Born && p.Born > 0 && r.cfg.Restarted != nil {
+			r.cfg.Restarted()
+		}
+
+		if next.Born > p.Born {
+			r.noteEngineStart(time.Now(), next)
+		}
+
+		next.Engine, next.Start, next.Sequence = r.cfg.EngineAddress, p.Start, p.Sequence+1
+		if r.cfg.Resident != nil {
+			next.Resident = r.cfg.Resident()
+		}
+
+		next.LoadInMs = r.loadIn(time.Now())
+
+		p = next
+		r.send(time.Now(), p, to)
+	}
+}
+
+// noteEngineStart passes the start of the engine on to the slow-start guard.
+func (r *Reporter) noteEngineStart(now time.Time, p Pulse) {
+	if r.cfg.SlowStart != nil && p.Clock > 0 {
+		r.cfg.SlowStart.Started(now, time.Duration(p.Clock-p.Born)*time.Millisecond)
+	}
+}
+
+// loadIn returns Pulse.LoadInMs of the next load report.
+func (r *Reporter) loadIn(now time.Time) int64 {
+	if r.cfg.LoadIn == nil {
+		return 0
+	}
+
+	in, ok := r.cfg.LoadIn(now)
+	if !ok {
+		return 0
+	}
+
+	return max(in.Milliseconds(), 1)
+}
+
+// closeConn closes a connection, which ends its reads. Closing it twice is harmless.
+func closeConn(c *net.UDPConn) {
+	//nolint:errcheck,gosec // see above
+	c.Close()
+}
+
+// subscriptions receives subscriptions until ctx ends. A datagram that can't be decoded counts
+// as a subscription with default values.
+func (r *Reporter) subscriptions(ctx context.Context) {
+	buf := make([]byte, maxDatagram)
+
+	for ctx.Err() == nil {
+		n, from, err := r.conn.ReadFromUDP(buf)
+		if err != nil {
+			if !pause.For(ctx, MinInterval) {
+				return
+			}
+
+			continue
+		}
+
+		var s Subscription
+		if cbor.Unmarshal(buf[:n], &s) != nil {
+			s = Subscription{}
+		}
+
+		r.subscribe(time.Now(), from, s)
+	}
+}
+
+func (r *Reporter) subscribe(now time.Time, from *net.UDPAddr, s Subscription) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+
+	old, ok := r.subscribers[from.String()]
+	if !ok && len(r.subscribers) >= maxSubscribers {
+		return
+	}
+
+	old.address, old.expiresAt, old.interval, old.demand = from, now.Add(subscriptionTTL), time.Duration(s.IntervalMs)*time.Millisecond, s.Demand
+	r.subscribers[from.String()] = old
+}
+
+// due returns the subscribers whose next load report is due.
+func (r *Reporter) due(now time.Time) []subscriber {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+
+	var all []subscriber
+
+	for name, s := range r.subscribers {
+		if now.After(s.expiresAt) {
+			delete(r.subscribers, name)
+
+			continue
+		}
+
+		// due is called once per MinInterval; a report that falls due within half of
+		// it counts as due.
+		if now.Add(MinInterval / 2).Before(s.dueAt) {
+			continue
+		}
+
+		s.dueAt = now.Add(s.interval)
+		r.subscribers[name] = s
+		all = append(all, s)
+	}
+
+	return all
+}
+
+// send sends a load report to the given subscribers, each with its own permits.
+func (r *Reporter) send(now time.Time, p Pulse, to []subscriber) {
+	var permits map[string]int
+
+	if g := r.cfg.SlowStart; g != nil {
+		p.ColdMs, p.Warm = g.Left(now).Milliseconds(), g.Warm(now)
+		permits = g.Permits(now, claims(to))
+	}
+
+	plain := encode(p)
+
+	for _, s := range to {
+		body := plain
+
+		if n := permits[s.address.String()]; n > 0 {
+			q := p
+			q.Permits = n
+			body = encode(q)
+		}
+
+		// A datagram that can't be sent is equivalent to a lost one.
+		//nolint:errcheck,gosec // see above
+		r.conn.WriteToUDP(body, s.address)
+	}
+}
+
+// claims returns the subscribers' claims to the permits of a cold engine.
+func claims(to []subscriber) []slowstart.Claim {
+	all := make([]slowstart.Claim, len(to))
+	for i, s := range to {
+		all[i] = slowstart.Claim{Name: s.address.String(), Demand: s.demand}
+	}
+
+	return all
+}
+
+// encode returns the CBOR encoding of a load report.
+func encode(p Pulse) []byte {
+	body, err := cbor.Marshal(p)
+	if err != nil {
+		return nil // a struct of strings and numbers can always be encoded
+	}
+
+	return body
+}
--- a/pulse/share.go
+++ b/pulse/share.go
@@ -4,22 +4,24 @@
 	"time"
 )
 
-// What pulses may cost an entry. With an engine more each of them gets less of an
-// entry's requests, so that its load is known well enough from fewer pulses.
+// Bounds on the load reports that an entry receives. The more engines there are, the fewer of
+// an entry's requests go to each, so fewer reports per engine suffice to know its load.
 const (
-	// mostPulses is how many pulses a second an entry gets at most.
-	mostPulses = 240
-	// leastPulses is how many it gets in the largest fleets: two kilobytes a second.
-	leastPulses = 20
-	// pulseEngines is how many engines there are when mostPulses begins to fall.
-	pulseEngines = 64
+	// maxReportsPerSecond is the upper bound.
+	maxReportsPerSecond = 240
+	// minReportsPerSecond is the bound in the largest fleets, 2 kilobytes a second.
+	minReportsPerSecond = 20
+	// maxSubscribedEngines is the number of engines above which the bound falls below
+	// maxReportsPerSecond, and the largest number that an entry subscribes to.
+	maxSubscribedEngines = 64
 )
 
-// Share returns to how many of so many engines an entry subscribes, and at which pace.
-func Share(engines int) (most int, pace time.Duration) {
-	pulses := min(max(mostPulses*pulseEngines/max(engines, 1), leastPulses), mostPulses)
-	most = min(engines, pulses, pulseEngines)
-	pace = max(time.Duration((most*1000+pulses-1)/pulses)*time.Millisecond, Every)
+// PlanSubscriptions returns how many of the given number of engines an entry subscribes to, and
+// the time between two load reports of one engine.
+func PlanSubscriptions(engines int) (subscribed int, interval time.Duration) {
+	maxReports := min(max(maxReportsPerSecond*maxSubscribedEngines/max(engines, 1), minReportsPerSecond), maxReportsPerSecond)
+	subscribed = min(engines, maxReports, maxSubscribedEngines)
+	interval = max(time.Duration((subscribed*1000+maxReports-1)/maxReports)*time.Millisecond, MinInterval)
 
-	return most, pace
+	return subscribed, interval
 }
--- a/roster/holding.go
+++ b/roster/holding.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Holding is a target with its weight version of a model.
+// Holding is a target that has a weight version of a model.
 type Holding struct {
-	// ID is the id of its present start, Address where it is.
+	// ID is the id of the target's current start, Address its IP address and port.
 	ID, Address string
-	// Version is its weight version.
+	// Version is the weight version that it has.
 	Version int64
-	// Loading says that it loads weights.
+	// Loading reports whether it is taken to be loading weights.
 	Loading bool
-	// Alone says that no process beside it was ever heard, though this process has asked for
-	// its pulse for a while.
+	// Alone reports whether the target is taken to have no side process: this process has
+	// subscribed to its load reports for noSideProcessAfter and never received one.
 	Alone bool
 }
 
-// aloneAfter is how long a pulse is asked for, several times, until none is taken to come.
-const aloneAfter = 12 * time.Second
+// noSideProcessAfter is how long a subscription stays unanswered before the target is taken
+// to have no side process. The subscription is renewed several times in that time.
+const noSideProcessAfter = 12 * time.Second
 
-// Holdings returns the targets that have a version of a model and don't leave.
+// Holdings returns the targets that have a weight version of a model and aren't draining.
 func (r *Roster) Holdings(now time.Time, model string) []Holding {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,10 +28,10 @@
 
 	for id, e := range r.engines {
 		l := &e.listing
-		if v := e.versions[model]; v > 0 && !l.Draining && r.holder(l.Address).id == id {
+		if v := e.versions[model]; v > 0 && !l.Draining && r.currentRegistration(l.Address).id == id {
 			all = append(all, Holding{
-				ID: id, Address: l.Address, Version: v, Loading: now.Before(e.loading),
-				Alone: !r.guarded[l.Address] && !e.watched.IsZero() && now.Sub(e.watched) >= aloneAfter,
+				ID: id, Address: l.Address, Version: v, Loading: now.Before(e.loadingUntil),
+				Alone: !r.reporting[l.Address] && !e.subscribedAt.IsZero() && now.Sub(e.subscribedAt) >= noSideProcessAfter,
 			})
 		}
 	}
--- a/roster/holding_test.go
+++ b/roster/holding_test.go
@@ -7,8 +7,9 @@
 	"boragehub/pulse"
 )
 
-// An entry orders the engines that have no loader. One that takes an engine's loader for
-// missing, because it never asked for its pulses or asked just now, would order beside it.
+// Guards against two sources of load orders for one engine: an entry orders loads for engines
+// without a side process, and takes the side process for missing when it never subscribed to the
+// engine's load reports or did so only just now.
 func TestHoldingsTellWhichHaveNoLoader(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	r := New(Config{Self: "entry-1", DataCentre: "east"})
@@ -27,11 +28,11 @@
 		at   time.Duration
 		want bool
 	}{
-		{"not asked", func() {}, time.Hour, false},
-		{"asked", func() { r.Watched(t0, func(string) bool { return true }) }, aloneAfter - 1, false},
-		{"asked for long", func() {}, aloneAfter, true},
-		{"heard", func() { r.Pulse(t0, pulse.Pulse{Engine: "a:1", Sequence: 1, Start: 1, Model: "m", Version: 3}) }, aloneAfter, false},
-		{"heard once", func() {}, time.Hour, false},
+		{"not subscribed", func() {}, time.Hour, false},
+		{"subscribed", func() { r.Watched(t0, func(string) bool { return true }) }, noSideProcessAfter - 1, false},
+		{"subscription unanswered for long", func() {}, noSideProcessAfter, true},
+		{"report received", func() { r.Pulse(t0, pulse.Pulse{Engine: "a:1", Sequence: 1, Start: 1, Model: "m", Version: 3}) }, noSideProcessAfter, false},
+		{"report received long ago", func() {}, time.Hour, false},
 	}
 
 	for _, s := range steps {
--- a/roster/pulse.go
+++ b/roster/pulse.go
@@ -7,52 +7,53 @@
 	"boragehub/pulse"
 )
 
-// pulsesMissed is how many pulses may be lost before the last one isn't gone by.
-const pulsesMissed = 5
+// maxLostReports is how many load reports in a row may be lost before the last one received
+// is too old to be used.
+const maxLostReports = 5
 
-// pulseMost is the age up to which an engine's pulse is gone by.
-func (e *engine) pulseMost() time.Duration {
-	return (pulsesMissed + 1) * max(e.pulse.Pace, pulse.Every)
+// maxReportAge returns the age up to which an engine's load report is used.
+func (e *engine) maxReportAge() time.Duration {
+	return (maxLostReports + 1) * max(e.report.Interval, pulse.MinInterval)
 }
 
-// Pulse takes an engine's load at first hand.
+// Pulse applies a load report that an engine's side process sent directly.
 func (r *Roster) Pulse(now time.Time, p pulse.Pulse) {
 	r.mu.Lock()
-	id, restarted := r.take(now, p)
+	id, restarted := r.applyReport(now, p)
 	r.mu.Unlock()
 
-	r.tellRestart(id, restarted)
+	r.notifyRestart(id, restarted)
 }
 
-// take takes a pulse; it returns whose it is and whether that was started anew. The
-// caller holds mu.
-func (r *Roster) take(now time.Time, p pulse.Pulse) (id string, restarted bool) {
-	id = r.holder(p.Engine).id
+// applyReport applies a load report. It returns the id of the reporting target and whether
+// that target has restarted under the same id. The caller holds mu.
+func (r *Roster) applyReport(now time.Time, p pulse.Pulse) (id string, restarted bool) {
+	id = r.currentRegistration(p.Engine).id
 	e, ok := r.engines[id]
 	if !ok {
 		return "", false
 	}
 
-	r.guarded[p.Engine] = true
+	r.reporting[p.Engine] = true
 
-	restarted = r.bear(now, id, e.listing.Service, e, p.Born)
-	if e.before(p.Born) {
+	restarted = r.observeStart(now, id, e.listing.Service, e, p.Born)
+	if e.isEarlierStart(p.Born) {
 		return "", false
 	}
 
-	e.beat(now)
-	r.heardAt = now
-	e.pulse, e.since = p, Sent{}
-	e.start.pulse(now, p)
-	r.raise(id, e, p.Model, p.Version, "pulse")
+	e.observeReport(now)
+	r.lastSeen = now
+	e.report, e.sentSince = p, Sent{}
+	e.slowStart.observeReport(now, p)
+	r.raiseVersion(id, e, p.Model, p.Version, "pulse")
 
 	return id, restarted
 }
 
-// Watched returns the addresses of the targets whose pulse this process wants: those
-// of the services that pass, the ones used last when they are too many, and the pause
-// between two pulses.
-func (r *Roster) Watched(now time.Time, pass func(service string) bool) (addresses []string, pace time.Duration) {
+// Watched returns the addresses of the targets to whose load reports this process subscribes,
+// and the interval between two reports of one target. They are the targets of the services for
+// which pass returns true; when there are too many, the most recently used ones.
+func (r *Roster) Watched(now time.Time, pass func(service string) bool) (addresses []string, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -64,23 +65,23 @@
 		}
 	}
 
-	most, pace := pulse.Share(len(all))
+	maxSubscribed, interval := pulse.PlanSubscriptions(len(all))
 
-	sort.Slice(all, func(i, j int) bool { return all[i].sentAt.After(all[j].sentAt) })
+	sort.Slice(all, func(i, j int) bool { return all[i].lastSentAt.After(all[j].lastSentAt) })
 
 	for i, e := range all {
-		if i >= most {
-			e.watched = time.Time{}
+		if i >= maxSubscribed {
+			e.subscribedAt = time.Time{}
 
 			continue
 		}
 
-		if e.watched.IsZero() {
-			e.watched = now
+		if e.subscribedAt.IsZero() {
+			e.subscribedAt = now
 		}
 
 		addresses = append(addresses, e.listing.Address)
 	}
 
-	return addresses, pace
+	return addresses, interval
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,25 +1,26 @@
-// Package roster joins what the platform's register says of targets with what a
-// process learns of them itself: weight versions, loads of weights, standing.
+// Package roster combines the register's entries for targets with what this process
+// observes about them: weight versions, weight loads, health and load reports.
 //
 // # Model
 //
-// A target is known by the id of its start; another id is another target, even at
-// the same address. One that was started anew under the id that it had tells so by
-// the time of its start, and what was known of it before counts no more. The register adds targets, calls them
-// draining and drops them. A target that drains or was dropped gets no new work.
+// A target is identified by the id of its start; a different id is a different target,
+// even at the same address. A target that restarts under the same id is recognised by
+// its later start time, and the state kept for its earlier start is discarded. The
+// register adds targets, marks them as draining and drops them. A draining or dropped
+// target gets no new work.
 //
-// While the log is away, the register may drop targets that live; they are back
-// shortly after it returns. So a drop that is read within Config.Doubt of an
-// outage is believed only after that time.
+// While the log is unavailable, the register may drop targets that are alive; they are
+// listed again shortly after the log returns. A drop that is read during an outage, or
+// within Config.DropDelay of it, therefore takes effect only after that time.
 //
-// Versions are learned from the register, from answers, from refusals and from
-// the side processes; the highest is right, since an engine never goes back.
+// Weight versions are learned from the register, from answers, from refusals and from
+// side processes. The highest one is current, since an engine never loads an older one.
 //
 // # Example
 //
 //	r := roster.New(roster.Config{Self: "entry-1", DataCentre: "yvr-east"})
 //	r.List(now, listing)
-//	for _, c := range r.Candidates(now, "boragehub-llm") { … }
+//	for _, c := range r.Candidates(now, "boragehub-llm", "shuttle-8b") { … }
 package roster
 
 import (
@@ -35,32 +36,33 @@
 	"boragehub/target"
 )
 
-// Listing is what the register says of one target.
+// Listing is the register's entry for one target.
 type Listing struct {
-	// ID is the id of the target's present start.
+	// ID is the id of the target's current start.
 	ID string
-	// Service is the service that it belongs to.
+	// Service is the service that the target belongs to.
 	Service string
-	// Address is its IP and port.
+	// Address is the target's IP address and port.
 	Address string
-	// DataCentre is where it runs.
+	// DataCentre is the data centre that the target runs in.
 	DataCentre string
-	// Draining says that it leaves.
+	// Draining reports whether the target is shutting down and takes no new work.
 	Draining bool
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Versions are its weight versions by model.
+	// Versions holds the target's weight versions by model.
 	Versions map[string]int64
-	// Born is when it was started, in ms of its own clock; zero when it doesn't tell.
+	// Born is the target's start time in ms of its own clock; zero when not reported.
 	Born int64
-	// Cold is how much longer it stays cold after its start.
+	// Cold is the time until the target is warm after its start; zero when it is warm.
 	Cold time.Duration
-	// Offset orders what the register says: targets write there again and again.
+	// Offset is the entry's position in the register. Targets rewrite their entries
+	// regularly, so the entry with the highest offset is the latest.
 	Offset int64
 }
 
-// same reports whether l says nothing that o doesn't.
-func (l Listing) same(o Listing) bool {
+// equal reports whether l and o agree in everything but ID, DataCentre, Cold and Offset.
+func (l Listing) equal(o Listing) bool {
 	if l.Service != o.Service || l.Address != o.Address || l.Draining != o.Draining || l.Slots != o.Slots || l.Born != o.Born || len(l.Versions) != len(o.Versions) {
 		return false
 	}
@@ -74,204 +76,208 @@
 	return true
 }
 
-// Config configures a Roster. Zero durations get a default.
+// Config configures a Roster. Zero durations are replaced by defaults.
 type Config struct {
-	// Self is this process's VM.
+	// Self is the name of this process's VM.
 	Self string
-	// DataCentre is where it runs.
+	// DataCentre is the data centre of this process.
 	DataCentre string
 	// Regions maps data centres to regions.
 	Regions map[string]string
-	// Doubt is how long after an outage of the log a drop is not believed: 2.2 s
-	// when zero, as entries that lapsed are back after two.
-	Doubt time.Duration
-	// LoadMost is how long a load of weights that was announced keeps a target
-	// from work when nothing more is heard: 4 s when zero. Loads take about half
-	// a second, and runs before them a second or two.
-	LoadMost time.Duration
-	// Named reports whether operators named a service; nil takes all for named. An
-	// entry of the register with another service names no target.
+	// DropDelay is how long after a log outage drops are delayed; 2.2 s when zero,
+	// since entries that expired during the outage are listed again within 2 s.
+	DropDelay time.Duration
+	// MaxLoadTime is how long a target counts as loading after a weight load was
+	// announced and its completion is not reported; 4 s when zero. A load takes about
+	// 0.5 s, and the requests that run before it another 1 to 2 s.
+	MaxLoadTime time.Duration
+	// Named reports whether a service is configured; nil means that all are. Register
+	// entries of other services never count as the target at an address.
 	Named func(service string) bool
-	// SlowStart returns what a service's targets bear while they are cold; nil bounds
-	// nothing.
+	// SlowStart returns the request limit of a service's cold targets; nil means no
+	// limit.
 	SlowStart func(service string) slowstart.Limit
-	// Entries are the entries alive, which share that; needed with SlowStart.
+	// Entries ranks the live entries, which share that limit; required with SlowStart.
 	Entries Entries
-	// Restarted is called, from any goroutine, when a target was started anew under
-	// its id; nil calls nothing.
+	// Restarted is called when a target has restarted under the same id, possibly from
+	// several goroutines; may be nil.
 	Restarted func(id string)
-	// Log gets a line for each change.
+	// Log receives a line for each change.
 	Log logr.Logger
 }
 
-// Engine is a target with what is known of it besides its standing.
+// Engine is a target with its weight version, load report and slow-start state.
 type Engine struct {
 	target.Target
-	// ID is the id of its present start.
+	// ID is the id of the target's current start.
 	ID string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Version is its weight version of the model asked for; zero when not known.
+	// Version is its weight version of the requested model; zero when unknown.
 	Version int64
-	// Loading says that it loads weights and refuses work.
+	// Loading reports whether the target is taken to be loading weights and to refuse
+	// work.
 	Loading bool
-	// Loads says that it is to load weights in LoadsIn.
+	// Loads reports whether a weight load is scheduled, LoadsIn after the call; zero
+	// when it is due.
 	Loads   bool
 	LoadsIn time.Duration
-	// Pulse is its load at first hand, PulseAge how old that is; Fresh says that
-	// it is not too old to go by.
+	// Pulse is the last load report received directly from the target's side process,
+	// PulseAge its age. Fresh reports whether it is recent enough to be used.
 	Pulse    pulse.Pulse
 	PulseAge time.Duration
 	Fresh    bool
-	// Since are this process's requests sent after the pulse.
+	// Since counts the requests that this process sent to the target after that report.
 	Since Sent
-	// Quiet says that nothing came from it of late, though it usually does.
+	// Quiet reports whether the target is suspected of having failed: neither load
+	// reports nor answers have arrived from it for several checks.
 	Quiet bool
-	// Cold is how much longer it stays cold; zero when it is warm or nothing is bounded.
+	// Cold is the time until the target is warm; zero when it is warm or has no limit.
 	Cold time.Duration
-	// Throttled says that it may be cold and gets no request of this process now.
+	// Throttled reports whether this process may send the target no request now because
+	// the target may be cold.
 	Throttled bool
 }
 
-// Entries ranks the entries alive.
+// Entries ranks the live entries.
 type Entries interface {
-	// Rank returns this entry's position in the rendezvous order of a key, from zero.
+	// Rank returns this entry's position, from zero, in the rendezvous hashing order of
+	// a key.
 	Rank(now time.Time, key string) int
-	// Size returns how many there are, this one included.
+	// Size returns the number of live entries, including this one.
 	Size(now time.Time) int
 }
 
-// Sent are requests that were sent to a target.
+// Sent counts requests that were sent to a target.
 type Sent struct {
-	// Requests is their number, Reading the tokens that they make it read, and
-	// Memory the tokens of memory that they take.
+	// Requests is their number, Reading the number of tokens that the target has to
+	// prefill for them, and Memory the number of KV cache tokens that they take.
 	Requests, Reading, Memory int
 }
 
-// engine is what is kept of one target.
+// engine is the state kept for one target.
 type engine struct {
-	pulse     pulse.Pulse
-	pulseAt   time.Time
-	watched   time.Time // since when its pulse is asked for; zero while it isn't
-	since     Sent
-	sentAt    time.Time // when it last got a request
-	listing   Listing
-	versions  map[string]int64
-	loading   time.Time // until when it is taken to be loading
-	dropAfter time.Time // when a drop that is in doubt is believed; zero for none
-	life      life
-	born      int64 // when it was started, in ms of its clock; zero when not told
-	start     slowStart
+	report       pulse.Pulse
+	reportedAt   time.Time
+	subscribedAt time.Time // since when this process subscribes to its load reports; zero while it doesn't
+	sentSince    Sent
+	lastSentAt   time.Time // when it was last sent a request
+	listing      Listing
+	versions     map[string]int64
+	loadingUntil time.Time // until when it is taken to be loading weights
+	dropAfter    time.Time // when a delayed drop takes effect; zero for none
+	liveness     liveness
+	startedMs    int64 // start time in ms of its own clock; zero when not reported
+	slowStart    slowStart
 }
 
-// Roster holds the targets. Use New; its methods may be called from many
-// goroutines.
+// Roster holds the known targets. Use New. Its methods are safe for concurrent use.
 type Roster struct {
 	cfg   Config
 	table *target.Table
 
-	mu        sync.Mutex
-	engines   map[string]*engine
-	holders   map[string][]holder // by address, in order of id
-	guarded   map[string]bool     // addresses beside which a process was heard
-	doubtful  time.Time           // until when drops are in doubt
-	away      bool                // the log does not answer
-	still     time.Time           // until when a target counts as standing still
-	heardAt   time.Time           // when any target was heard
-	evacuated map[string]bool     // data centres whose targets get no work
-	began     time.Time           // when this process first heard of a target
-	entries   int                 // alive, as of the last Tick
-	changed   bool                // the table has yet to get the list
+	mu                sync.Mutex
+	engines           map[string]*engine
+	registrations     map[string][]registration // by address, sorted by id
+	reporting         map[string]bool           // addresses from which a load report was ever received
+	dropsDelayedUntil time.Time                 // until when drops are delayed
+	logUnavailable    bool                      // as last set by Away
+	pausedUntil       time.Time                 // until when some target is taken to be paused
+	lastSeen          time.Time                 // when any target was last seen
+	evacuated         map[string]bool           // data centres whose targets get no work
+	firstListedAt     time.Time                 // when the first target was listed
+	liveEntries       int                       // number of live entries as of the last Tick
+	listChanged       bool                      // the table doesn't have the latest list yet
 }
 
-// holder is the target that spoke last from an address.
+// registration is a target's entry in the register at one address.
 //
-// A target that was killed and started anew is listed twice for some seconds, under
-// its old id and its new one. Half of the requests would go to the old ids and be
-// refused there; after a power failure that is half of all. One address holds one
-// target, so the one that wrote to the register last has it. Entries of services that
-// nobody named come from other writers and hold nothing.
-type holder struct {
+// A target that was killed and restarted is listed twice for some seconds, under its old
+// and its new id. Half of the requests to it would go to the old id and be refused; after
+// a power failure that is half of all requests. Only one target runs at an address, so
+// the registration that was written last is the current one. Entries of services that
+// are not configured come from other writers and are ignored.
+type registration struct {
 	id, service string
 	offset      int64
 }
 
-// pool is large enough that every target of a deployment is known well; bounded
-// knowledge of the largest fleets is the table's matter.
-const pool = 4096
+// maxTargets is the size of the table and of its candidate subset. It is large enough for
+// every target of a deployment; in the largest fleets the table bounds what it keeps.
+const maxTargets = 4096
 
 // New returns an empty Roster.
 func New(cfg Config) *Roster {
-	if cfg.Doubt <= 0 {
-		cfg.Doubt = 2200 * time.Millisecond
+	if cfg.DropDelay <= 0 {
+		cfg.DropDelay = 2200 * time.Millisecond
 	}
 
-	if cfg.LoadMost <= 0 {
-		cfg.LoadMost = 4 * time.Second
+	if cfg.MaxLoadTime <= 0 {
+		cfg.MaxLoadTime = 4 * time.Second
 	}
 
 	return &Roster{
 		cfg: cfg,
 		table: target.NewTable(target.TableConfig{
 			Self: cfg.Self, DataCentre: cfg.DataCentre, Regions: cfg.Regions,
-			Subset: pool, Known: pool, SilentAfter: time.Hour, EjectFor: time.Second, EjectMost: 4 * time.Second,
+			Subset: maxTargets, Known: maxTargets, SilentAfter: time.Hour, EjectFor: time.Second, EjectMost: 4 * time.Second,
 			ProbePatience: 2 * time.Second, ForgetAfter: time.Minute,
 		}),
-		engines:   make(map[string]*engine),
-		holders:   make(map[string][]holder),
-		guarded:   make(map[string]bool),
-		evacuated: make(map[string]bool),
+		engines:       make(map[string]*engine),
+		registrations: make(map[string][]registration),
+		reporting:     make(map[string]bool),
+		evacuated:     make(map[string]bool),
 	}
 }
 
-// Away tells whether the log answers. Drops are in doubt while it doesn't and for
-// a while after.
-func (r *Roster) Away(now time.Time, away bool) {
+// Away records whether the log is unavailable. Drops are delayed during an outage and
+// for Config.DropDelay after it.
+func (r *Roster) Away(now time.Time, unavailable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.away = away
-	r.doubtful = now.Add(r.cfg.Doubt)
+	r.logUnavailable = unavailable
+	r.dropsDelayedUntil = now.Add(r.cfg.DropDelay)
 }
 
-// List takes what the register says of one target.
+// List applies the register's entry for one target.
 func (r *Roster) List(now time.Time, l Listing) {
 	r.mu.Lock()
-	restarted := r.list(now, l)
+	restarted := r.applyListing(now, l)
 	r.mu.Unlock()
 
-	r.tellRestart(l.ID, restarted)
+	r.notifyRestart(l.ID, restarted)
 }
 
-// list takes a listing and reports whether the target was started anew. The caller
-// holds mu.
-func (r *Roster) list(now time.Time, l Listing) (restarted bool) {
+// applyListing applies a listing and reports whether the target has restarted under the
+// same id. The caller holds mu.
+func (r *Roster) applyListing(now time.Time, l Listing) (restarted bool) {
 	e, ok := r.engines[l.ID]
 	if !ok {
 		e = &engine{versions: make(map[string]int64)}
 		r.engines[l.ID] = e
 	}
 
-	if r.began.IsZero() {
-		r.began = now
+	if r.firstListedAt.IsZero() {
+		r.firstListedAt = now
 	}
 
-	restarted = r.bear(now, l.ID, l.Service, e, l.Born)
-	e.start.told(now, l.Cold)
+	restarted = r.observeStart(now, l.ID, l.Service, e, l.Born)
+	e.slowStart.observeCold(now, l.Cold)
 
 	if ok && e.listing.Address != l.Address {
-		r.release(e.listing.Address, l.ID)
+		r.removeRegistration(e.listing.Address, l.ID)
 	}
 
-	before := r.holder(l.Address).id
-	r.hold(l)
+	before := r.currentRegistration(l.Address).id
+	r.addRegistration(l)
 
 	e.dropAfter = time.Time{}
-	changed := !ok || !e.listing.same(l) || r.holder(l.Address).id != before
+	changed := !ok || !e.listing.equal(l) || r.currentRegistration(l.Address).id != before
 
-	if !e.before(l.Born) {
+	if !e.isEarlierStart(l.Born) {
 		for model, v := range l.Versions {
-			r.raise(l.ID, e, model, v, "register")
+			r.raiseVersion(l.ID, e, model, v, "register")
 		}
 	}
 
@@ -281,12 +287,13 @@
 
 	e.listing = l
 	event.Log(r.cfg.Log, event.EngineListed, "target", l.ID, "address", l.Address, "service", l.Service, "draining", l.Draining, "versions", l.Versions)
-	r.changed = true
+	r.listChanged = true
 
 	return restarted
 }
 
-// Drop takes that the register no longer names a target.
+// Drop applies the removal of a target from the register. During and shortly after a log
+// outage the removal is delayed unless the target is draining; Tick then carries it out.
 func (r *Roster) Drop(now time.Time, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,72 +303,74 @@
 		return
 	}
 
-	if (r.away || now.Before(r.doubtful)) && !e.listing.Draining {
-		e.dropAfter = r.doubtful
+	if (r.logUnavailable || now.Before(r.dropsDelayedUntil)) && !e.listing.Draining {
+		e.dropAfter = r.dropsDelayedUntil
 
 		return
 	}
 
-	r.drop(now, id, "dropped")
+	r.remove(now, id, "dropped")
 }
 
-// drop forgets a target. The caller holds mu.
-func (r *Roster) drop(now time.Time, id, reason string) {
-	if r.engines[id].quiet() {
-		r.standStill(now, stillDropped)
+// remove deletes a target. The caller holds mu.
+func (r *Roster) remove(now time.Time, id, reason string) {
+	if r.engines[id].suspected() {
+		r.markPaused(now, pausedAfterDrop)
 	}
 
-	r.release(r.engines[id].listing.Address, id)
+	r.removeRegistration(r.engines[id].listing.Address, id)
 	delete(r.engines, id)
 	event.Log(r.cfg.Log, event.EngineDropped, "target", id, "reason", reason)
-	r.changed = true
+	r.listChanged = true
 }
 
-// Tick believes the drops whose doubt is over and looks for signs of life. Call it
-// four times a second.
+// Tick carries out the delayed drops that are due and checks which targets were seen.
+// Call it every 250 ms (checkInterval).
 func (r *Roster) Tick(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.look(now)
-	r.observe(now)
+	r.checkLiveness(now)
+	r.syncTable(now)
 
 	if r.cfg.Entries != nil {
-		r.entries = r.cfg.Entries.Size(now)
+		r.liveEntries = r.cfg.Entries.Size(now)
 	}
 
-	if r.away {
+	if r.logUnavailable {
 		return
 	}
 
 	for id, e := range r.engines {
 		if !e.dropAfter.IsZero() && now.After(e.dropAfter) {
-			r.drop(now, id, "still missing after an outage of the log")
+			r.remove(now, id, "still missing after an outage of the log")
 		}
 	}
 }
 
-// Reconfigured takes that operators may have named other services.
+// Reconfigured records that the set of configured services may have changed.
 func (r *Roster) Reconfigured() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.changed = true
+	r.listChanged = true
 }
 
-// observe gives the list to the table if it changed. A register that is read whole changes
-// once for each target, so that is left until the table is asked. The caller holds mu.
-func (r *Roster) observe(now time.Time) {
-	if !r.changed {
+// syncTable passes the list of targets to the table if it has changed. Reading the whole
+// register changes the list once per target, so the list is passed on only when the table
+// is queried. The caller holds mu.
+func (r *Roster) syncTable(now time.Time) {
+	if !r.listChanged {
 		return
 	}
 
-	r.changed = false
+	r.listChanged = false
 	rows := make([]target.Listed, 0, len(r.engines))
 
 	for id, e := range r.engines {
-		// The table offers a bounded number, in which the starts before would take places.
-		if r.holder(e.listing.Address).id != id {
+		// The table returns a bounded number of candidates, which earlier starts of
+		// the same targets would use up.
+		if r.currentRegistration(e.listing.Address).id != id {
 			continue
 		}
 
@@ -379,28 +388,28 @@
 	sort.Slice(rows, func(i, j int) bool { return rows[i].VM < rows[j].VM })
 
 	for _, c := range r.table.ObserveList(now, rows) {
-		r.change(c)
+		r.logChange(c)
 	}
 }
 
-// change logs a change of a target's standing.
-func (r *Roster) change(c target.Change) {
+// logChange logs a change of a target's health state.
+func (r *Roster) logChange(c target.Change) {
 	event.Log(r.cfg.Log, event.TargetChanged, "vm", c.VM, "reason", c.Reason.String(), "until", c.Until)
 }
 
-// Candidates returns the targets of a service that may get work, with their
-// weight version of a model.
+// Candidates returns the targets of a service that may get work, with their weight
+// version of a model. Targets in evacuated data centres are left out.
 func (r *Roster) Candidates(now time.Time, service, model string) []Engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.observe(now)
+	r.syncTable(now)
 	targets := r.table.Candidates(now, service)
 
 	all := make([]Engine, 0, len(targets))
 
 	for _, t := range targets {
-		if e, ok := r.engines[t.VM]; ok && r.holder(e.listing.Address).id == t.VM && !r.evacuated[e.listing.DataCentre] {
+		if e, ok := r.engines[t.VM]; ok && r.currentRegistration(e.listing.Address).id == t.VM && !r.evacuated[e.listing.DataCentre] {
 			view := e.view(now, t, model)
 			view.Cold, view.Throttled = r.throttle(now, e)
 			all = append(all, view)
@@ -411,30 +420,30 @@
 }
 
 func (e *engine) view(now time.Time, t target.Target, model string) Engine {
-	age := now.Sub(e.pulseAt)
+	age := now.Sub(e.reportedAt)
 
-	loads := time.Duration(e.pulse.LoadInMs) * time.Millisecond
+	loads := time.Duration(e.report.LoadInMs) * time.Millisecond
 
 	return Engine{
 		Loads: loads > 0, LoadsIn: max(loads-age, 0),
 		Target: t, ID: t.VM, Slots: e.listing.Slots,
-		Version: e.versions[model], Loading: now.Before(e.loading),
-		Pulse: e.pulse, PulseAge: age, Fresh: age < e.pulseMost(), Since: e.since,
-		Quiet: e.quiet(),
+		Version: e.versions[model], Loading: now.Before(e.loadingUntil),
+		Pulse: e.report, PulseAge: age, Fresh: age < e.maxReportAge(), Since: e.sentSince,
+		Quiet: e.suspected(),
 	}
 }
 
-// Sent records that a request goes to a target, which makes it read so many
-// tokens and takes so many tokens of its memory.
+// Sent records that a request is sent to a target. Reading is the number of tokens that
+// the target has to prefill, memory the number of KV cache tokens that the request takes.
 func (r *Roster) Sent(now time.Time, id string, reading, memory int) target.Sending {
 	r.mu.Lock()
-	r.observe(now)
+	r.syncTable(now)
 
 	if e, ok := r.engines[id]; ok {
-		e.sentAt = now
-		e.since.Requests++
-		e.since.Reading += reading
-		e.since.Memory += memory
+		e.lastSentAt = now
+		e.sentSince.Requests++
+		e.sentSince.Reading += reading
+		e.sentSince.Memory += memory
 	}
 
 	r.mu.Unlock()
@@ -442,19 +451,20 @@
 	return r.table.Sent(now, id, reading)
 }
 
-// Done records how a request ended.
+// Done records the outcome of a request.
 func (r *Roster) Done(now time.Time, s target.Sending, o target.Outcome) {
 	for _, c := range r.table.Done(now, s, o) {
-		r.change(c)
+		r.logChange(c)
 	}
 }
 
-// Load takes the load that a target told on an answer.
+// Load records the load that a target reported on an answer, in requests.
 func (r *Roster) Load(now time.Time, id string, running, waiting int) {
 	r.table.ObserveLoad(now, id, target.Load{Running: running, Waiting: waiting})
 }
 
-// Loading takes that a target is about to load a version.
+// Loading records that a target is about to load a weight version. It is ignored when the
+// target is known to have that version or a newer one.
 func (r *Roster) Loading(now time.Time, id, model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -464,60 +474,61 @@
 		return
 	}
 
-	e.loading = now.Add(r.cfg.LoadMost)
+	e.loadingUntil = now.Add(r.cfg.MaxLoadTime)
 	event.Log(r.cfg.Log, event.EngineLoading, "target", id, "model", model, "version", version)
 }
 
-// Refused takes that a target refused work without being full: it loads weights
-// and nobody announced it. It is left alone for a moment.
+// Refused records that a target refused work although it is not full: it is loading weights
+// and the load was not announced. The target counts as loading for the given time.
 func (r *Roster) Refused(now time.Time, id string, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if e, ok := r.engines[id]; ok && now.Add(pause).After(e.loading) {
-		e.loading = now.Add(pause)
+	if e, ok := r.engines[id]; ok && now.Add(pause).After(e.loadingUntil) {
+		e.loadingUntil = now.Add(pause)
 	}
 }
 
-// Gone takes that another target answers at a target's address. It is left alone
-// until the register says more.
-func (r *Roster) Gone(now time.Time, id string) { r.Refused(now, id, r.cfg.LoadMost) }
+// Gone records that another target answers at a target's address. The target counts as
+// loading for Config.MaxLoadTime, so that it gets no work until the register has changed.
+func (r *Roster) Gone(now time.Time, id string) { r.Refused(now, id, r.cfg.MaxLoadTime) }
 
-// Has takes that a target has a version, as basis said.
+// Has records that a target has a weight version. Basis names the source; it is logged.
 func (r *Roster) Has(id, model string, version int64, basis string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	if e, ok := r.engines[id]; ok {
-		r.raise(id, e, model, version, basis)
+		r.raiseVersion(id, e, model, version, basis)
 	}
 }
 
-// raise raises a version. The caller holds mu.
-func (r *Roster) raise(id string, e *engine, model string, version int64, basis string) {
+// raiseVersion records a weight version if it is higher than the known one. The caller
+// holds mu.
+func (r *Roster) raiseVersion(id string, e *engine, model string, version int64, basis string) {
 	if model == "" || version <= e.versions[model] {
 		return
 	}
 
 	if e.versions[model] > 0 {
-		e.loading = time.Time{}
+		e.loadingUntil = time.Time{}
 		event.Log(r.cfg.Log, event.EngineVersion, "target", id, "model", model, "version", version, "basis", basis)
 	}
 
 	e.versions[model] = version
 }
 
-// ByAddress returns the id of the target that holds an address.
+// ByAddress returns the id of the target at an address; ok is false when there is none.
 func (r *Roster) ByAddress(address string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	h := r.holder(address)
+	reg := r.currentRegistration(address)
 
-	return h.id, h.id != ""
+	return reg.id, reg.id != ""
 }
 
-// Len returns how many targets are known.
+// Len returns the number of known targets.
 func (r *Roster) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/roster/silence.go
+++ b/roster/silence.go
@@ -6,84 +6,88 @@
 	"boragehub/pulse"
 )
 
-// A machine that stands still keeps its connections, and takes new ones: nothing
-// fails, nothing answers. An entry notices that neither pulses nor bytes of answers
-// come from one target while they come from others. Sent there all the same,
-// requests wait until their callers leave, and the target works on them for nobody
-// when it goes on.
-
-// Looks without a sign of life, by calls of Tick, at the shortest pace of pulses. Looks
-// are counted instead of time, as time also passes while this process stands still.
+// A paused VM keeps its connections open and accepts new ones, so requests to it neither fail
+// nor get an answer. An entry detects it by the absence of load reports and answer bytes from
+// one target while they arrive from others. Requests sent to it regardless would wait until
+// their callers disconnect, and the target would process them for nobody once it resumes.
+
+// Numbers of consecutive checks, one per call of Tick, in which a target was not seen, at
+// the shortest report interval. Checks are counted instead of time, since time also passes
+// while this process is paused.
 const (
-	// quietLooks is after how many a target is suspected: four or more pulses are
-	// missing then, which doesn't happen by loss.
-	quietLooks = 2
-	// silentLooks is after how many what waits there is given up, 0.75 to 1 s
-	// after the last sign. Callers leave a stream that shows nothing after two
-	// seconds at the least, and some have waited for a while before.
-	silentLooks = 4
+	// suspectChecks is the number after which a target is suspected. At least four load
+	// reports are missing by then, which packet loss alone doesn't cause.
+	suspectChecks = 2
+	// unresponsiveChecks is the number after which the requests that wait for a target are
+	// given up, 0.75 to 1 s after it was last seen. Callers wait at least 2 s for a stream
+	// to show output before they disconnect, and some have waited for a while already.
+	unresponsiveChecks = 4
 )
 
-// lateAfter is after how long without a sign of life a target is late, at the shortest
-// pace of pulses, on which a busy machine is a little late. One that is lost makes its
-// target late as well.
-const lateAfter = 150 * time.Millisecond
-
-// life is what is known of a target's signs of life.
-type life struct {
-	beats   bool      // a pulse came once, so that they may be missed
-	heard   bool      // since the last look
-	unheard int       // looks since it was heard
-	at      time.Time // when it was heard
+// reportOverdueAfter is the time since a target was last seen after which its next load
+// report is overdue, at the shortest report interval. It exceeds that interval because a busy
+// VM sends its reports slightly late. A single lost report makes the target overdue too.
+const reportOverdueAfter = 150 * time.Millisecond
+
+// liveness is what is known of when a target was last seen, by its load reports and answers.
+type liveness struct {
+	everReported bool      // a load report was received since its start, so that missing ones count
+	seen         bool      // since the last check
+	missedChecks int       // consecutive checks in which it was not seen
+	lastSeen     time.Time // when it was last seen
 }
 
-// hear takes a sign of life.
-func (l *life) hear(now time.Time) { l.heard, l.unheard, l.at = true, 0, now }
+// observe records that the target was seen.
+func (l *liveness) observe(now time.Time) { l.seen, l.missedChecks, l.lastSeen = true, 0, now }
 
-// lookEvery is the pause between two looks.
-const lookEvery = 250 * time.Millisecond
+// checkInterval is the time between two checks.
+const checkInterval = 250 * time.Millisecond
 
-// longer returns how many looks more than at the shortest pace it takes until so many
-// of an engine's pulses are missing.
-func (e *engine) longer(pulses int) int {
-	more := time.Duration(pulses) * max(e.pulse.Pace-pulse.Every, 0)
+// extraChecks returns how many more checks than at the shortest report interval it takes
+// until the given number of load reports is missing.
+func (e *engine) extraChecks(reports int) int {
+	more := time.Duration(reports) * max(e.report.Interval-pulse.MinInterval, 0)
 
-	return int((more + lookEvery - 1) / lookEvery)
+	return int((more + checkInterval - 1) / checkInterval)
 }
 
-// quiet reports whether signs of life are missing.
-func (e *engine) quiet() bool { return e.life.unheard >= quietLooks+e.longer(quietLooks) }
+// suspected reports whether the engine was not seen for long enough to be suspected.
+func (e *engine) suspected() bool {
+	return e.liveness.missedChecks >= suspectChecks+e.extraChecks(suspectChecks)
+}
 
-// silent reports whether nothing is to be expected of the engine.
-func (e *engine) silent() bool { return e.life.unheard >= silentLooks+e.longer(silentLooks) }
+// unresponsive reports whether requests that wait for the engine are to be given up.
+func (e *engine) unresponsive() bool {
+	return e.liveness.missedChecks >= unresponsiveChecks+e.extraChecks(unresponsiveChecks)
+}
 
-// Heard takes that bytes came from a target.
+// Heard records that bytes of an answer arrived from a target.
 func (r *Roster) Heard(now time.Time, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	if e, ok := r.engines[id]; ok {
-		e.life.hear(now)
-		r.heardAt = now
+		e.liveness.observe(now)
+		r.lastSeen = now
 	}
 }
 
-// Late reports whether a target's next pulse is overdue while others are heard. It tells
-// so long before the target is suspected, and is wrong whenever a pulse is lost: it serves
-// where there is no time to wait for more and being wrong costs little.
+// Late reports whether a target's next load report is overdue while other targets are seen.
+// It does so long before the target is suspected and is wrong whenever a report is lost, so
+// use it only where there is no time to wait longer and a wrong result costs little.
 func (r *Roster) Late(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	e, ok := r.engines[id]
 
-	// What counts is how long others were heard after it: while this process stands
-	// still, nobody is.
-	return ok && e.life.beats && r.heardAt.Sub(e.life.at) > lateAfter+max(e.pulse.Pace-pulse.Every, 0)
+	// The target's last seen time is compared with that of any target, not with the
+	// clock, since no target is seen while this process is paused.
+	return ok && e.liveness.everReported && r.lastSeen.Sub(e.liveness.lastSeen) > reportOverdueAfter+max(e.report.Interval-pulse.MinInterval, 0)
 }
 
-// Silent returns the targets that were not heard for so long that nothing is to be
-// expected of them.
+// Silent returns the ids of the unresponsive targets: those not seen for so long that
+// requests waiting for them are to be given up.
 func (r *Roster) Silent() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +95,7 @@
 	var all []string
 
 	for id, e := range r.engines {
-		if e.silent() {
+		if e.unresponsive() {
 			all = append(all, id)
 		}
 	}
@@ -99,41 +103,41 @@
 	return all
 }
 
-// How long a target counts as standing still.
+// How long a target counts as paused.
 const (
-	// stillRest is for how long after it was heard again: what was under way there
-	// comes to its end first.
-	stillRest = time.Second
-	// stillDropped is for how long after the register dropped one that was not heard.
-	// It drops those that stand still after some four seconds, and they go on some
+	// pausedAfterSeen is the time after the target is seen again, in which the operations
+	// that were in flight there end.
+	pausedAfterSeen = time.Second
+	// pausedAfterDrop is the time after the register dropped a suspected target. The
+	// register drops a paused target after about 4 s, and the target may resume some
 	// seconds later.
-	stillDropped = 6 * time.Second
+	pausedAfterDrop = 6 * time.Second
 )
 
-// Still reports whether a target stands still, or did until a moment ago.
+// Still reports whether any target is taken to be paused, or was until recently.
 func (r *Roster) Still(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return now.Before(r.still)
+	return now.Before(r.pausedUntil)
 }
 
-// standStill notes that a target counts as standing still for so long. The caller
+// markPaused records that a target counts as paused for at least the time d. The caller
 // holds mu.
-func (r *Roster) standStill(now time.Time, d time.Duration) {
-	if until := now.Add(d); until.After(r.still) {
-		r.still = until
+func (r *Roster) markPaused(now time.Time, d time.Duration) {
+	if until := now.Add(d); until.After(r.pausedUntil) {
+		r.pausedUntil = until
 	}
 }
 
-// look counts the looks at which targets were not heard. When none was heard, this
-// process is the one that stood still or is cut off, and nothing is counted. The
-// caller holds mu.
-func (r *Roster) look(now time.Time) {
+// checkLiveness counts a missed check for each target that was not seen since the last one.
+// When none was seen, this process itself was paused or is disconnected, and nothing is
+// counted. The caller holds mu.
+func (r *Roster) checkLiveness(now time.Time) {
 	anyone := false
 
 	for _, e := range r.engines {
-		anyone = anyone || e.life.heard
+		anyone = anyone || e.liveness.seen
 	}
 
 	if !anyone {
@@ -141,21 +145,21 @@
 	}
 
 	for _, e := range r.engines {
-		if e.life.beats && !e.life.heard {
-			e.life.unheard++
+		if e.liveness.everReported && !e.liveness.seen {
+			e.liveness.missedChecks++
 		}
 
-		e.life.heard = false
+		e.liveness.seen = false
 
-		if e.quiet() {
-			r.standStill(now, stillRest)
+		if e.suspected() {
+			r.markPaused(now, pausedAfterSeen)
 		}
 	}
 }
 
-// beat takes a pulse as a sign of life.
-func (e *engine) beat(now time.Time) {
-	e.pulseAt = now
-	e.life.beats = true
-	e.life.hear(now)
+// observeReport records that a load report arrived.
+func (e *engine) observeReport(now time.Time) {
+	e.reportedAt = now
+	e.liveness.everReported = true
+	e.liveness.observe(now)
 }
--- a/roster/silence_test.go
+++ b/roster/silence_test.go
@@ -7,41 +7,41 @@
 	"boragehub/pulse"
 )
 
-// A machine stands still with its engine. Its connections stay, so nothing fails, and
-// its callers wait until they leave. Others are heard, so it isn't this process that
-// stands still.
+// A VM is paused together with its engine. Its connections stay open, so no request fails and
+// callers wait until they disconnect. Other targets are seen, so this process is not the one that
+// is paused.
 func TestTargetThatIsNotHeardGetsNoWork(t *testing.T) {
-	beat := func(r *Roster, ms int, address string) { r.Pulse(at(ms), pulse.Pulse{Engine: address}) }
+	report := func(r *Roster, ms int, address string) { r.Pulse(at(ms), pulse.Pulse{Engine: address}) }
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	tests := []struct {
 		name          string
-		beforehand    func(r *Roster)
+		setup         func(r *Roster)
 		meanwhile     func(r *Roster, ms int)
-		looks         int
+		checks        int
 		quiet, silent bool
 	}{
-		{"one look", func(r *Roster) { beat(r, 0, a) }, func(r *Roster, ms int) { beat(r, ms, b) }, 2, false, false},
-		{"two looks", func(r *Roster) { beat(r, 0, a) }, func(r *Roster, ms int) { beat(r, ms, b) }, 3, true, false},
-		{"four looks", func(r *Roster) { beat(r, 0, a) }, func(r *Roster, ms int) { beat(r, ms, b) }, 5, true, true},
-		{"its answers go on", func(r *Roster) { beat(r, 0, a) }, func(r *Roster, ms int) { beat(r, ms, b); r.Heard(at(ms), "a") }, 9, false, false},
-		{"nobody is heard", func(r *Roster) { beat(r, 0, a); beat(r, 0, b) }, func(*Roster, int) {}, 9, false, false},
-		{"its pulses come seldom", func(r *Roster) { slow := pulse.Pulse{Engine: a, Pace: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { beat(r, ms, b) }, 5, false, false},
-		{"several of them are missing", func(r *Roster) { slow := pulse.Pulse{Engine: a, Pace: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { beat(r, ms, b) }, 12, true, false},
-		{"it never beat", func(*Roster) {}, func(r *Roster, ms int) { beat(r, ms, b) }, 9, false, false},
+		{"one check", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 2, false, false},
+		{"two checks", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 3, true, false},
+		{"four checks", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 5, true, true},
+		{"its answers continue", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b); r.Heard(at(ms), "a") }, 9, false, false},
+		{"no target is seen", func(r *Roster) { report(r, 0, a); report(r, 0, b) }, func(*Roster, int) {}, 9, false, false},
+		{"long report interval", func(r *Roster) { slow := pulse.Pulse{Engine: a, Interval: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 5, false, false},
+		{"several reports at a long interval missing", func(r *Roster) { slow := pulse.Pulse{Engine: a, Interval: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 12, true, false},
+		{"never reported", func(*Roster) {}, func(r *Roster, ms int) { report(r, ms, b) }, 9, false, false},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := open()
-			tt.beforehand(r)
+			r := newTestRoster()
+			tt.setup(r)
 
-			for i := range tt.looks {
+			for i := range tt.checks {
 				tt.meanwhile(r, 250*i)
 				r.Tick(at(250*i + 1))
 			}
 
-			if got := names(r, at(250*tt.looks))["a"].Quiet; got != tt.quiet {
+			if got := candidatesByID(r, at(250*tt.checks))["a"].Quiet; got != tt.quiet {
 				t.Errorf("got quiet %v, want %v", got, tt.quiet)
 			}
 
@@ -49,41 +49,41 @@
 				t.Errorf("got silent %v, want %v", got, tt.silent)
 			}
 
-			beat(r, 250*tt.looks, a)
+			report(r, 250*tt.checks, a)
 
-			if got := names(r, at(250*tt.looks))["a"].Quiet; got || len(r.Silent()) > 0 {
-				t.Error("after a pulse: got it quiet, want it back")
+			if got := candidatesByID(r, at(250*tt.checks))["a"].Quiet; got || len(r.Silent()) > 0 {
+				t.Error("after a report: got a suspected or unresponsive, want neither")
 			}
 		})
 	}
 }
 
-// A caller has waited at a machine that begins to stand still, and is about to leave. A
-// pulse that is overdue has to do for telling it, as long as it isn't this process that
-// stands still.
+// A caller waits for a VM that has just been paused, and is about to disconnect. A single
+// overdue load report has to suffice to detect the pause, unless this process is the one that is
+// paused.
 func TestTargetIsLateWhenItsPulseIsOverdue(t *testing.T) {
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	tests := []struct {
 		name      string
-		pace      time.Duration
+		interval  time.Duration
 		meanwhile func(r *Roster)
 		want      bool
 	}{
-		{"its next pulse is due", 0, func(r *Roster) { r.Pulse(at(140), pulse.Pulse{Engine: b}) }, false},
-		{"its next pulse is overdue", 0, func(r *Roster) { r.Pulse(at(160), pulse.Pulse{Engine: b}) }, true},
-		{"another's answer tells so", 0, func(r *Roster) { r.Heard(at(160), "b") }, true},
-		{"nobody is heard", 0, func(*Roster) {}, false},
-		{"its answers go on", 0, func(r *Roster) { r.Heard(at(100), "a"); r.Heard(at(160), "b") }, false},
-		{"it is heard again", 0, func(r *Roster) { r.Heard(at(160), "b"); r.Pulse(at(170), pulse.Pulse{Engine: a}) }, false},
-		{"its pulses come seldom", time.Second, func(r *Roster) { r.Heard(at(1000), "b") }, false},
-		{"a seldom one is overdue", time.Second, func(r *Roster) { r.Heard(at(1060), "b") }, true},
+		{"next report is due", 0, func(r *Roster) { r.Pulse(at(140), pulse.Pulse{Engine: b}) }, false},
+		{"next report is overdue", 0, func(r *Roster) { r.Pulse(at(160), pulse.Pulse{Engine: b}) }, true},
+		{"next report is overdue by the answer of another target", 0, func(r *Roster) { r.Heard(at(160), "b") }, true},
+		{"no target is seen", 0, func(*Roster) {}, false},
+		{"its answers continue", 0, func(r *Roster) { r.Heard(at(100), "a"); r.Heard(at(160), "b") }, false},
+		{"seen again", 0, func(r *Roster) { r.Heard(at(160), "b"); r.Pulse(at(170), pulse.Pulse{Engine: a}) }, false},
+		{"long report interval", time.Second, func(r *Roster) { r.Heard(at(1000), "b") }, false},
+		{"report at a long interval is overdue", time.Second, func(r *Roster) { r.Heard(at(1060), "b") }, true},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := open()
-			r.Pulse(at(0), pulse.Pulse{Engine: a, Pace: tt.pace})
+			r := newTestRoster()
+			r.Pulse(at(0), pulse.Pulse{Engine: a, Interval: tt.interval})
 			tt.meanwhile(r)
 
 			if got := r.Late("a"); got != tt.want {
@@ -92,24 +92,24 @@
 		})
 	}
 
-	r := open()
+	r := newTestRoster()
 	r.Heard(at(1000), "b")
 
 	if r.Late("a") || r.Late("nobody") {
-		t.Error("got one late that never beat, want it not missed")
+		t.Error("got a target late that never reported, want it not late")
 	}
 }
 
-// Frees of contexts wait for a machine that stands still, and for a moment after it.
+// The release of contexts waits while a target is paused and for a second after it resumes.
 func TestStandstillIsToldUntilAMomentAfter(t *testing.T) {
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
-	r := open()
+	r := newTestRoster()
 	r.Pulse(at(0), pulse.Pulse{Engine: a})
 
 	for i := range 4 {
 		if got, want := r.Still(at(250*i)), i > 2; got != want {
-			t.Errorf("after %d looks: got still %v, want %v", i, got, want)
+			t.Errorf("after %d checks: got still %v, want %v", i, got, want)
 		}
 
 		r.Pulse(at(250*i), pulse.Pulse{Engine: b})
@@ -123,7 +123,7 @@
 		t.Errorf("got still %v and %v, want it for a second", r.Still(at(1500)), r.Still(at(1800)))
 	}
 
-	// It stands still again, and the register drops it as it is not heard there either.
+	// It is paused again, and the register drops it since its heartbeats are missing there too.
 	for i := range 4 {
 		r.Pulse(at(2000+250*i), pulse.Pulse{Engine: b})
 		r.Tick(at(2000 + 250*i))
--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -8,82 +8,85 @@
 	"boragehub/slowstart"
 )
 
-// Slow start of targets that may be cold.
+// Timing of the slow start of targets that may be cold.
 const (
-	// unheardAfter is the age of the last pulse from which on a target may have been started
-	// anew meanwhile.
-	unheardAfter = 500 * time.Millisecond
-	// unheardMost is the age up to which that counts: the register has told of a new start by
-	// then.
-	unheardMost = 2500 * time.Millisecond
-	// firstPulse is how long after a pulse was first asked for it may be missing.
-	firstPulse = time.Second
-	// settleTime is how long after its start this process may not know all the others.
-	settleTime = 4 * time.Second
-	// backTime is how long after work was allowed again in a data centre a pulse may be of the
-	// time before.
-	backTime = 1200 * time.Millisecond
-	// blindEach is the time for which this process sends one request to a target without
-	// hearing of it.
-	blindEach = 150 * time.Millisecond
-	// rankEvery is how long this process's rank among the entries for a target is gone by.
-	rankEvery = 500 * time.Millisecond
+	// reportOverdueAge is the age of the last load report above which the target may have
+	// restarted in the meantime.
+	reportOverdueAge = 500 * time.Millisecond
+	// reportLostAge is the age up to which that is assumed. By then the register has
+	// reported any restart.
+	reportLostAge = 2500 * time.Millisecond
+	// firstReportTimeout is the time from subscribing to a target within which its first
+	// load report is expected.
+	firstReportTimeout = time.Second
+	// entriesSettleTime is the time after the start of this process in which it may not
+	// know all other entries yet.
+	entriesSettleTime = 4 * time.Second
+	// returnTime is the time after the end of an evacuation in which a load report may still
+	// date from the evacuation.
+	returnTime = 1200 * time.Millisecond
+	// unreportedInterval is the time per request that this process may send to a target
+	// between two of its load reports.
+	unreportedInterval = 150 * time.Millisecond
+	// rankTTL is how long this process's rank among the entries for a target is cached.
+	rankTTL = 500 * time.Millisecond
 )
 
-// slowStart is what is known of a target's slow start.
+// slowStart is the slow-start state of a target.
 type slowStart struct {
-	coldUntil time.Time   // as the register said
-	doubt     time.Time   // until when it may be cold, unless its pulses say otherwise
-	surely    time.Time   // before that no pulse says otherwise
-	permits   []time.Time // when each expires
-	rank      int         // of this process among the entries, as of rankAt
-	rankAt    time.Time
+	coldUntil       time.Time   // by the register
+	maybeColdUntil  time.Time   // by its restarts and load reports; a report that it is warm clears it
+	ignoreWarmUntil time.Time   // until when load reports that it is warm are ignored
+	permitExpiries  []time.Time // when each permit expires, earliest first
+	rank            int         // of this process among the entries, as of rankAt
+	rankAt          time.Time
 }
 
-// told takes how much longer the register says that a target stays cold.
-func (s *slowStart) told(now time.Time, left time.Duration) {
+// observeCold records the time until the target is warm, by the register.
+func (s *slowStart) observeCold(now time.Time, left time.Duration) {
 	if until := now.Add(left); left > 0 && until.After(s.coldUntil) {
 		s.coldUntil = until
 	}
 }
 
-// suspect takes that the target was started anew, or may be cold for another reason.
-func (s *slowStart) suspect(now time.Time, l slowstart.Limit) {
-	s.permits = nil
-	s.doubt = now.Add(l.Duration)
+// assumeCold records that the target may be cold from now on, after a restart or for another
+// reason.
+func (s *slowStart) assumeCold(now time.Time, l slowstart.Limit) {
+	s.permitExpiries = nil
+	s.maybeColdUntil = now.Add(l.Duration)
 }
 
-// left returns how much longer the target may be cold.
-func (s *slowStart) left(now time.Time) time.Duration {
-	return max(s.coldUntil.Sub(now), s.doubt.Sub(now), 0)
+// remaining returns the time for which the target may still be cold.
+func (s *slowStart) remaining(now time.Time) time.Duration {
+	return max(s.coldUntil.Sub(now), s.maybeColdUntil.Sub(now), 0)
 }
 
-// pulse takes what a pulse says of it.
-func (s *slowStart) pulse(now time.Time, p pulse.Pulse) {
-	if p.Warm && now.After(s.surely) {
-		s.doubt = time.Time{}
+// observeReport records the slow-start state and the permits in a load report.
+func (s *slowStart) observeReport(now time.Time, p pulse.Pulse) {
+	if p.Warm && now.After(s.ignoreWarmUntil) {
+		s.maybeColdUntil = time.Time{}
 	}
 
-	if until := now.Add(time.Duration(p.ColdMs) * time.Millisecond); p.ColdMs > 0 && until.After(s.doubt) {
-		s.doubt = until
+	if until := now.Add(time.Duration(p.ColdMs) * time.Millisecond); p.ColdMs > 0 && until.After(s.maybeColdUntil) {
+		s.maybeColdUntil = until
 	}
 
 	for range p.Permits {
-		s.permits = append(s.permits, now.Add(slowstart.PermitLife))
+		s.permitExpiries = append(s.permitExpiries, now.Add(slowstart.PermitLife))
 	}
 }
 
-// permitted returns how many permits there are.
-func (s *slowStart) permitted(now time.Time) int {
-	for len(s.permits) > 0 && !now.Before(s.permits[0]) {
-		s.permits = s.permits[1:]
+// availablePermits drops expired permits and returns the number of the others.
+func (s *slowStart) availablePermits(now time.Time) int {
+	for len(s.permitExpiries) > 0 && !now.Before(s.permitExpiries[0]) {
+		s.permitExpiries = s.permitExpiries[1:]
 	}
 
-	return len(s.permits)
+	return len(s.permitExpiries)
 }
 
-// limit returns what a service's targets bear while they are cold. The caller holds mu.
-func (r *Roster) limit(service string) slowstart.Limit {
+// slowStartLimit returns the request limit of a service's cold targets. The caller holds mu.
+func (r *Roster) slowStartLimit(service string) slowstart.Limit {
 	if r.cfg.SlowStart == nil {
 		return slowstart.Limit{}
 	}
@@ -91,97 +94,98 @@
 	return r.cfg.SlowStart(service)
 }
 
-// hearing is how well this process hears a target's pulses.
-type hearing uint8
+// reportState is the state of a target's load reports at this process.
+type reportState uint8
 
 const (
-	// heard is for a target whose pulses come, or are not to come.
-	heard hearing = iota
-	// overdue is for one that may have been started anew without this process knowing of it.
-	overdue
-	// lost is for one whose pulses stay away. The register would have told of a new start of
-	// the time in which they were overdue.
-	lost
+	// reportsCurrent means that load reports arrive or are not expected.
+	reportsCurrent reportState = iota
+	// reportsOverdue means that the target may have restarted unnoticed by this process.
+	reportsOverdue
+	// reportsLost means that load reports have stopped. The register would have reported a
+	// restart from the time in which they were overdue.
+	reportsLost
 )
 
-func (e *engine) hearing(now time.Time) hearing {
-	if e.watched.IsZero() {
-		return heard
+func (e *engine) reportState(now time.Time) reportState {
+	if e.subscribedAt.IsZero() {
+		return reportsCurrent
 	}
 
-	if !e.life.beats {
-		if now.Sub(e.watched) < firstPulse {
-			return overdue
+	if !e.liveness.everReported {
+		if now.Sub(e.subscribedAt) < firstReportTimeout {
+			return reportsOverdue
 		}
 
-		return heard
+		return reportsCurrent
 	}
 
-	switch age := now.Sub(e.pulseAt); {
-	case age <= max(unheardAfter, 3*e.pulse.Pace):
-		return heard
-	case age <= unheardMost:
-		return overdue
+	switch age := now.Sub(e.reportedAt); {
+	case age <= max(reportOverdueAge, 3*e.report.Interval):
+		return reportsCurrent
+	case age <= reportLostAge:
+		return reportsOverdue
 	default:
-		return lost
+		return reportsLost
 	}
 }
 
-// blind returns how many requests this process sends to a target between two of its pulses.
-// The target may have turned cold since the last one, and then looks like the emptiest one
-// to all entries.
-func (r *Roster) blind(l slowstart.Limit, pace time.Duration) int {
-	return max(l.Most/2/max(r.entries, 1), 1) * max(int(pace/blindEach), 1)
+// maxUnreported returns how many requests this process may send to a target between two of its
+// load reports, given their interval. The target may have turned cold since the last report, and
+// then appears to be the least loaded one to all entries.
+func (r *Roster) maxUnreported(l slowstart.Limit, interval time.Duration) int {
+	return max(l.Most/2/max(r.liveEntries, 1), 1) * max(int(interval/unreportedInterval), 1)
 }
 
-// throttle returns how much longer a target stays cold, and whether it gets no request of
-// this process now. The caller holds mu.
+// throttle returns the time until a target is warm, and whether this process may send it no
+// request now. The caller holds mu.
 func (r *Roster) throttle(now time.Time, e *engine) (cold time.Duration, throttled bool) {
-	l := r.limit(e.listing.Service)
+	l := r.slowStartLimit(e.listing.Service)
 	if !l.Bounded() {
 		return 0, false
 	}
 
-	if cold = e.start.left(now); cold > 0 {
-		issued := r.guarded[e.listing.Address]
+	if cold = e.slowStart.remaining(now); cold > 0 {
+		permitsIssued := r.reporting[e.listing.Address]
 
-		return cold, e.start.permitted(now) == 0 && !r.unpermitted(now, e, l, issued)
+		return cold, e.slowStart.availablePermits(now) == 0 && !r.maySendWithoutPermit(now, e, l, permitsIssued)
 	}
 
-	switch e.hearing(now) {
-	case overdue:
-		return 0, !r.unpermitted(now, e, l, true)
-	case lost:
-		return 0, !r.unpermitted(now, e, l, false)
+	switch e.reportState(now) {
+	case reportsOverdue:
+		return 0, !r.maySendWithoutPermit(now, e, l, true)
+	case reportsLost:
+		return 0, !r.maySendWithoutPermit(now, e, l, false)
 	default:
-		return 0, e.life.beats && !e.watched.IsZero() && e.since.Requests >= r.blind(l, e.pulse.Pace)
+		return 0, e.liveness.everReported && !e.subscribedAt.IsZero() && e.sentSince.Requests >= r.maxUnreported(l, e.report.Interval)
 	}
 }
 
-// unpermitted reports whether a request may go to a target that may be cold without a permit.
-// Issued says that others may have permits. The caller holds mu.
-func (r *Roster) unpermitted(now time.Time, e *engine, l slowstart.Limit, issued bool) bool {
-	if now.Sub(r.began) < settleTime {
+// maySendWithoutPermit reports whether this process may send a request without a permit to a
+// target that may be cold. PermitsIssued says whether other entries may hold permits for it. The
+// caller holds mu.
+func (r *Roster) maySendWithoutPermit(now time.Time, e *engine, l slowstart.Limit, permitsIssued bool) bool {
+	if now.Sub(r.firstListedAt) < entriesSettleTime {
 		return false
 	}
 
-	s := &e.start
-	if now.Sub(s.rankAt) > rankEvery {
+	s := &e.slowStart
+	if now.Sub(s.rankAt) > rankTTL {
 		s.rank, s.rankAt = r.cfg.Entries.Rank(now, e.listing.Address), now
 	}
 
-	senders, interval := l.Share(r.entries, issued)
+	senders, interval := l.Share(r.liveEntries, permitsIssued)
 
-	return s.rank < senders && now.Sub(e.sentAt) >= interval
+	return s.rank < senders && now.Sub(e.lastSentAt) >= interval
 }
 
-// Throttled reports whether any target may be cold, or may have been started anew.
+// Throttled reports whether any target may be cold or may have restarted unnoticed.
 func (r *Roster) Throttled(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	for _, e := range r.engines {
-		if r.limit(e.listing.Service).Bounded() && (e.start.left(now) > 0 || e.hearing(now) == overdue) {
+		if r.slowStartLimit(e.listing.Service).Bounded() && (e.slowStart.remaining(now) > 0 || e.reportState(now) == reportsOverdue) {
 			return true
 		}
 	}
@@ -189,8 +193,9 @@
 	return false
 }
 
-// Admit takes one of the requests that a target may get now. It returns false if there is
-// none left, as another request took it meanwhile.
+// Admit reports whether a request may be sent to a target now, and if so uses up a permit when
+// there is one. It returns false if other requests have used up the target's limit since
+// Candidates was called, or if the target is unknown.
 func (r *Roster) Admit(now time.Time, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,17 +209,17 @@
 		return false
 	}
 
-	if e.start.permitted(now) > 0 {
-		e.start.permits = e.start.permits[1:]
+	if e.slowStart.availablePermits(now) > 0 {
+		e.slowStart.permitExpiries = e.slowStart.permitExpiries[1:]
 	}
 
-	e.sentAt = now
+	e.lastSentAt = now
 
 	return true
 }
 
-// Evacuate takes that the targets of a data centre are to get no work, or may get it again.
-// They may be cold then, as they were without work.
+// Evacuate starts or ends the evacuation of a data centre, during which its targets get no work.
+// After an evacuation they count as cold, since they were idle.
 func (r *Roster) Evacuate(now time.Time, dataCentre string, evacuated bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,8 +241,8 @@
 
 	for _, e := range r.engines {
 		if e.listing.DataCentre == dataCentre {
-			e.start.suspect(now, r.limit(e.listing.Service))
-			e.start.surely = now.Add(backTime)
+			e.slowStart.assumeCold(now, r.slowStartLimit(e.listing.Service))
+			e.slowStart.ignoreWarmUntil = now.Add(returnTime)
 		}
 	}
 }
--- a/roster/slow_start_test.go
+++ b/roster/slow_start_test.go
@@ -14,18 +14,18 @@
 	"boragehub/slowstart"
 )
 
-// coldLimit is 32 requests a second for three seconds, and no more than 53 in any second.
+// coldLimit allows 32 requests a second for 3 s, and at most 53 within any second.
 var coldLimit = slowstart.NewLimit(3*time.Second, 32, 1.5, 5)
 
-// ring is the entries that one entry knows.
-type ring struct {
+// knownEntries ranks the entries that one entry knows.
+type knownEntries struct {
 	self  int
 	known []int
 }
 
-func (r ring) Size(time.Time) int { return len(r.known) }
+func (r knownEntries) Size(time.Time) int { return len(r.known) }
 
-func (r ring) Rank(_ time.Time, key string) int {
+func (r knownEntries) Rank(_ time.Time, key string) int {
 	score := func(i int) uint64 { return xxhash.Sum64String(fmt.Sprintf("%s|%d", key, i)) }
 	own := score(r.self)
 	n := 0
@@ -39,41 +39,42 @@
 	return n
 }
 
-// simEngine is an engine with the process beside it.
+// simEngine is a simulated engine with its side process.
 type simEngine struct {
-	id, address string
-	guard       *slowstart.Guard
-	silent      bool // the process beside it is dead
-	born        int64
-	coldFrom    time.Time
-	coldUntil   time.Time
-	probed      time.Time
-	arrivals    []time.Time // while cold
-	told        bool        // the register told of it
-	served      int
+	id, address  string
+	guard        *slowstart.Guard
+	reporterDown bool // the side process is dead
+	startedMs    int64
+	coldFrom     time.Time
+	coldUntil    time.Time
+	probedAt     time.Time
+	arrivals     []time.Time // while cold
+	listed       bool        // the register has reported the latest start
+	served       int
 }
 
-// simEntry is an entry.
+// simEntry is a simulated entry.
 type simEntry struct {
 	r           *Roster
 	frozenUntil time.Time
 }
 
-// simFleet is entries before engines that may be cold, on virtual time without a network.
+// simFleet simulates entries that send requests to engines that may be cold, in virtual time and
+// without a network.
 type simFleet struct {
 	rnd     *rand.Rand
 	now     time.Time
 	entries []*simEntry
 	engines []*simEngine
-	// loss is the part of the pulses that is lost, unknown that of the entries that an entry
-	// doesn't know.
+	// loss is the fraction of load reports that is lost, unknown the fraction of the entries that
+	// an entry doesn't know.
 	loss, unknown float64
 	refused       int
 }
 
 const (
 	simStep = 10 * time.Millisecond
-	// registerLag is how late the register tells what a target wrote there.
+	// registerLag is the delay after which entries read what a target wrote to the register.
 	registerLag = 1700 * time.Millisecond
 )
 
@@ -82,19 +83,19 @@
 
 	for i := range engines {
 		f.engines = append(f.engines, &simEngine{
-			id: fmt.Sprintf("e%d", i), address: fmt.Sprintf("10.0.0.%d:80", i), guard: slowstart.NewGuard(coldLimit, uint64(i)), born: 1000,
+			id: fmt.Sprintf("e%d", i), address: fmt.Sprintf("10.0.0.%d:80", i), guard: slowstart.NewGuard(coldLimit, uint64(i)), startedMs: 1000,
 		})
 	}
 
 	for i := range entries {
-		f.entries = append(f.entries, &simEntry{r: f.start(i, entries)})
+		f.entries = append(f.entries, &simEntry{r: f.newRoster(i, entries)})
 	}
 
 	return f
 }
 
-// start returns the roster of an entry that has just started.
-func (f *simFleet) start(i, of int) *Roster {
+// newRoster returns the roster of an entry that has just started.
+func (f *simFleet) newRoster(i, of int) *Roster {
 	known := []int{i}
 
 	for j := range of {
@@ -104,7 +105,7 @@
 	}
 
 	r := New(Config{
-		Self: fmt.Sprint(i), DataCentre: "east", Entries: ring{i, known}, Log: logr.Discard(),
+		Self: fmt.Sprint(i), DataCentre: "east", Entries: knownEntries{i, known}, Log: logr.Discard(),
 		SlowStart: func(string) slowstart.Limit { return coldLimit },
 	})
 
@@ -121,38 +122,38 @@
 func (f *simFleet) listing(e *simEngine) Listing {
 	return Listing{
 		ID: e.id, Service: "llm", Address: e.address, DataCentre: "east", Slots: 48, Versions: map[string]int64{"m": 1},
-		Born: e.born, Cold: max(e.coldUntil.Sub(f.now), 0),
+		Born: e.startedMs, Cold: max(e.coldUntil.Sub(f.now), 0),
 	}
 }
 
-// chill makes an engine cold, by a start under the id that it has or while it serves.
-func (f *simFleet) chill(e *simEngine, restart bool) {
-	e.coldFrom, e.coldUntil, e.arrivals, e.told = f.now, f.now.Add(coldLimit.Duration), nil, false
+// makeCold makes an engine cold, by a restart under the same id or while it serves.
+func (f *simFleet) makeCold(e *simEngine, restart bool) {
+	e.coldFrom, e.coldUntil, e.arrivals, e.listed = f.now, f.now.Add(coldLimit.Duration), nil, false
 
 	if restart {
-		e.born += 1000
+		e.startedMs += 1000
 		e.guard.Started(f.now, 0)
 	}
 }
 
-// settle lets the entries hear of all engines and know each other.
+// settle runs until the entries have seen all engines and know each other.
 func (f *simFleet) settle() {
-	f.now = f.now.Add(settleTime)
+	f.now = f.now.Add(entriesSettleTime)
 
 	for range 50 {
 		f.step(0)
 	}
 }
 
-// step lets requests come for one step, so many a second.
+// step simulates one time step with requests at the given rate.
 func (f *simFleet) step(perSecond float64) {
 	f.now = f.now.Add(simStep)
 
 	for i, e := range f.engines {
-		f.beat(i, e)
+		f.sendReports(i, e)
 
-		if !e.told && f.now.Sub(e.coldFrom) > registerLag {
-			e.told = true
+		if !e.listed && f.now.Sub(e.coldFrom) > registerLag {
+			e.listed = true
 
 			for _, x := range f.entries {
 				x.r.List(f.now, f.listing(e))
@@ -179,22 +180,22 @@
 	return max(n, 1)
 }
 
-// beat sends an engine's pulses when they are due, and asks its health.
-func (f *simFleet) beat(i int, e *simEngine) {
-	if f.now.Sub(e.probed) >= time.Second {
-		e.probed = f.now
+// sendReports sends an engine's load reports that are due and runs its health check when due.
+func (f *simFleet) sendReports(i int, e *simEngine) {
+	if f.now.Sub(e.probedAt) >= time.Second {
+		e.probedAt = f.now
 		e.guard.Told(f.now, max(e.coldUntil.Sub(f.now), 0))
 	}
 
 	tick := int(f.now.Sub(at(0))/simStep) + i
-	if e.silent || tick%10 != 0 {
+	if e.reporterDown || tick%10 != 0 {
 		return
 	}
 
 	var to []slowstart.Claim
 
 	for n := range f.entries {
-		if (n+tick/10)%2 == 0 { // each gets every second one
+		if (n+tick/10)%2 == 0 { // each entry gets every second report
 			to = append(to, slowstart.Claim{Name: fmt.Sprint(n), Demand: 40})
 		}
 	}
@@ -204,35 +205,35 @@
 	for n, x := range f.entries {
 		if (n+tick/10)%2 == 0 && f.rnd.Float64() >= f.loss && !f.now.Before(x.frozenUntil) {
 			x.r.Pulse(f.now, pulse.Pulse{
-				Engine: e.address, Model: "m", Version: 1, Born: e.born, Pace: 200 * time.Millisecond,
+				Engine: e.address, Model: "m", Version: 1, Born: e.startedMs, Interval: 200 * time.Millisecond,
 				ColdMs: e.guard.Left(f.now).Milliseconds(), Warm: e.guard.Warm(f.now), Permits: permits[fmt.Sprint(n)],
 			})
 		}
 	}
 }
 
-// request has one entry send a request to an engine that may get one.
+// request sends a request from a random entry to an engine that is not throttled.
 func (f *simFleet) request() {
 	x := f.entries[f.rnd.IntN(len(f.entries))]
 	if f.now.Before(x.frozenUntil) {
 		return
 	}
 
-	var open []Engine
+	var eligible []Engine
 
 	for _, c := range x.r.Candidates(f.now, "llm", "m") {
 		if !c.Throttled {
-			open = append(open, c)
+			eligible = append(eligible, c)
 		}
 	}
 
-	if len(open) == 0 {
+	if len(eligible) == 0 {
 		f.refused++
 
 		return
 	}
 
-	id := open[f.rnd.IntN(len(open))].ID
+	id := eligible[f.rnd.IntN(len(eligible))].ID
 	if !x.r.Admit(f.now, id) {
 		f.refused++
 
@@ -256,8 +257,8 @@
 	}
 }
 
-// busiest returns the most requests that came to a cold engine within a second.
-func (e *simEngine) busiest() int {
+// maxPerSecond returns the largest number of requests that a cold engine received within a second.
+func (e *simEngine) maxPerSecond() int {
 	most, from := 0, 0
 
 	for i, a := range e.arrivals {
@@ -271,8 +272,9 @@
 	return most
 }
 
-// Guards against a cold engine that gets more requests in a second than it bears from all
-// entries together: those frozen, just started, with lost pulses or few known others too.
+// Guards against a cold engine that receives more requests within a second than its limit from all
+// entries together, also when entries are paused or just started, lose load reports or know only
+// some of the other entries.
 func TestColdEnginesNeverGetMoreThanTheyBear(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.OneOf(rapid.IntRange(3, 60), rapid.SampledFrom([]int{100, 400})).Draw(r, "entries")
@@ -287,16 +289,16 @@
 
 			switch rapid.SampledFrom([]string{"restart", "cold", "silent", "freeze", "entries"}).Draw(r, "event") {
 			case "restart":
-				f.chill(e, true)
+				f.makeCold(e, true)
 			case "cold":
-				f.chill(e, false)
+				f.makeCold(e, false)
 			case "silent":
-				e.silent = true
+				e.reporterDown = true
 				for range 60 {
 					f.step(perEngine)
 				}
 
-				f.chill(e, true) // nobody but the register tells of it
+				f.makeCold(e, true) // only the register reports the restart
 			case "freeze":
 				for i := range f.entries {
 					if i%2 == 0 {
@@ -304,13 +306,13 @@
 					}
 				}
 
-				f.chill(e, true)
+				f.makeCold(e, true)
 			case "entries":
-				f.chill(e, true)
+				f.makeCold(e, true)
 
 				for i := range f.entries {
 					if i%3 == 0 {
-						f.entries[i].r = f.start(i, n)
+						f.entries[i].r = f.newRoster(i, n)
 					}
 				}
 			}
@@ -320,7 +322,7 @@
 			}
 
 			for _, e := range f.engines {
-				if got := e.busiest(); got > coldLimit.Most {
+				if got := e.maxPerSecond(); got > coldLimit.Most {
 					r.Fatalf("%s: got %d requests within a second while cold, want %d at most", e.id, got, coldLimit.Most)
 				}
 			}
@@ -328,8 +330,8 @@
 	})
 }
 
-// Guards against a cascade: all engines return at once, are sent more than they bear, crash
-// and return cold again.
+// Guards against a cascading failure: all engines restart at once, are sent more than their limit,
+// crash and restart cold again.
 func TestAllEnginesColdUnderThreeTimesTheirRate(t *testing.T) {
 	const engines, entries = 47, 26
 
@@ -337,7 +339,7 @@
 	f.settle()
 
 	for _, e := range f.engines {
-		f.chill(e, true)
+		f.makeCold(e, true)
 		e.served = 0
 	}
 
@@ -351,7 +353,7 @@
 	for _, e := range f.engines {
 		served += e.served
 
-		if got := e.busiest(); got > coldLimit.Most {
+		if got := e.maxPerSecond(); got > coldLimit.Most {
 			t.Errorf("%s: got %d requests within a second, want %d at most", e.id, got, coldLimit.Most)
 		}
 	}
@@ -360,7 +362,7 @@
 		t.Errorf("got %.0f requests served while cold, want %.0f at least", got, want)
 	}
 
-	for range 200 { // two seconds after the last is warm
+	for range 200 { // 2 s after the last engine is warm
 		f.step(200)
 	}
 
@@ -370,24 +372,24 @@
 	}
 
 	if f.refused > 0 {
-		t.Errorf("got %d refused after all were warm, want none", f.refused)
+		t.Errorf("got %d requests refused after all engines were warm, want none", f.refused)
 	}
 }
 
-// Guards against callers who are refused for seconds after all processes of the system, but no
-// engine, were started anew: nobody knows then whether engines are cold.
+// Guards against callers that are refused for seconds after all processes of the system except the
+// engines have restarted: no process knows then whether engines are cold.
 func TestWarmEnginesServeOnceTheyAreAsked(t *testing.T) {
 	f := newSimFleet(3, 26, 8, 0.01, 0)
 	f.settle()
 
 	for i := range f.entries {
-		f.entries[i].r = f.start(i, len(f.entries))
+		f.entries[i].r = f.newRoster(i, len(f.entries))
 	}
 
 	for _, e := range f.engines {
 		e.guard = slowstart.NewGuard(coldLimit, 1)
 		e.guard.Doubt(f.now)
-		e.probed = f.now.Add(100*time.Millisecond - time.Second)
+		e.probedAt = f.now.Add(100*time.Millisecond - time.Second)
 	}
 
 	const demand = 24 * 8
@@ -402,12 +404,11 @@
 	}
 
 	if f.refused > demand/50 {
-		t.Errorf("got %d of %d refused half a second after the start, want a few", f.refused, demand)
+		t.Errorf("got %d of %d requests refused half a second after the start, want a few", f.refused, demand)
 	}
 }
 
-// Guards against starving cold targets that have no process beside them, and against heaping
-// on them.
+// Guards against starving cold targets that have no side process, and against overloading them.
 func TestColdTargetsWithoutPermitsAreShared(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 15, 26, 40, 100, 400} {
 		senders, interval := coldLimit.Share(entries, false)
@@ -423,17 +424,17 @@
 	}
 }
 
-// Guards against work for a data centre that operators evacuated, and against heaping on its
-// targets when they may get work again.
+// Guards against work for an evacuated data centre, and against overloading its targets after the
+// evacuation.
 func TestEvacuatedDataCentreGetsNoWork(t *testing.T) {
 	r := New(Config{
-		Self: "entry-1", DataCentre: "east", Regions: map[string]string{"east": "r", "west": "r"}, Entries: ring{0, []int{0}},
+		Self: "entry-1", DataCentre: "east", Regions: map[string]string{"east": "r", "west": "r"}, Entries: knownEntries{0, []int{0}},
 		SlowStart: func(string) slowstart.Limit { return coldLimit }, Log: logr.Discard(),
 	})
-	west := list("b", "10.0.0.2:80", 1)
+	west := testListing("b", "10.0.0.2:80", 1)
 	west.DataCentre = "west"
 
-	r.List(at(0), list("a", "10.0.0.1:80", 1))
+	r.List(at(0), testListing("a", "10.0.0.1:80", 1))
 	r.List(at(0), west)
 
 	tests := []struct {
@@ -449,12 +450,12 @@
 		now := at(10_000 + i)
 		r.Evacuate(now, tt.dataCentre, tt.evacuated)
 
-		if got := names(r, now); len(got) != tt.want {
+		if got := candidatesByID(r, now); len(got) != tt.want {
 			t.Errorf("%d: got %d targets after %s %v, want %d", i, len(got), tt.dataCentre, tt.evacuated, tt.want)
 		}
 	}
 
-	if got := names(r, at(10_100))["b"]; got.Cold <= 0 {
+	if got := candidatesByID(r, at(10_100))["b"]; got.Cold <= 0 {
 		t.Errorf("got %+v, want a target that may be cold", got)
 	}
 }
--- a/roster/start.go
+++ b/roster/start.go
@@ -8,90 +8,94 @@
 	"boragehub/event"
 )
 
-// bear takes when a target says that it was started, and reports whether it was
-// started anew under the id that it had. The caller holds mu.
+// observeStart records a target's reported start time, in ms of its clock, and reports whether
+// the target has restarted under the same id. The caller holds mu.
 //
-// Such a target holds nothing of before: no request, no context, no order, perhaps other
-// weights. Believed to hold them still, it gets prompts for contexts that it has to
-// read, requests wait for answers that never come, and failures of its last start keep
-// work from it. Register and pulses tell of one start at different times, so only a
-// later one counts.
-func (r *Roster) bear(now time.Time, id, service string, e *engine, born int64) (restarted bool) {
-	if born <= e.born {
+// A restarted target has lost its requests, contexts and orders, and may have other weights. If
+// the old state were kept, the target would be sent prompts for contexts that it has to prefill
+// again, requests would wait for answers that never arrive, and failures of its earlier start
+// would keep work from it. The register and the load reports announce the same start at different
+// times, so only a later start time counts.
+func (r *Roster) observeStart(now time.Time, id, service string, e *engine, startedMs int64) (restarted bool) {
+	if startedMs <= e.startedMs {
 		return false
 	}
 
-	first := e.born == 0
-	e.born = born
+	first := e.startedMs == 0
+	e.startedMs = startedMs
 
 	if first {
 		return false
 	}
 
 	clear(e.versions)
-	e.loading = time.Time{}
-	e.pulse, e.pulseAt, e.since = e.pulse.Forgotten(), time.Time{}, Sent{}
-	e.life = life{}
-	e.start.suspect(now, r.limit(service))
+	e.loadingUntil = time.Time{}
+	e.report, e.reportedAt, e.sentSince = e.report.AfterRestart(), time.Time{}, Sent{}
+	e.liveness = liveness{}
+	e.slowStart.assumeCold(now, r.slowStartLimit(service))
 
-	event.Log(r.cfg.Log, event.EngineRestarted, "target", id, "born", born)
+	event.Log(r.cfg.Log, event.EngineRestarted, "target", id, "born", startedMs)
 
 	for _, c := range r.table.ObserveRestart(now, id) {
-		r.change(c)
+		r.logChange(c)
 	}
 
 	return true
 }
 
-// before reports whether something was told by a start before the present one.
-func (e *engine) before(born int64) bool { return born > 0 && born < e.born }
+// isEarlierStart reports whether a start time, in ms of the engine's clock, is that of a start
+// before the current one; false when it is zero.
+func (e *engine) isEarlierStart(startedMs int64) bool {
+	return startedMs > 0 && startedMs < e.startedMs
+}
 
-// tellRestart tells of a restart. The caller doesn't hold mu.
-func (r *Roster) tellRestart(id string, restarted bool) {
+// notifyRestart calls Config.Restarted if the target has restarted. The caller doesn't hold mu.
+func (r *Roster) notifyRestart(id string, restarted bool) {
 	if restarted && r.cfg.Restarted != nil {
 		r.cfg.Restarted(id)
 	}
 }
 
-// hold notes that a target was listed at an address. The caller holds mu.
-func (r *Roster) hold(l Listing) {
-	all := r.holders[l.Address]
-	at, ok := slices.BinarySearchFunc(all, l.ID, func(h holder, id string) int { return cmp.Compare(h.id, id) })
-	h := holder{l.ID, l.Service, l.Offset}
+// addRegistration records that a target is listed at an address. The caller holds mu.
+func (r *Roster) addRegistration(l Listing) {
+	all := r.registrations[l.Address]
+	at, ok := slices.BinarySearchFunc(all, l.ID, func(reg registration, id string) int { return cmp.Compare(reg.id, id) })
+	reg := registration{l.ID, l.Service, l.Offset}
 
 	if ok {
-		all[at] = h
+		all[at] = reg
 	} else {
-		all = slices.Insert(all, at, h)
+		all = slices.Insert(all, at, reg)
 	}
 
-	r.holders[l.Address] = all
+	r.registrations[l.Address] = all
 }
 
-// release notes that a target is no longer listed at an address. The caller holds mu.
-func (r *Roster) release(address, id string) {
-	all := slices.DeleteFunc(r.holders[address], func(h holder) bool { return h.id == id })
+// removeRegistration records that a target is no longer listed at an address. The caller holds
+// mu.
+func (r *Roster) removeRegistration(address, id string) {
+	all := slices.DeleteFunc(r.registrations[address], func(reg registration) bool { return reg.id == id })
 	if len(all) == 0 {
-		delete(r.holders, address)
+		delete(r.registrations, address)
 
 		return
 	}
 
-	r.holders[address] = all
+	r.registrations[address] = all
 }
 
-// holder returns the target that holds an address: of those whose service is named, the
-// one that wrote last. Its id is empty when there is none. The caller holds mu.
-func (r *Roster) holder(address string) holder {
-	var best holder
+// currentRegistration returns the registration that was written last at an address, among those
+// of configured services. Its id is empty when there is none. The caller holds mu.
+func (r *Roster) currentRegistration(address string) registration {
+	var best registration
 
-	for _, h := range r.holders[address] {
-		if r.cfg.Named != nil && !r.cfg.Named(h.service) {
+	for _, reg := range r.registrations[address] {
+		if r.cfg.Named != nil && !r.cfg.Named(reg.service) {
 			continue
 		}
 
-		if best.id == "" || h.offset >= best.offset {
-			best = h
+		if best.id == "" || reg.offset >= best.offset {
+			best = reg
 		}
 	}
 
