--- a/roster/roster.go
+++ b/roster/roster.go
@@ -479,13 +479,13 @@
 }
 
 // Refused records that a target refused work although it is not full: it is loading weights
-// and the load was not announced. The target counts as loading for the given time.
-func (r *Roster) Refused(now time.Time, id string, pause time.Duration) {
+// and the load was not announced. The target counts as loading for the time d.
+func (r *Roster) Refused(now time.Time, id string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if e, ok := r.engines[id]; ok && now.Add(pause).After(e.loadingUntil) {
-		e.loadingUntil = now.Add(pause)
+	if e, ok := r.engines[id]; ok && now.Add(d).After(e.loadingUntil) {
+		e.loadingUntil = now.Add(d)
 	}
 }
 
