--- a/limit/account.go
+++ b/limit/account.go
@@ -6,47 +6,49 @@
 	"golang.org/x/time/rate"
 )
 
-// account is the state of one organisation.
+// account is the state kept for one organisation.
 type account struct {
-	organisation string
-	limiter      *rate.Limiter
-	weight       float64
-	used         float64
-	peak         float64 // of used, fading: what it is taken to want
-	peakAt       time.Time
-	claim        float64 // what it wanted when the level was last worked out
-	active       bool    // is in the gate's list
-	seen         time.Time
-	rated        schedule
-	shared       schedule
+	organisation  string
+	limiter       *rate.Limiter
+	weight        float64
+	used          float64
+	peakDemand    float64 // peak of used and refused places, decaying with demandHalfLife
+	peakDemandAt  time.Time
+	demand        float64 // recentDemand with headroom, as of the last fair level
+	active        bool    // whether it is in Gate.active
+	lastSeen      time.Time
+	rateSchedule  retrySchedule
+	shareSchedule retrySchedule
 }
 
-// account returns the organisation's account. Past the bound, organisations
-// without one share an account, so that names made up by a caller fill no memory.
+// account returns the organisation's account, with the rate and weight of q. Beyond
+// MaxAccounts, organisations without an account share one, so that organisation names
+// made up by a caller don't exhaust memory.
 func (g *Gate) account(now time.Time, q Request) *account {
-	g.sweepSome(now)
+	g.evictIdle(now)
 
 	a, ok := g.accounts[q.Organisation]
-	if !ok && len(g.accounts) >= g.cfg.Organisations {
+	if !ok && len(g.accounts) >= g.cfg.MaxAccounts {
 		a = g.overflow
 	} else if !ok {
 		a = &account{organisation: q.Organisation}
 		g.accounts[q.Organisation] = a
-		g.sweepers = append(g.sweepers, a)
+		g.sweepList = append(g.sweepList, a)
 	}
 
-	a.seen = now
+	a.lastSeen = now
 	a.weight = q.Weight
-	g.configure(now, a, q)
+	g.updateRate(now, a, q)
 
 	return a
 }
 
-// configure takes over a rate that the settings changed.
-func (g *Gate) configure(now time.Time, a *account, q Request) {
+// updateRate applies the rate and burst of q to the account's limiter. One entry allows its
+// even part of the rate times rateSlack, but no more than the whole rate.
+func (g *Gate) updateRate(now time.Time, a *account, q Request) {
 	limit, burst := rate.Inf, max(q.Burst, 1)
 	if q.Rate > 0 {
-		limit = rate.Limit(q.Rate * min(1, slack/float64(g.entries)))
+		limit = rate.Limit(q.Rate * min(1, rateSlack/float64(g.entries)))
 	}
 
 	if a.limiter == nil {
@@ -63,33 +65,34 @@
 	}
 }
 
-// slack is how much more than its even part of a rate one entry allows,
-// because balancers spread callers unevenly.
-const slack = 2
+// rateSlack is the factor by which one entry may exceed its even part of a rate, since
+// load balancers distribute callers unevenly.
+const rateSlack = 2
 
-// sweepPerCall is how many accounts each call looks at for idle ones.
+// sweepPerCall is the number of accounts that each call checks for eviction.
 const sweepPerCall = 2
 
-// sweepSome drops a few idle accounts.
-func (g *Gate) sweepSome(now time.Time) {
+// evictIdle removes accounts that have been idle for AccountTTL. It checks a few
+// accounts per call.
+func (g *Gate) evictIdle(now time.Time) {
 	for range sweepPerCall {
-		if len(g.sweepers) == 0 {
+		if len(g.sweepList) == 0 {
 			return
 		}
 
-		g.sweep %= len(g.sweepers)
+		g.sweepIndex %= len(g.sweepList)
 
-		a := g.sweepers[g.sweep]
-		if a.used > 0 || now.Sub(a.seen) < g.cfg.Remember {
-			g.sweep++
+		a := g.sweepList[g.sweepIndex]
+		if a.used > 0 || now.Sub(a.lastSeen) < g.cfg.AccountTTL {
+			g.sweepIndex++
 			continue
 		}
 
 		delete(g.accounts, a.organisation)
 
-		last := len(g.sweepers) - 1
-		g.sweepers[g.sweep] = g.sweepers[last]
-		g.sweepers[last] = nil
-		g.sweepers = g.sweepers[:last]
+		last := len(g.sweepList) - 1
+		g.sweepList[g.sweepIndex] = g.sweepList[last]
+		g.sweepList[last] = nil
+		g.sweepList = g.sweepList[:last]
 	}
 }
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -9,11 +9,12 @@
 	"boragehub/setting"
 )
 
-// sizes are organisations: today, ten times as many, and two years on.
-var sizes = []int{10, 100, 10000}
+// organisationCounts are the current number of organisations, ten times as many, and the number
+// expected in two years.
+var organisationCounts = []int{10, 100, 10000}
 
-func each(b *testing.B, f func(b *testing.B, organisations int)) {
-	for _, n := range sizes {
+func forEachCount(b *testing.B, f func(b *testing.B, organisations int)) {
+	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			f(b, n)
@@ -21,9 +22,9 @@
 	}
 }
 
-// filled returns a gate where each organisation holds one place, and requests
-// of each.
-func filled(organisations int, places float64) (*Gate, []Request) {
+// filledGate returns a gate in which each organisation holds one place, and one request of each
+// organisation.
+func filledGate(organisations int, places float64) (*Gate, []Request) {
 	g := NewGate(GateConfig{Places: places})
 	all := make([]Request, organisations)
 
@@ -36,8 +37,8 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	each(b, func(b *testing.B, organisations int) {
-		g, all := filled(organisations, 1e9)
+	forEachCount(b, func(b *testing.B, organisations int) {
+		g, all := filledGate(organisations, 1e9)
 		now, i := epoch, 0
 
 		for b.Loop() {
@@ -50,21 +51,21 @@
 	})
 }
 
-// BenchmarkRefuse asks while all places are held, a request each millisecond, so
-// that the water level is worked out anew every twentieth time. All organisations
-// hold a place, which is more than one entry sees at once.
+// BenchmarkRefuse sends a request each millisecond while all places are held, so that the fair
+// level is recomputed for every twentieth request. All organisations hold a place, which is more
+// than one entry sees at once.
 func BenchmarkRefuse(b *testing.B) {
-	each(b, func(b *testing.B, organisations int) {
-		g, all := filled(organisations, float64(organisations)*1.05)
-		refuse(b, g, all)
+	forEachCount(b, func(b *testing.B, organisations int) {
+		g, all := filledGate(organisations, float64(organisations)*1.05)
+		benchRefusals(b, g, all)
 	})
 }
 
-// BenchmarkRefuseFew is the same with 120 organisations that hold a place and
-// all others idle for a minute: about what one entry of 420 sees.
+// BenchmarkRefuseFew does the same with 120 organisations that hold a place while all others have
+// been idle for a minute, about what one entry of 420 sees.
 func BenchmarkRefuseFew(b *testing.B) {
-	each(b, func(b *testing.B, organisations int) {
-		g, all := filled(organisations, 1e9)
+	forEachCount(b, func(b *testing.B, organisations int) {
+		g, all := filledGate(organisations, 1e9)
 		few := min(120, organisations)
 
 		for _, a := range g.accounts {
@@ -79,11 +80,11 @@
 		}
 
 		g.SetPlaces(later, float64(few)*1.05)
-		refuse(b, g, all[:few])
+		benchRefusals(b, g, all[:few])
 	})
 }
 
-func refuse(b *testing.B, g *Gate, all []Request) {
+func benchRefusals(b *testing.B, g *Gate, all []Request) {
 	now, i := epoch.Add(time.Minute), 0
 
 	for b.Loop() {
@@ -99,18 +100,18 @@
 }
 
 func BenchmarkBytes(b *testing.B) {
-	each(b, func(b *testing.B, organisations int) {
+	forEachCount(b, func(b *testing.B, organisations int) {
 		for b.Loop() {
-			before := inUse()
-			g, all := filled(organisations, 1e9)
-			b.ReportMetric(float64(inUse()-before)/float64(organisations), "bytes/organisation")
+			before := heapInUse()
+			g, all := filledGate(organisations, 1e9)
+			b.ReportMetric(float64(heapInUse()-before)/float64(organisations), "bytes/organisation")
 			runtime.KeepAlive(g)
 			runtime.KeepAlive(all)
 		}
 	})
 }
 
-func inUse() int64 {
+func heapInUse() int64 {
 	var m runtime.MemStats
 
 	runtime.GC()
--- a/limit/gate.go
+++ b/limit/gate.go
@@ -1,23 +1,23 @@
-// Package limit decides at one entry whether a request is let in, and tells a
-// refused caller when to come again.
+// Package limit implements admission control at one entry: it admits or refuses requests
+// and tells refused callers when to retry.
 //
 // # Model
 //
-// A Gate holds one account for each organisation. A request passes four checks:
-// its deadline against the wait that the caller of Admit expects; the class's
-// part of the places; when places are short, the organisation's fair share of
-// them; and the organisation's rate, which comes last so that only requests that
-// are let in use it up. Places are the unit of
-// capacity: about one running request each, waiting ones included. A refused
-// request is answered at once; nothing waits inside a Gate.
+// A Gate keeps one account per organisation. Capacity is counted in places; a request,
+// running or queued, takes about one. A request has to pass four checks, in this order:
+// its deadline against the expected wait; the fraction of the places that its class may
+// use; when places are scarce, the organisation's fair share of them; and the
+// organisation's rate limit, which comes last so that only admitted requests consume
+// it. A refused request is answered at once; a Gate has no queue.
 //
-// Fair shares are weighted max-min: what an organisation doesn't use goes to
-// those that want more. Only places held count, so an organisation that sends
-// ten times as much is refused ten times as often and holds no more.
+// Fair shares are weighted max-min: what an organisation doesn't use goes to those that
+// demand more. Shares limit the places held, not the requests sent, so an organisation
+// that sends ten times as many requests has more of them refused and holds no more
+// places.
 //
-// Retry-After is worked out: each refusal takes the next slot of a schedule
-// that runs at the rate at which places (or tokens) come free, so callers that
-// were refused together come back one after the other.
+// Retry-After is computed: each refusal takes the next slot of a schedule that advances
+// at the rate at which places (or tokens of the rate limit) are released, so callers
+// refused at the same time retry one after the other.
 //
 // # Example
 //
@@ -37,94 +37,95 @@
 	"boragehub/setting"
 )
 
-// GateConfig configures a Gate. Zero values get a default.
+// GateConfig configures a Gate. Zero values are replaced by defaults.
 type GateConfig struct {
-	// Seed makes the spread of Retry-After reproducible.
+	// Seed seeds the random jitter of Retry-After, which makes it reproducible.
 	Seed uint64
-	// Places is the capacity at the start; zero means unlimited until SetPlaces.
+	// Places is the initial capacity; zero means unlimited until SetPlaces is called.
 	Places float64
 	// Entries is how many entries share the site's traffic. 1 when zero.
 	Entries int
-	// Organisations bounds the accounts; more share one. 16384 when zero.
-	Organisations int
-	// Pressure is the part of a class's places above which shares are enforced.
-	// 0.9 when zero: lower ones refuse more at usual load and help the others
-	// no more when one organisation sends too much.
-	Pressure float64
-	// MostAfter bounds Retry-After. 60 s when zero.
-	MostAfter time.Duration
-	// Remember is how long an idle account is kept. 10 min when zero.
-	Remember time.Duration
+	// MaxAccounts bounds the number of accounts; further organisations share one.
+	// 16384 when zero.
+	MaxAccounts int
+	// ShareThreshold is the used fraction of a class's places above which fair shares
+	// are enforced. 0.9 when zero: lower values refuse more requests at usual load and
+	// don't protect the other organisations better from one that sends too much.
+	ShareThreshold float64
+	// MaxRetryAfter bounds Retry-After before jitter. 60 s when zero.
+	MaxRetryAfter time.Duration
+	// AccountTTL is how long an idle account is kept. 10 min when zero.
+	AccountTTL time.Duration
 }
 
 func (c GateConfig) withDefaults() GateConfig {
 	c.Entries = max(c.Entries, 1)
 
-	if c.Organisations <= 0 {
-		c.Organisations = 16384
+	if c.MaxAccounts <= 0 {
+		c.MaxAccounts = 16384
 	}
 
-	if c.Pressure <= 0 {
-		c.Pressure = 0.9
+	if c.ShareThreshold <= 0 {
+		c.ShareThreshold = 0.9
 	}
 
-	if c.MostAfter <= 0 {
-		c.MostAfter = time.Minute
+	if c.MaxRetryAfter <= 0 {
+		c.MaxRetryAfter = time.Minute
 	}
 
-	if c.Remember <= 0 {
-		c.Remember = 10 * time.Minute
+	if c.AccountTTL <= 0 {
+		c.AccountTTL = 10 * time.Minute
 	}
 
 	return c
 }
 
-// Request is what Admit has to know.
+// Request describes a request to Admit.
 type Request struct {
 	// Organisation is the caller's organisation.
 	Organisation string
 	// Class is the request's priority.
 	Class setting.Class
-	// Rate is the organisation's requests a second at the site; zero means unlimited.
+	// Rate is the organisation's rate limit at the site, in requests a second; zero means
+	// unlimited.
 	Rate float64
-	// Burst is how many may come at once; at least 1.
+	// Burst is the number of requests that may arrive at once; zero counts as 1.
 	Burst int
 	// Weight is the organisation's weight in fair shares; zero counts as 1.
 	Weight float64
-	// Cost is how many places the request takes; zero counts as 1.
+	// Cost is the number of places that the request takes; zero counts as 1.
 	Cost float64
-	// Deadline is when the first token is no longer of use; zero means never.
+	// Deadline is the time by which the first token is needed; zero means no deadline.
 	Deadline time.Time
-	// Wait is the time until the first token that is expected at the best target.
+	// Wait is the expected time to the first token at the best target.
 	Wait time.Duration
 }
 
-// Permit is one admitted request. Give it to Release once.
+// Permit holds the places of one admitted request. Pass it to Release once.
 type Permit struct {
 	account *account
 	cost    float64
 }
 
-// Gate lets requests in or refuses them. Use NewGate. Its methods may be called
-// from many goroutines.
+// Gate admits or refuses requests. Use NewGate. Its methods are safe for concurrent use.
 type Gate struct {
 	cfg GateConfig
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	places   float64
-	entries  int
-	used     float64
-	accounts map[string]*account
-	sweepers []*account // all accounts, for the sweep
-	active   []*account // those that hold or wanted places lately
-	sweep    int
-	overflow *account
-	level    float64 // places for each unit of weight
-	levelAt  time.Time
-	freed    meter
-	classes  [classes]schedule
-	refusals [refusalKinds]uint64
+	mu             sync.Mutex
+	rng            *rand.Rand
+	places         float64
+	entries        int
+	used           float64
+	accounts       map[string]*account
+	sweepList      []*account // all accounts, in the order of eviction checks
+	active         []*account // accounts that hold places or demanded some recently
+	sweepIndex     int
+	overflow       *account
+	cachedLevel    float64 // places per unit of weight, as of cachedLevelAt
+	cachedLevelAt  time.Time
+	releases       rateMeter
+	classSchedules [numClasses]retrySchedule
+	refusals       [refusalKinds]uint64
 }
 
 // NewGate returns a Gate with no accounts.
@@ -133,7 +134,7 @@
 
 	return &Gate{
 		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Organisations))),
+		rng:      rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.MaxAccounts))),
 		places:   cfg.Places,
 		entries:  cfg.Entries,
 		accounts: map[string]*account{},
@@ -141,13 +142,13 @@
 	}
 }
 
-// SetPlaces sets the capacity that this entry may use.
+// SetPlaces sets the capacity of this entry, in places; zero means unlimited.
 func (g *Gate) SetPlaces(_ time.Time, places float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	g.places = places
-	g.levelAt = time.Time{}
+	g.cachedLevelAt = time.Time{}
 }
 
 // SetEntries sets how many entries share the site's traffic.
@@ -158,40 +159,40 @@
 	g.entries = max(n, 1)
 }
 
-// Admit lets q in or refuses it with RateLimited, DeadlineHopeless, QueueFull
-// or ShareExceeded, each with the time after which to come again.
+// Admit admits q or refuses it with a RateLimited, DeadlineHopeless, QueueFull or
+// ShareExceeded failure that carries the time after which to retry.
 func (g *Gate) Admit(now time.Time, q Request) (Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	q.Cost = positive(q.Cost, 1)
-	q.Weight = positive(q.Weight, 1)
+	q.Cost = positiveOr(q.Cost, 1)
+	q.Weight = positiveOr(q.Weight, 1)
 	a := g.account(now, q)
 
-	if err := g.hopeless(now, q); err != nil {
+	if err := g.checkDeadline(now, q); err != nil {
 		return Permit{}, err
 	}
 
-	if err := g.crowded(now, a, q); err != nil {
+	if err := g.checkCapacity(now, a, q); err != nil {
 		return Permit{}, err
 	}
 
-	if err := g.unfair(now, a, q); err != nil {
+	if err := g.checkShare(now, a, q); err != nil {
 		return Permit{}, err
 	}
 
-	if err := g.tooFast(now, a, q); err != nil {
+	if err := g.checkRate(now, a, q); err != nil {
 		return Permit{}, err
 	}
 
 	g.used += q.Cost
 	a.used += q.Cost
-	g.want(now, a, a.used)
+	g.recordDemand(now, a, a.used)
 
 	return Permit{account: a, cost: q.Cost}, nil
 }
 
-// Release gives back what p holds.
+// Release releases the places of p. The zero Permit holds none.
 func (g *Gate) Release(now time.Time, p Permit) {
 	if p.account == nil {
 		return
@@ -202,10 +203,10 @@
 
 	g.used = max(g.used-p.cost, 0)
 	p.account.used = max(p.account.used-p.cost, 0)
-	g.freed.add(now, p.cost)
+	g.releases.add(now, p.cost)
 }
 
-// Used returns the places held.
+// Used returns the number of places in use.
 func (g *Gate) Used() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,7 +222,7 @@
 	return len(g.accounts)
 }
 
-// Refused returns how many requests were refused with kind k.
+// Refused returns the number of requests that were refused with kind k.
 func (g *Gate) Refused(k failure.Kind) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -229,7 +230,7 @@
 	return g.refusals[refusalIndex(k)]
 }
 
-func positive(v, d float64) float64 {
+func positiveOr(v, d float64) float64 {
 	if v <= 0 {
 		return d
 	}
--- a/limit/gate_test.go
+++ b/limit/gate_test.go
@@ -15,16 +15,16 @@
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// oracle knows what was let in and what the rules promise. It keeps plain lists
-// and adds them up anew each time.
+// oracle records the admitted requests and computes the guarantees of the rules. It keeps plain
+// lists and sums them up on each use.
 type oracle struct {
-	places  float64
-	weights map[string]float64
-	held    []held
-	times   map[string][]time.Time // of those let in
+	places     float64
+	weights    map[string]float64
+	held       []heldPermit
+	admittedAt map[string][]time.Time // times of the admitted requests, by organisation
 }
 
-type held struct {
+type heldPermit struct {
 	organisation string
 	cost         float64
 	permit       Permit
@@ -42,8 +42,8 @@
 	return sum
 }
 
-// evenShare is what the organisation may hold of a class's places when all the
-// others want everything.
+// evenShare returns the number of a class's places that the organisation may hold when all others
+// have unlimited demand.
 func (o *oracle) evenShare(organisation string, class setting.Class) float64 {
 	room := map[setting.Class]float64{setting.Urgent: 1, setting.Interactive: 0.95, setting.Standard: 0.9, setting.Background: 0.75}
 
@@ -55,13 +55,12 @@
 	return o.places * room[class] * o.weights[organisation] / sum
 }
 
-// TestGateAgainstOracle lets organisations of all weights and classes crowd one
-// entry while its capacity changes. A user of an organisation within its share
-// must never be refused because of what others hold above theirs, and a refusal
-// always says when to come again.
+// TestGateAgainstOracle sends requests of several organisations, weights and classes to one gate.
+// A request of an organisation within its even share must never be refused with share_exceeded, and
+// each refusal must carry a Retry-After.
 func TestGateAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		o := &oracle{places: 20, weights: map[string]float64{"a": 1, "b": 2, "c": 1, "d": 4}, times: map[string][]time.Time{}}
+		o := &oracle{places: 20, weights: map[string]float64{"a": 1, "b": 2, "c": 1, "d": 4}, admittedAt: map[string][]time.Time{}}
 		g := NewGate(GateConfig{Places: o.places, Seed: 1})
 		now := epoch
 
@@ -99,18 +98,18 @@
 
 				p, err := g.Admit(now, q)
 				if err == nil {
-					o.held = append(o.held, held{q.Organisation, q.Cost, p})
-					o.times[q.Organisation] = append(o.times[q.Organisation], now)
+					o.held = append(o.held, heldPermit{q.Organisation, q.Cost, p})
+					o.admittedAt[q.Organisation] = append(o.admittedAt[q.Organisation], now)
 				}
 
-				checkVerdict(rt, now, o, q, err)
+				checkAdmission(rt, now, o, q, err)
 			},
 			"": func(rt *rapid.T) {
 				if got, want := g.Used(), o.used(""); got != want {
 					rt.Fatalf("places used: got %v, want %v", got, want)
 				}
 
-				for name, times := range o.times {
+				for name, times := range o.admittedAt {
 					checkRate(rt, name, times, perSecond, burst)
 				}
 			},
@@ -118,13 +117,13 @@
 	})
 }
 
-func checkVerdict(rt *rapid.T, now time.Time, o *oracle, q Request, err error) {
+func checkAdmission(rt *rapid.T, now time.Time, o *oracle, q Request, err error) {
 	hopeless := !q.Deadline.IsZero() && now.Add(q.Wait).After(q.Deadline)
 	used, own := o.used(""), o.used(q.Organisation)
 
 	if err == nil {
 		if hopeless {
-			rt.Fatal("got let in past its deadline")
+			rt.Fatal("got a request admitted past its deadline")
 		}
 
 		if used > o.places && used > q.Cost {
@@ -139,7 +138,7 @@
 		rt.Fatalf("%v: got Retry-After %v, want one within 75 s", e.Kind(), e.RetryAfter())
 	}
 
-	switch e.Kind() { //nolint:exhaustive // the rest is an error
+	switch e.Kind() { //nolint:exhaustive // all other kinds are errors
 	case failure.DeadlineHopeless:
 		if !hopeless {
 			rt.Fatal("got deadline_hopeless though the deadline can be met")
@@ -158,20 +157,20 @@
 	}
 }
 
-// checkRate counts, for each window that ends now, what was let in.
+// checkRate checks the number of admitted requests in each window that ends with the last one.
 func checkRate(rt *rapid.T, name string, times []time.Time, perSecond float64, burst int) {
 	for i := range times {
 		span := times[len(times)-1].Sub(times[i]).Seconds()
 		if got, most := float64(len(times)-i), float64(burst)+perSecond*span+0.001; got > most {
-			rt.Fatalf("%s: got %v let in within %v s, want at most %v", name, got, span, most)
+			rt.Fatalf("%s: got %v requests admitted within %v s, want at most %v", name, got, span, most)
 		}
 	}
 }
 
-// Callers make up organisations, or many appear at once; the entry's memory must
-// not grow with them.
+// Callers make up organisation names, or many organisations appear at once. The memory of the entry
+// must stay bounded.
 func TestAccountsAreBounded(t *testing.T) {
-	g := NewGate(GateConfig{Organisations: 100, Remember: time.Minute})
+	g := NewGate(GateConfig{MaxAccounts: 100, AccountTTL: time.Minute})
 
 	for i := range 1000 {
 		p, err := g.Admit(epoch, Request{Organisation: fmt.Sprint(i)})
@@ -196,8 +195,8 @@
 	}
 }
 
-// All places are held. One more would wait in an engine's queue for longer than
-// its user does.
+// All places are held. A further request would wait in an engine's queue for longer than its user
+// waits.
 func TestFullEntryRefuses(t *testing.T) {
 	g := NewGate(GateConfig{Places: 3})
 
@@ -213,32 +212,32 @@
 	}
 }
 
-// A flood is refused within one second. Were all told the same Retry-After, they
-// would come back as the same flood and be refused again for ever.
+// Many requests are refused within one second. With the same Retry-After they would all be retried
+// at the same time and be refused again indefinitely.
 func TestRetryAfterSpreadsCallers(t *testing.T) {
 	g := NewGate(GateConfig{Seed: 7})
-	back := map[int]int{}
+	callersBySecond := map[int]int{}
 
 	for range 220 {
 		_, err := g.Admit(epoch, Request{Organisation: "a", Rate: 10, Burst: 20})
 		if err != nil {
-			back[int(failure.As(err).RetryAfter().Seconds())]++
+			callersBySecond[int(failure.As(err).RetryAfter().Seconds())]++
 		}
 	}
 
 	most := 0
-	for _, n := range back {
+	for _, n := range callersBySecond {
 		most = max(most, n)
 	}
 
-	if len(back) < 20 || most > 15 {
-		t.Errorf("callers by second: got %v, want at least 20 seconds with at most 15 each", back)
+	if len(callersBySecond) < 20 || most > 15 {
+		t.Errorf("callers by second: got %v, want at least 20 seconds with at most 15 each", callersBySecond)
 	}
 }
 
-// A large organisation was alone and filled all places; then a small one comes.
-// For each place that comes free the large one asks ten times before the small
-// one does. Its users must not wait until the large one has had enough.
+// A large organisation has filled all places while it was the only one; then a small one sends
+// requests too. For each released place the large one sends ten requests before the small one
+// sends one. The small one must get places nevertheless.
 func TestNewcomerGetsItsShareOfAFullEntry(t *testing.T) {
 	g := NewGate(GateConfig{Places: 20})
 	now := epoch
@@ -282,14 +281,14 @@
 	}
 }
 
-// Engines hang and no place comes free any more. Were Retry-After worked out from
-// the rate before, callers would come back every second for nothing.
+// Engines hang and no place is released any more. With a Retry-After computed from the earlier
+// release rate, callers would retry every second in vain.
 func TestRetryAfterGrowsWhenNothingComesFree(t *testing.T) {
 	g := NewGate(GateConfig{Places: 10})
 
 	var held []Permit
 
-	// A place is given back and taken again each 100 ms for 20 s.
+	// A place is released and taken again every 100 ms for 20 s.
 	now := epoch
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
@@ -312,23 +311,23 @@
 
 	soon, later := after(now), after(now.Add(time.Minute))
 	if soon > 200*time.Millisecond || later < 2*time.Second {
-		t.Errorf("got %v while places come free and %v a minute after the last one, want at most 200 ms and at least 2 s", soon, later)
+		t.Errorf("got %v while places are released and %v a minute after the last one, want at most 200 ms and at least 2 s", soon, later)
 	}
 }
 
-// run is one run in the model of TestTenfoldSender.
-type run struct {
+// simRun is a running request in the simulation of TestTenfoldSender.
+type simRun struct {
 	ends   time.Time
 	permit Permit
 }
 
-type runs []run
+type simRuns []simRun
 
-func (r runs) Len() int           { return len(r) }
-func (r runs) Less(i, j int) bool { return r[i].ends.Before(r[j].ends) }
-func (r runs) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *runs) Push(x any)        { *r = append(*r, x.(run)) }
-func (r *runs) Pop() any {
+func (r simRuns) Len() int           { return len(r) }
+func (r simRuns) Less(i, j int) bool { return r[i].ends.Before(r[j].ends) }
+func (r simRuns) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *simRuns) Push(x any)        { *r = append(*r, x.(simRun)) }
+func (r *simRuns) Pop() any {
 	old := *r
 	x := old[len(old)-1]
 	*r = old[:len(old)-1]
@@ -336,23 +335,23 @@
 	return x
 }
 
-// crowd sends for ten organisations at one entry with 100 places, each run 2 s
-// on average, eight small organisations at 4 a second and two large ones at 8:
-// 96% of the places wanted. The first large one sends factor times as much. It
-// returns the part let in of it, of the other large one and of the small ones.
-func crowd(seed uint64, factor float64, class, usual setting.Class, fair bool) (large, other, small float64) {
+// simulateLoad sends requests of ten organisations to a gate with 100 places for two minutes. Each
+// request runs for 2 s on average. Eight small organisations send 4 requests a second and two large
+// ones 8, which amounts to 96% of the places; the first large one sends factor times as many. It
+// returns the admitted fraction of its requests, of the other large one's and of the small ones'.
+func simulateLoad(seed uint64, factor float64, class, usual setting.Class, fair bool) (large, other, small float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	g := NewGate(GateConfig{Places: 100, Seed: seed})
 
 	if !fair {
-		g.cfg.Pressure = 1e9
+		g.cfg.ShareThreshold = 1e9
 	}
 
 	var (
-		under runs
-		next  [10]time.Time
-		sent  [3]float64
-		let   [3]float64
+		running  simRuns
+		next     [10]time.Time
+		sent     [3]float64
+		admitted [3]float64
 	)
 
 	rates := [10]float64{8 * factor, 8, 4, 4, 4, 4, 4, 4, 4, 4}
@@ -363,30 +362,30 @@
 	}
 
 	for {
-		who := 0
+		sender := 0
 		for i := range next {
-			if next[i].Before(next[who]) {
-				who = i
+			if next[i].Before(next[sender]) {
+				sender = i
 			}
 		}
 
-		now := next[who]
+		now := next[sender]
 		if now.After(epoch.Add(2 * time.Minute)) {
-			return let[0] / sent[0], let[1] / sent[1], let[2] / sent[2]
+			return admitted[0] / sent[0], admitted[1] / sent[1], admitted[2] / sent[2]
 		}
 
-		next[who] = now.Add(wait(who))
+		next[sender] = now.Add(wait(sender))
 
-		for len(under) > 0 && !under[0].ends.After(now) {
-			r := heap.Pop(&under).(run)
+		for len(running) > 0 && !running[0].ends.After(now) {
+			r := heap.Pop(&running).(simRun)
 			g.Release(r.ends, r.permit)
 		}
 
-		group := min(who, 2)
+		group := min(sender, 2)
 		sent[group]++
 
-		q := Request{Organisation: fmt.Sprint(who), Class: usual}
-		if who == 0 {
+		q := Request{Organisation: fmt.Sprint(sender), Class: usual}
+		if sender == 0 {
 			q.Class = class
 		}
 
@@ -395,16 +394,15 @@
 			continue
 		}
 
-		let[group]++
+		admitted[group]++
 
-		heap.Push(&under, run{now.Add(time.Duration(rng.ExpFloat64() * 2 * float64(time.Second))), p})
+		heap.Push(&running, simRun{now.Add(time.Duration(rng.ExpFloat64() * 2 * float64(time.Second))), p})
 	}
 }
 
-// One organisation sends ten times as much as usual, all of it urgent. The users
-// of the others must hardly notice.
-// One organisation sends ten times as much as usual, all of it urgent, or floods
-// the background. The users of the others must hardly notice.
+// One organisation sends ten times as many requests as usual, either all urgent while the others
+// send interactive ones, or all background like the others. At least 90% as many requests of the
+// small organisations must be admitted as before.
 func TestTenfoldSender(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -416,15 +414,15 @@
 
 	for _, c := range cases {
 		for seed := range uint64(5) {
-			_, otherBefore, smallBefore := crowd(seed, 1, c.class, c.usual, true)
-			large, other, small := crowd(seed, 10, c.class, c.usual, true)
-			_, _, unfair := crowd(seed, 10, c.class, c.usual, false)
+			_, otherBefore, smallBefore := simulateLoad(seed, 1, c.class, c.usual, true)
+			large, other, small := simulateLoad(seed, 10, c.class, c.usual, true)
+			_, _, unfair := simulateLoad(seed, 10, c.class, c.usual, false)
 
-			t.Logf("%s, seed %d: let in of the small %.3f before, %.3f with one sending tenfold (%.3f without shares); of the other large %.3f before, %.3f; of the sender %.3f",
+			t.Logf("%s, seed %d: admitted of the small ones %.3f before, %.3f with one sending tenfold (%.3f without shares); of the other large one %.3f before, %.3f; of the sender %.3f",
 				c.name, seed, smallBefore, small, unfair, otherBefore, other, large)
 
 			if small < smallBefore*0.9 {
-				t.Errorf("%s, seed %d: small ones let in: got %.3f, want at most a tenth under %.3f", c.name, seed, small, smallBefore)
+				t.Errorf("%s, seed %d: admitted fraction of the small ones: got %.3f, want at most a tenth under %.3f", c.name, seed, small, smallBefore)
 			}
 		}
 	}
--- a/limit/refusal.go
+++ b/limit/refusal.go
@@ -6,101 +6,105 @@
 	"boragehub/failure"
 )
 
-// tooFast refuses a request over its organisation's rate.
-func (g *Gate) tooFast(now time.Time, a *account, q Request) error {
+// checkRate refuses a request that exceeds its organisation's rate limit.
+func (g *Gate) checkRate(now time.Time, a *account, q Request) error {
 	if a.limiter.AllowN(now, 1) {
 		return nil
 	}
 
 	limit := float64(a.limiter.Limit())
 	missing := (1 - a.limiter.TokensAt(now)) / limit
-	after := a.rated.next(now, seconds(missing), seconds(1/limit))
+	retryAfter := a.rateSchedule.nextSlot(now, seconds(missing), seconds(1/limit))
 
-	return g.refuse(failure.RateLimited, after, "organisation %s is over its rate of requests", q.Organisation)
+	return g.refuse(failure.RateLimited, retryAfter, "organisation %s exceeds its request rate limit", q.Organisation)
 }
 
-// hopeless refuses a request whose first token would come too late.
-func (g *Gate) hopeless(now time.Time, q Request) error {
+// checkDeadline refuses a request whose first token is expected after its deadline.
+func (g *Gate) checkDeadline(now time.Time, q Request) error {
 	if q.Deadline.IsZero() || !now.Add(q.Wait).After(q.Deadline) {
 		return nil
 	}
 
 	late := now.Add(q.Wait).Sub(q.Deadline)
-	after := g.classes[rank(q.Class)].next(now, late, g.period(now, q.Cost))
+	retryAfter := g.classSchedules[classRank(q.Class)].nextSlot(now, late, g.timeToRelease(now, q.Cost))
 
-	return g.refuse(failure.DeadlineHopeless, after, "the first token is expected in %v, past the deadline", q.Wait.Round(time.Millisecond))
+	return g.refuse(failure.DeadlineHopeless, retryAfter, "the first token is expected in %v, past the deadline", q.Wait.Round(time.Millisecond))
 }
 
-// crowded refuses a request when its class's part of the places is taken.
-func (g *Gate) crowded(now time.Time, a *account, q Request) error {
-	if g.places <= 0 || g.used == 0 || g.used+q.Cost <= g.places*part(q.Class) {
+// checkCapacity refuses a request when the places that its class may use are taken. A request
+// is never refused while no place is in use.
+func (g *Gate) checkCapacity(now time.Time, a *account, q Request) error {
+	if g.places <= 0 || g.used == 0 || g.used+q.Cost <= g.places*classFraction(q.Class) {
 		return nil
 	}
 
-	// What was refused counts as wanted: otherwise an organisation that filled
-	// all places while it was alone would win each one that comes free.
-	g.want(now, a, a.used+q.Cost)
+	// Refused requests count as demand. Otherwise an organisation that filled all
+	// places while it was the only one would get each place that is released.
+	g.recordDemand(now, a, a.used+q.Cost)
 
-	over := g.used + q.Cost - g.places*part(q.Class)
-	after := g.classes[rank(q.Class)].next(now, g.period(now, over), g.period(now, q.Cost))
+	excess := g.used + q.Cost - g.places*classFraction(q.Class)
+	retryAfter := g.classSchedules[classRank(q.Class)].nextSlot(now, g.timeToRelease(now, excess), g.timeToRelease(now, q.Cost))
 
-	return g.refuse(failure.QueueFull, after, "no place is free")
+	return g.refuse(failure.QueueFull, retryAfter, "no capacity is available")
 }
 
-// unfair refuses a request of an organisation that holds its share while
-// places are short.
-func (g *Gate) unfair(now time.Time, a *account, q Request) error {
-	// Shares are of the class's own part of the places: of all places, a flood
-	// of background requests would fill that part before it reached its share.
-	room := g.places * part(q.Class)
-	if g.places <= 0 || g.used+q.Cost <= room*g.cfg.Pressure || a.used == 0 {
+// checkShare refuses a request when places are scarce and its organisation already holds its
+// fair share of them.
+func (g *Gate) checkShare(now time.Time, a *account, q Request) error {
+	// Shares refer to the places that the class may use. If they referred to all places,
+	// a flood of background requests would fill its class's places before it reached its
+	// share.
+	classPlaces := g.places * classFraction(q.Class)
+	if g.places <= 0 || g.used+q.Cost <= classPlaces*g.cfg.ShareThreshold || a.used == 0 {
 		return nil
 	}
 
-	share := a.weight * g.waterLevel(now) * part(q.Class)
+	share := a.weight * g.fairLevel(now) * classFraction(q.Class)
 	if a.used+q.Cost <= share {
 		return nil
 	}
 
-	g.want(now, a, a.used+q.Cost)
+	g.recordDemand(now, a, a.used+q.Cost)
 
-	part := min(1, max(share, q.Cost)/g.places)
-	over := a.used + q.Cost - share
-	after := a.shared.next(now, scale(g.period(now, over), 1/part), scale(g.period(now, q.Cost), 1/part))
+	fraction := min(1, max(share, q.Cost)/g.places)
+	excess := a.used + q.Cost - share
+	retryAfter := a.shareSchedule.nextSlot(now, scale(g.timeToRelease(now, excess), 1/fraction), scale(g.timeToRelease(now, q.Cost), 1/fraction))
 
-	return g.refuse(failure.ShareExceeded, after, "organisation %s holds its share of the places", q.Organisation)
+	return g.refuse(failure.ShareExceeded, retryAfter, "organisation %s already uses its fair share of the capacity", q.Organisation)
 }
 
-// refuse makes the refusal and counts it.
-func (g *Gate) refuse(k failure.Kind, after time.Duration, format string, args ...any) error {
+// refuse counts a refusal and returns it as a failure with Retry-After, to which it adds
+// random jitter.
+func (g *Gate) refuse(k failure.Kind, retryAfter time.Duration, format string, args ...any) error {
 	g.refusals[refusalIndex(k)]++
 
-	after = min(after, g.cfg.MostAfter)
-	after += time.Duration(g.rng.Int64N(int64(after/spreadPart) + 1))
+	retryAfter = min(retryAfter, g.cfg.MaxRetryAfter)
+	retryAfter += time.Duration(g.rng.Int64N(int64(retryAfter/jitterDivisor) + 1))
 
-	return failure.New(k, format, args...).After(after)
+	return failure.New(k, format, args...).After(retryAfter)
 }
 
-// spreadPart is the part of a Retry-After that is drawn at random on top.
-const spreadPart = 4
+// jitterDivisor bounds the random jitter that is added to a Retry-After: up to a fourth.
+const jitterDivisor = 4
 
-// period is the time in which so many places come free, by the rate of the last
-// seconds, but no slower than if each were held for slowestRun.
-func (g *Gate) period(now time.Time, places float64) time.Duration {
-	return seconds(places / max(g.freed.perSecond(now), g.places/slowestRun.Seconds(), leastRate))
+// timeToRelease returns the time in which the given number of places is released, by the rate
+// of the last seconds, but no slower than if each place were held for maxHoldTime.
+func (g *Gate) timeToRelease(now time.Time, places float64) time.Duration {
+	return seconds(places / max(g.releases.perSecond(now), g.places/maxHoldTime.Seconds(), minReleaseRate))
 }
 
 const (
-	// slowestRun is how long a place is taken to be held when none comes free.
-	slowestRun = 30 * time.Second
-	// leastRate is the rate of places a second when none are known.
-	leastRate = 0.1
+	// maxHoldTime is the assumed hold time of a place when none is released.
+	maxHoldTime = 30 * time.Second
+	// minReleaseRate is the assumed release rate, in places a second, without any capacity
+	// or releases.
+	minReleaseRate = 0.1
 )
 
 const refusalKinds = 4
 
 func refusalIndex(k failure.Kind) int {
-	switch k { //nolint:exhaustive // the Gate refuses with these only
+	switch k { //nolint:exhaustive // the Gate refuses with these kinds only
 	case failure.RateLimited:
 		return 0
 	case failure.ShareExceeded:
--- a/limit/schedule.go
+++ b/limit/schedule.go
@@ -7,30 +7,30 @@
 	"boragehub/setting"
 )
 
-// schedule gives refused callers one slot after the other, so that they don't
-// come back together.
-type schedule struct {
-	until time.Time // the last slot given
+// retrySchedule assigns retry slots to refused callers one after the other, so that they don't
+// retry at the same time.
+type retrySchedule struct {
+	lastSlot time.Time // time of the slot that was assigned last
 }
 
-// next returns the wait until the next free slot: not before first, and period
-// after the one given last.
-func (s *schedule) next(now time.Time, first, period time.Duration) time.Duration {
+// nextSlot assigns the next slot and returns the time until it. The slot is not before first and
+// at least period after the one assigned last, but no later than maxSlotDelay.
+func (s *retrySchedule) nextSlot(now time.Time, first, period time.Duration) time.Duration {
 	at := now.Add(first)
-	if after := s.until.Add(period); after.After(at) {
+	if after := s.lastSlot.Add(period); after.After(at) {
 		at = after
 	}
 
-	// What has been promised beyond the bound can't be kept in order anyway;
-	// without this a flood would push the schedule out for hours.
-	at = earlier(at, now.Add(horizon))
-	s.until = at
+	// Without this bound a flood of requests would extend the schedule by hours. Slots
+	// beyond it coincide, but callers wouldn't keep the order over such a time anyway.
+	at = earlier(at, now.Add(maxSlotDelay))
+	s.lastSlot = at
 
 	return at.Sub(now)
 }
 
-// horizon is how far ahead slots are given.
-const horizon = time.Minute
+// maxSlotDelay is how far ahead slots are assigned.
+const maxSlotDelay = time.Minute
 
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
@@ -40,39 +40,40 @@
 	return a
 }
 
-// meterHalf is the time in which a meter's memory falls to half.
-const meterHalf = 5 * time.Second
+// meterHalfLife is the half-life of a rateMeter's sum.
+const meterHalfLife = 5 * time.Second
 
-// meter measures places given back each second, fading.
-type meter struct {
+// rateMeter measures the rate of released places as an exponentially decaying sum.
+type rateMeter struct {
 	sum float64
 	at  time.Time
 }
 
-func (m *meter) add(now time.Time, v float64) {
-	m.sum = m.faded(now) + v
+func (m *rateMeter) add(now time.Time, v float64) {
+	m.sum = m.decayedSum(now) + v
 	m.at = now
 }
 
-// faded returns the sum as it counts at now. It fades also while nothing is
-// given back: when engines hang, the rate of a moment ago promises too much.
-func (m *meter) faded(now time.Time) float64 {
+// decayedSum returns the sum at now. It also decays while no place is released: when engines
+// hang, the rate from before would be too high.
+func (m *rateMeter) decayedSum(now time.Time) float64 {
 	if m.at.IsZero() {
 		return 0
 	}
 
-	return m.sum * math.Exp2(-max(now.Sub(m.at).Seconds(), 0)/meterHalf.Seconds())
+	return m.sum * math.Exp2(-max(now.Sub(m.at).Seconds(), 0)/meterHalfLife.Seconds())
 }
 
-func (m *meter) perSecond(now time.Time) float64 {
-	return m.faded(now) * math.Ln2 / meterHalf.Seconds()
+func (m *rateMeter) perSecond(now time.Time) float64 {
+	return m.decayedSum(now) * math.Ln2 / meterHalfLife.Seconds()
 }
 
-// classes is the number of priority classes.
-const classes = 4
+// numClasses is the number of priority classes.
+const numClasses = 4
 
-// rank orders classes from the most urgent.
-func rank(c setting.Class) int {
+// classRank returns the position of a class, from 0 for the most urgent one. Unknown classes
+// rank as standard.
+func classRank(c setting.Class) int {
 	switch c {
 	case setting.Urgent:
 		return 0
@@ -87,9 +88,8 @@
 	}
 }
 
-// parts is the part of the places that each class may fill, by rank. What a
-// class leaves is there for the more urgent ones at once, without waiting for
-// a run to end.
-var parts = [classes]float64{1, 0.95, 0.9, 0.75}
+// classFractions holds, by rank, the fraction of the places that each class may use. The rest
+// is available to more urgent classes at once, without waiting for a request to end.
+var classFractions = [numClasses]float64{1, 0.95, 0.9, 0.75}
 
-func part(c setting.Class) float64 { return parts[rank(c)] }
+func classFraction(c setting.Class) float64 { return classFractions[classRank(c)] }
--- a/limit/share.go
+++ b/limit/share.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// levelPeriod is how long a water level is used.
-const levelPeriod = 20 * time.Millisecond
+// fairLevelTTL is how long a computed fair level is reused.
+const fairLevelTTL = 20 * time.Millisecond
 
-// wantFade is the time in which a peak falls to half.
-const wantFade = 5 * time.Second
+// demandHalfLife is the half-life of an account's peak demand.
+const demandHalfLife = 5 * time.Second
 
-// headroom is how much more than its peak an organisation is taken to want,
-// so that one which grows finds room.
+// headroom is the factor by which an organisation's demand is taken to exceed its recent peak,
+// so that its use can grow.
 const headroom = 1.25
 
-// leastWanted is what counts as nothing.
-const leastWanted = 0.05
+// minDemand is the demand, in places, below which an account counts as idle.
+const minDemand = 0.05
 
-// want raises the account's peak to v.
-func (g *Gate) want(now time.Time, a *account, v float64) {
-	a.peak = max(a.wanted(now), v)
-	a.peakAt = now
+// recordDemand raises the account's peak demand to v places and marks the account as active.
+func (g *Gate) recordDemand(now time.Time, a *account, v float64) {
+	a.peakDemand = max(a.recentDemand(now), v)
+	a.peakDemandAt = now
 
 	if !a.active {
 		a.active = true
@@ -29,45 +29,47 @@
 	}
 }
 
-// wanted returns the fading peak of the places that the account held or asked for.
-func (a *account) wanted(now time.Time) float64 {
-	if a.peak == 0 {
+// recentDemand returns the decaying peak of the places that the account held or requested, at
+// least those that it holds.
+func (a *account) recentDemand(now time.Time) float64 {
+	if a.peakDemand == 0 {
 		return 0
 	}
 
-	faded := a.peak * math.Exp2(-now.Sub(a.peakAt).Seconds()/wantFade.Seconds())
+	decayed := a.peakDemand * math.Exp2(-now.Sub(a.peakDemandAt).Seconds()/demandHalfLife.Seconds())
 
-	return max(min(faded, a.peak), a.used)
+	return max(min(decayed, a.peakDemand), a.used)
 }
 
-// waterLevel returns the places for each unit of weight at which all that is
-// wanted, cut to weight × level, fills the places: weighted max-min fairness.
-func (g *Gate) waterLevel(now time.Time) float64 {
-	if !g.levelAt.IsZero() && now.Sub(g.levelAt) < levelPeriod {
-		return g.level
+// fairLevel returns the number of places per unit of weight at which the demands of all
+// accounts, each cut to weight × level, add up to the capacity (weighted max-min fairness, by
+// water-filling). It is infinite when all demands can be met.
+func (g *Gate) fairLevel(now time.Time) float64 {
+	if !g.cachedLevelAt.IsZero() && now.Sub(g.cachedLevelAt) < fairLevelTTL {
+		return g.cachedLevel
 	}
 
-	g.levelAt = now
-	g.level = g.fill(now)
+	g.cachedLevelAt = now
+	g.cachedLevel = g.computeFairLevel(now)
 
-	return g.level
+	return g.cachedLevel
 }
 
-// levelRounds bounds the search for the level; each round takes out those that
-// get all they want, and a few rounds settle nearly all.
-const levelRounds = 8
+// maxFillRounds bounds the iterations of computeFairLevel. Each one excludes the accounts whose
+// demand is met, and a few iterations are enough for nearly all.
+const maxFillRounds = 8
 
-func (g *Gate) fill(now time.Time) float64 {
-	g.claim(now)
+func (g *Gate) computeFairLevel(now time.Time) float64 {
+	g.updateDemands(now)
 
-	low := 0.0
+	level := 0.0
 
-	for range levelRounds {
-		spent, weight := 0.0, 0.0
+	for range maxFillRounds {
+		satisfied, weight := 0.0, 0.0
 
 		for _, a := range g.active {
-			if a.claim <= a.weight*low {
-				spent += a.claim
+			if a.demand <= a.weight*level {
+				satisfied += a.demand
 			} else {
 				weight += a.weight
 			}
@@ -77,31 +79,30 @@
 			return math.Inf(1)
 		}
 
-		left := g.places - spent
-		if left/weight <= low {
-			return low
+		remaining := g.places - satisfied
+		if remaining/weight <= level {
+			return level
 		}
 
-		low = left / weight
+		level = remaining / weight
 	}
 
-	return low
+	return level
 }
 
-// claim works out what each active account wants and drops those that want
-// nothing any more. Going through all accounts instead costs a twentieth of a
-// core with 10,000 of them.
-func (g *Gate) claim(now time.Time) {
+// updateDemands computes the demand of each active account and removes idle ones from the active
+// list. Iterating over all accounts instead takes 5% of a core with 10,000 of them.
+func (g *Gate) updateDemands(now time.Time) {
 	n := 0
 
 	for _, a := range g.active {
-		w := a.wanted(now)
-		if w < leastWanted {
+		demand := a.recentDemand(now)
+		if demand < minDemand {
 			a.active = false
 			continue
 		}
 
-		a.claim = w * headroom
+		a.demand = demand * headroom
 		g.active[n] = a
 		n++
 	}
