--- a/route/call.go
+++ b/route/call.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// CallCandidate is a target of a plain service as the entry believes it to be.
+// CallCandidate is a target of a plain service, with the state known to the entry.
 type CallCandidate struct {
 	// Name is the VM name.
 	Name string
-	// Draining, Suspected and Tried are as in Candidate.
+	// Draining, Suspected and Tried have the same meaning as in Candidate.
 	Draining, Suspected, Tried bool
-	// Delay is the round trip between the entry and it.
+	// Delay is the round-trip time between the entry and the target.
 	Delay time.Duration
-	// LoadAt is when the load report was true.
+	// LoadAt is the time at which the load report was measured.
 	LoadAt time.Time
-	// Running and Waiting are the calls of the load report, SentRequests those
-	// that this entry sent since.
+	// Running and Waiting are the numbers of calls in the load report. SentRequests is
+	// the number of calls that this entry has sent since then.
 	Running, Waiting, SentRequests int
-	// InFlight are the calls of this entry that have no answer yet, whenever they
-	// were sent.
+	// InFlight is the number of calls of this entry that are not answered yet,
+	// regardless of when they were sent.
 	InFlight int
-	// CallTime is the mean time that a call takes; short calls are assumed when zero.
+	// CallTime is the mean duration of a call; a short default is used when zero.
 	CallTime time.Duration
-	// AtOnce is how many calls it carries out at a time; 1 when zero.
+	// AtOnce is the number of calls that the target runs concurrently; 1 when zero.
 	AtOnce int
 }
 
-// DecideCall returns where a call of a plain service goes: the target with the
-// least estimated time to its answer, the doubt about old load reports drawn by
-// seed as in Decide.
+// DecideCall returns the target for a call of a plain service: the one with the
+// least estimated time to its answer. As in Decide, seed randomises the penalty for
+// old load reports.
 func DecideCall(now time.Time, cfg Config, seed uint64, candidates []CallCandidate) CallDecision {
 	cfg = cfg.withDefaults()
 	d := CallDecision{target: -1, count: min(len(candidates), MaxCandidates)}
 
-	d.weigh(now, cfg, seed, candidates, false)
+	d.evaluate(now, cfg, seed, candidates, false)
 
 	if d.target < 0 {
-		d.weigh(now, cfg, seed, candidates, true)
+		d.evaluate(now, cfg, seed, candidates, true)
 	}
 
 	return d
@@ -50,11 +50,11 @@
 	costs  [MaxCandidates]CallCost
 }
 
-// CallCost is what one target would cost.
+// CallCost is the estimate for one target.
 type CallCost struct {
-	// Excluded is why it was not weighed.
+	// Excluded is the reason why the target was not evaluated.
 	Excluded Exclusion
-	// Seconds is the estimated time until its answer, with the doubt.
+	// Seconds is the estimated time until the answer, with the penalty for an old load report.
 	Seconds float32
 }
 
@@ -64,19 +64,19 @@
 // Target returns the index of the chosen target, -1 when there is none.
 func (d *CallDecision) Target() int { return d.target }
 
-// Cost returns the cost of target i.
+// Cost returns the estimate for target i.
 func (d *CallDecision) Cost(i int) CallCost { return d.costs[i] }
 
-func (d *CallDecision) weigh(now time.Time, cfg Config, seed uint64, candidates []CallCandidate, suspected bool) {
+func (d *CallDecision) evaluate(now time.Time, cfg Config, seed uint64, candidates []CallCandidate, allowSuspected bool) {
 	for i := range d.count {
 		c := &candidates[i]
-		d.costs[i].Excluded = callExclusion(c, suspected)
+		d.costs[i].Excluded = callExclusion(c, allowSuspected)
 
 		if d.costs[i].Excluded != None {
 			continue
 		}
 
-		d.costs[i].Seconds = c.expect(now, &cfg, draw(seed, i))
+		d.costs[i].Seconds = c.estimateSeconds(now, &cfg, seededFraction(seed, i))
 
 		if d.target < 0 || d.costs[i].Seconds < d.costs[d.target].Seconds {
 			d.target = i
@@ -84,37 +84,39 @@
 	}
 }
 
-// expect returns the estimated seconds until an answer. A load report tells of
-// calls that are over when it is older than they take; what it says then counts
-// little against the entry's own calls under way, which it knows for sure.
-func (c *CallCandidate) expect(now time.Time, cfg *Config, drawn float64) float32 {
-	each := seconds(c.CallTime)
-	if each <= 0 {
-		each = unknownCall
+// estimateSeconds returns the estimated seconds until an answer. A load report that
+// is older than the duration of a call describes calls that have ended by now, so its
+// weight falls with its age in favour of the entry's own calls in flight, whose number
+// is exact.
+func (c *CallCandidate) estimateSeconds(now time.Time, cfg *Config, fraction float64) float32 {
+	callSeconds := seconds(c.CallTime)
+	if callSeconds <= 0 {
+		callSeconds = defaultCallSeconds
 	}
 
 	age := max(seconds(now.Sub(c.LoadAt)), 0)
-	fresh := math.Exp(-age / each)
-	calls := fresh*float64(c.Running+c.Waiting+c.SentRequests) + (1-fresh)*float64(c.InFlight)
-	ahead := calls / float64(max(c.AtOnce, 1))
-	doubt := cfg.LoadDoubt * min(age, each) * drawn / float64(max(c.AtOnce, 1))
+	weight := math.Exp(-age / callSeconds)
+	calls := weight*float64(c.Running+c.Waiting+c.SentRequests) + (1-weight)*float64(c.InFlight)
+	queued := calls / float64(max(c.AtOnce, 1))
+	uncertainty := cfg.LoadDoubt * min(age, callSeconds) * fraction / float64(max(c.AtOnce, 1))
 
-	return float32(seconds(c.Delay) + each*(1+ahead) + doubt)
+	return float32(seconds(c.Delay) + callSeconds*(1+queued) + uncertainty)
 }
 
-// unknownCall is the time of a call, in seconds, where none was measured yet:
-// short, so that an old load report counts little. Wrongly trusted it draws all
-// entries to one target; wrongly distrusted it costs no more than a random choice.
-const unknownCall = 0.05
+// defaultCallSeconds is the assumed duration of a call where none was measured yet.
+// It is short, so that an old load report has little weight: trusting a wrong report
+// sends the calls of all entries to one target, whereas ignoring a good one is no
+// worse than a random choice.
+const defaultCallSeconds = 0.05
 
-func callExclusion(c *CallCandidate, suspected bool) Exclusion {
+func callExclusion(c *CallCandidate, allowSuspected bool) Exclusion {
 	switch {
 	case c.Tried:
 		return AlreadyTried
 	case c.Draining:
-		return Leaving
-	case c.Suspected && !suspected:
-		return Suspect
+		return Draining
+	case c.Suspected && !allowSuspected:
+		return Suspected
 	default:
 		return None
 	}
--- a/route/config.go
+++ b/route/config.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Config weighs a decision. Zero fields take their defaults.
+// Config holds the weights and parameters of a decision. Zero fields get defaults.
 type Config struct {
-	// FirstTokenWeight is the cost of one second until the first token; 1 when
-	// both weights are zero.
+	// FirstTokenWeight is the cost of one second of time to first token; 1 when both
+	// weights are zero.
 	FirstTokenWeight float64
-	// RecomputedWeight is the cost of one second of prefill for tokens that
-	// were computed before.
+	// RecomputedWeight is the cost of one second of prefill for tokens that were
+	// computed before.
 	RecomputedWeight float64
-	// LoadDoubt is by how much an estimated wait may be wrong for each second
-	// of the load report's age, as a part of it; 1 when zero.
+	// LoadDoubt is the largest relative error of an estimated queue wait per second
+	// of age of the load report; 1 when zero.
 	LoadDoubt float64
-	// BeliefHalfLife is after how long half of the beliefs that an engine has
-	// a context are wrong; 10 minutes when zero.
-	BeliefHalfLife time.Duration
-	// Interference is by how much a full batch that decodes slows prefill
-	// down, as a part of it; 0.5 when zero.
+	// ContextHalfLife is the time after which half of the engines that were last
+	// reported to hold a context have evicted it; 10 minutes when zero.
+	ContextHalfLife time.Duration
+	// Interference is the relative slowdown of prefill by a full batch of decoding
+	// requests; 0.5 when zero.
 	Interference float64
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
-	defaultLoadDoubt      = 1
-	defaultBeliefHalfLife = 10 * time.Minute
-	defaultInterference   = 0.5
+	defaultLoadUncertainty = 1
+	defaultContextHalfLife = 10 * time.Minute
+	defaultInterference    = 0.5
 )
 
 func (c Config) withDefaults() Config {
@@ -34,11 +34,11 @@
 	}
 
 	if c.LoadDoubt <= 0 {
-		c.LoadDoubt = defaultLoadDoubt
+		c.LoadDoubt = defaultLoadUncertainty
 	}
 
-	if c.BeliefHalfLife <= 0 {
-		c.BeliefHalfLife = defaultBeliefHalfLife
+	if c.ContextHalfLife <= 0 {
+		c.ContextHalfLife = defaultContextHalfLife
 	}
 
 	if c.Interference <= 0 {
--- a/route/decision.go
+++ b/route/decision.go
@@ -8,9 +8,9 @@
 
 // Decision is the outcome of Decide.
 type Decision struct {
-	target, second int
-	count          int
-	costs          [MaxCandidates]Cost
+	target, runnerUp int
+	count            int
+	costs            [MaxCandidates]Cost
 }
 
 // Found reports whether any candidate can take the prompt.
@@ -19,16 +19,16 @@
 // Target returns the index of the chosen candidate, -1 when there is none.
 func (d *Decision) Target() int { return d.target }
 
-// RunnerUp returns the index of the next best candidate, -1 when there is none.
-func (d *Decision) RunnerUp() int { return d.second }
+// RunnerUp returns the index of the second-best candidate, -1 when there is none.
+func (d *Decision) RunnerUp() int { return d.runnerUp }
 
-// Len returns the number of candidates looked at.
+// Len returns the number of candidates in the decision, excluded ones included.
 func (d *Decision) Len() int { return d.count }
 
 // Cost returns the cost of candidate i.
 func (d *Decision) Cost(i int) Cost { return d.costs[i] }
 
-// How returns how the context comes to the target.
+// How returns how the chosen candidate gets the prompt's context.
 func (d *Decision) How() How {
 	if !d.Found() {
 		return Recompute
@@ -37,7 +37,7 @@
 	return d.costs[d.target].How
 }
 
-// Source returns the index of the source to import from, -1 for none.
+// Source returns the index in Request.Sources of the copy to import, -1 for none.
 func (d *Decision) Source() int {
 	if !d.Found() {
 		return -1
@@ -46,7 +46,7 @@
 	return int(d.costs[d.target].Source)
 }
 
-// FirstToken returns the estimated time to first token.
+// FirstToken returns the estimated time to first token; 0 when no candidate was found.
 func (d *Decision) FirstToken() time.Duration {
 	if !d.Found() {
 		return 0
@@ -55,11 +55,11 @@
 	return time.Duration(float64(d.costs[d.target].FirstToken) * float64(time.Second))
 }
 
-// Fields returns the decision as keys and values of one log line. candidates
-// are those given to Decide.
+// Fields returns the decision as key-value pairs for one log line. candidates must
+// be the slice given to Decide.
 func (d *Decision) Fields(candidates []Candidate) []any {
 	if !d.Found() {
-		return []any{"costs", d.list(candidates)}
+		return []any{"costs", d.costList(candidates)}
 	}
 
 	c := d.costs[d.target]
@@ -72,18 +72,18 @@
 		"transfer_s", c.Transfer,
 		"prefill_s", c.Prefill,
 		"recomputed_tokens", c.Recomputed,
-		"costs", d.list(candidates),
+		"costs", d.costList(candidates),
 	}
 
-	if d.second < 0 {
+	if d.runnerUp < 0 {
 		return fields
 	}
 
-	return append(fields, "runner_up", candidates[d.second].Name)
+	return append(fields, "runner_up", candidates[d.runnerUp].Name)
 }
 
-// list writes every candidate with its cost or the reason why it has none.
-func (d *Decision) list(candidates []Candidate) string {
+// costList formats each candidate with its cost and strategy, or with the reason for its exclusion.
+func (d *Decision) costList(candidates []Candidate) string {
 	var b strings.Builder
 
 	for i := range d.count {
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -5,98 +5,100 @@
 	"time"
 )
 
-// view is what all candidates of one decision have in common.
-type view struct {
+// shared is the state that all candidates of one decision have in common.
+type shared struct {
 	now time.Time
 	cfg Config
 	q   Request
-	// chances says, for each source, how likely it still has its copy.
-	chances [MaxSources]float64
-	ways    wayMemo
+	// copyChances is the probability, for each source, that it still has its copy.
+	copyChances [MaxSources]float64
+	links       linkCache
 }
 
-// estimate is what all ways of one candidate have in common.
+// estimate is the state that all strategies for one candidate have in common.
 type estimate struct {
-	v *view
-	c *Candidate
-	// perToken is the prefill of a token beside the running batch, and alone
-	// the same with an empty batch, in seconds.
-	perToken, alone float64
-	// wait is the time for the queue, doubt what is added for its age, in seconds.
-	wait, doubt, delay float64
+	shared *shared
+	c      *Candidate
+	// prefillPerToken is the time in seconds to prefill a token beside the running
+	// batch; idlePrefillPerToken is the same with an empty batch.
+	prefillPerToken, idlePrefillPerToken float64
+	// queueWait is the time in the queue, uncertainty the penalty for the age of the
+	// load report, and delay the round-trip time, all in seconds.
+	queueWait, uncertainty, delay float64
 }
 
-// plan is one way for a candidate, before it is known to be the best.
-type plan struct {
-	how        How
+// option is the estimate of one strategy for a candidate.
+type option struct {
+	strategy   How
 	source     int
 	transfer   float64
 	prefill    float64
 	recomputed float64
-	first      float64
+	firstToken float64
 	total      float64
 }
 
-// unseen is what others may have sent to an engine in each second since its load
-// report, in prompts as long as the one at hand. Without it the doubt about idle
-// engines would be nothing, and all entries would take the same one.
-const unseen = 0.3
+// unreportedPromptsPerSecond is the assumed rate at which other entries have sent
+// prompts of the same length to an engine since its load report. Without it the
+// uncertainty of an idle engine would be zero, and all entries would choose the
+// same idle engine.
+const unreportedPromptsPerSecond = 0.3
 
-func newView(now time.Time, cfg Config, q Request) view {
-	v := view{now: now, cfg: cfg, q: q}
+func newShared(now time.Time, cfg Config, q Request) shared {
+	s := shared{now: now, cfg: cfg, q: q}
 
 	for n := range min(len(q.Sources), MaxSources) {
-		v.chances[n] = 1
+		s.copyChances[n] = 1
 		if !q.Sources[n].Store {
-			v.chances[n] = beliefChance(now, q.Sources[n].Learned, cfg.BeliefHalfLife)
+			s.copyChances[n] = copyChance(now, q.Sources[n].Learned, cfg.ContextHalfLife)
 		}
 	}
 
-	return v
+	return s
 }
 
-// cheapest returns the cost of the best way for candidate i.
-func (v *view) cheapest(c *Candidate, i int) Cost {
-	e := estimate{v: v, c: c, delay: seconds(c.Delay)}
-	e.alone = 1 / c.PrefillTokensPerSecond
-	e.perToken = e.alone * (1 + v.cfg.Interference*e.batch())
-	e.wait = e.queue()
-	age := max(seconds(v.now.Sub(c.LoadAt)), 0)
-	e.doubt = (e.wait + unseen*e.perToken*float64(v.q.Tokens)) * v.cfg.LoadDoubt * age * draw(v.q.Seed, i)
+// bestCost returns the cost of the cheapest strategy for candidate i.
+func (s *shared) bestCost(c *Candidate, i int) Cost {
+	e := estimate{shared: s, c: c, delay: seconds(c.Delay)}
+	e.idlePrefillPerToken = 1 / c.PrefillTokensPerSecond
+	e.prefillPerToken = e.idlePrefillPerToken * (1 + s.cfg.Interference*e.batchFill())
+	e.queueWait = e.estimateQueueWait()
+	age := max(seconds(s.now.Sub(c.LoadAt)), 0)
+	e.uncertainty = (e.queueWait + unreportedPromptsPerSecond*e.prefillPerToken*float64(s.q.Tokens)) * s.cfg.LoadDoubt * age * seededFraction(s.q.Seed, i)
 
-	best := plan{total: math.Inf(1)}
+	best := option{total: math.Inf(1)}
 	e.consider(&best, Recompute, -1, 0, 0)
 
 	if c.Warm > 0 {
-		chance := beliefChance(v.now, c.WarmAt, v.cfg.BeliefHalfLife)
+		chance := copyChance(s.now, c.WarmAt, s.cfg.ContextHalfLife)
 		e.consider(&best, Warm, -1, chance*float64(c.Warm), 0)
 	}
 
-	if v.q.Links != nil {
-		e.imports(&best)
+	if s.q.Links != nil {
+		e.considerImports(&best)
 	}
 
 	return e.cost(&best)
 }
 
-// imports considers the imports from all sources.
-func (e *estimate) imports(best *plan) {
-	for n := range min(len(e.v.q.Sources), MaxSources) {
-		s := &e.v.q.Sources[n]
-		// What the engine holds itself need not come over the link.
+// considerImports considers an import from each source.
+func (e *estimate) considerImports(best *option) {
+	for n := range min(len(e.shared.q.Sources), MaxSources) {
+		s := &e.shared.q.Sources[n]
+		// Tokens that the engine holds already need no transfer.
 		missing := s.Tokens - e.c.Warm
 		if missing <= 0 || s.Name == e.c.Name {
 			continue
 		}
 
-		w := e.v.ways.get(e.v, n, e.c.DataCentre)
-		transfer := w.wait + float64(int64(missing)*e.v.q.BytesPerToken)*w.perByte
-		e.consider(best, Import, n, e.v.chances[n]*float64(s.Tokens), transfer)
+		w := e.shared.links.get(e.shared, n, e.c.DataCentre)
+		transfer := w.wait + float64(int64(missing)*e.shared.q.BytesPerToken)*w.perByte
+		e.consider(best, Import, n, e.shared.copyChances[n]*float64(s.Tokens), transfer)
 	}
 }
 
-// batch returns how full the batch is, between 0 and 1.
-func (e *estimate) batch() float64 {
+// batchFill returns the occupied part of the batch, between 0 and 1.
+func (e *estimate) batchFill() float64 {
 	if e.c.MaxRunning <= 0 {
 		return 0
 	}
@@ -104,64 +106,67 @@
 	return min(float64(e.c.Running+e.c.SentRequests)/float64(e.c.MaxRunning), 1)
 }
 
-// queue returns the seconds until the engine can begin with a new prompt: the
-// prefill that stands before it, or the time until a place is free.
-func (e *estimate) queue() float64 {
+// estimateQueueWait returns the seconds until the engine can start a new prompt: the
+// time to prefill the prompts queued before it or until a batch slot is free,
+// whichever is longer.
+func (e *estimate) estimateQueueWait() float64 {
 	c := e.c
-	prefill := float64(c.WaitingPrefillTokens+c.BusyTokens+c.SentTokens) * e.perToken
+	prefill := float64(c.WaitingPrefillTokens+c.BusyTokens+c.SentTokens) * e.prefillPerToken
 
-	over := c.Running + c.Waiting + c.SentRequests + 1 - c.MaxRunning
-	if c.MaxRunning <= 0 || over <= 0 {
+	excess := c.Running + c.Waiting + c.SentRequests + 1 - c.MaxRunning
+	if c.MaxRunning <= 0 || excess <= 0 {
 		return prefill
 	}
 
-	place := float64(over) * seconds(c.PlaceTime) / float64(c.MaxRunning)
+	slotWait := float64(excess) * seconds(c.PlaceTime) / float64(c.MaxRunning)
 
-	return max(prefill, place)
+	return max(prefill, slotWait)
 }
 
-// consider weighs one way, in which held leading tokens come after the transfer
-// and the rest is computed, and puts it into best when it costs less.
-func (e *estimate) consider(best *plan, how How, source int, held, transfer float64) {
-	q, cfg := &e.v.q, &e.v.cfg
-	held = min(held, float64(q.Tokens))
+// consider estimates one strategy, in which cached leading tokens are available
+// after the transfer and the rest is computed, and stores it in best if it costs
+// less.
+func (e *estimate) consider(best *option, strategy How, source int, cached, transfer float64) {
+	q, cfg := &e.shared.q, &e.shared.cfg
+	cached = min(cached, float64(q.Tokens))
 
-	prefill := (float64(q.Tokens) - held) * e.perToken
-	recomputed := max(float64(min(q.Computed, q.Tokens))-held, 0)
-	first := e.delay + max(e.wait, transfer) + prefill
-	total := cfg.FirstTokenWeight*(first+e.doubt) + cfg.RecomputedWeight*recomputed*e.alone
+	prefill := (float64(q.Tokens) - cached) * e.prefillPerToken
+	recomputed := max(float64(min(q.Computed, q.Tokens))-cached, 0)
+	firstToken := e.delay + max(e.queueWait, transfer) + prefill
+	total := cfg.FirstTokenWeight*(firstToken+e.uncertainty) + cfg.RecomputedWeight*recomputed*e.idlePrefillPerToken
 
 	if total >= best.total {
 		return
 	}
 
-	*best = plan{how, source, transfer, prefill, recomputed, first, total}
+	*best = option{strategy, source, transfer, prefill, recomputed, firstToken, total}
 }
 
-func (e *estimate) cost(p *plan) Cost {
+func (e *estimate) cost(p *option) Cost {
 	return Cost{
-		How:        p.how,
+		How:        p.strategy,
 		Source:     int8(p.source),
-		Wait:       float32(e.wait),
+		Wait:       float32(e.queueWait),
 		Transfer:   float32(p.transfer),
 		Prefill:    float32(p.prefill),
 		Recomputed: int32(p.recomputed),
-		FirstToken: float32(p.first),
+		FirstToken: float32(p.firstToken),
 		Total:      float32(p.total),
 	}
 }
 
 func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
 
-// beliefChance returns the chance that a belief learned at that time still holds.
-func beliefChance(now, learned time.Time, halfLife time.Duration) float64 {
+// copyChance returns the probability that a copy last known at learned still exists.
+func copyChance(now, learned time.Time, halfLife time.Duration) float64 {
 	age := max(now.Sub(learned), 0)
 
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// draw returns a number in [0, 1) that depends on the request and the candidate.
-func draw(seed uint64, i int) float64 {
+// seededFraction returns a pseudo-random number in [0, 1) determined by the request's
+// seed and the index of the candidate.
+func seededFraction(seed uint64, i int) float64 {
 	const unit = 1 << 53
 
 	x := seed + uint64(i+1)*0x9e3779b97f4a7c15
--- a/route/import.go
+++ b/route/import.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// settling is how long an import may run before it is judged.
-const settling = 50 * time.Millisecond
+// minImportTime is how long an import runs before its progress is judged.
+const minImportTime = 50 * time.Millisecond
 
-// GiveUpImport reports whether an import that has run for elapsed, and of which
-// a part between 0 and 1 has come, is given up for computing what is missing,
-// which would take recompute. A link that slows down while an import runs would
-// otherwise hold its caller for as long as the link likes, since the estimate
-// that chose the import was made before. Where recomputing weighs more, callers
-// wait longer.
-func GiveUpImport(cfg Config, elapsed time.Duration, part float64, recompute time.Duration) bool {
-	if elapsed < settling {
+// GiveUpImport reports whether to abandon an import and compute the missing tokens
+// instead. elapsed is how long the import has run, fraction between 0 and 1 how much
+// of it has arrived, and recompute the time that computing the missing tokens takes.
+// The import was chosen by an estimate made before it began; without this check a
+// link that slows down during the import would delay the caller without limit. A
+// higher RecomputedWeight makes callers wait longer for the import.
+func GiveUpImport(cfg Config, elapsed time.Duration, fraction float64, recompute time.Duration) bool {
+	if elapsed < minImportTime {
 		return false
 	}
 
 	cfg = cfg.withDefaults()
-	left := float64(elapsed)
+	remaining := float64(elapsed)
 
-	if part > 0 {
-		left *= (1 - part) / part
+	if fraction > 0 {
+		remaining *= (1 - fraction) / fraction
 	}
 
-	return cfg.FirstTokenWeight*left > (cfg.FirstTokenWeight+cfg.RecomputedWeight)*float64(recompute)
+	return cfg.FirstTokenWeight*remaining > (cfg.FirstTokenWeight+cfg.RecomputedWeight)*float64(recompute)
 }
--- a/route/opening.go
+++ b/route/opening.go
@@ -6,78 +6,80 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OpeningRequest is a prompt whose opening other prompts share.
+// OpeningRequest is a prompt with a shared prefix, a prefix that other prompts have in common.
 type OpeningRequest struct {
-	// Opening identifies the shared opening; prompts with the same one are best
-	// run where it was read before.
+	// Opening identifies the shared prefix. Prompts with the same one run best on an
+	// engine that has prefilled it before.
 	Opening string
-	// Shared are the tokens of the opening, Own those behind it.
+	// Shared is the length of the shared prefix, Own that of the rest, in tokens.
 	Shared, Own int
-	// Output is how many tokens the answer may have.
+	// Output is the maximum length of the answer in tokens.
 	Output int
-	// Untold says that engines don't tell whether they have the opening, as it is
-	// short; its first engine is then taken to have it.
+	// Untold says that engines don't report whether they hold the prefix, because it
+	// is too short; its home engine is then assumed to hold it.
 	Untold bool
-	// Aim is the time within which the first event is on time.
+	// Aim is the time within which the first event of the answer is on time.
 	Aim time.Duration
 }
 
-// tokens returns the memory that the request takes on an engine.
-func (r OpeningRequest) tokens() int { return r.Shared + r.Own + r.Output }
+// memoryTokens returns the KV cache memory that the request takes on an engine, in tokens.
+func (r OpeningRequest) memoryTokens() int { return r.Shared + r.Own + r.Output }
 
-// OpeningCandidate is an engine as the entry believes it to be.
+// OpeningCandidate is an engine, with the state known to the entry.
 type OpeningCandidate struct {
-	// Name is the VM.
+	// Name is the VM name.
 	Name string
-	// Excluded says why it gets no work: None for one that may.
+	// Excluded is the reason why the engine gets no work; None when it may.
 	Excluded Exclusion
-	// Suspected says that it failed of late; it is taken only when no other is left.
+	// Suspected says that the engine failed recently; it is chosen only when all
+	// others are excluded or overloaded.
 	Suspected bool
-	// Old says that it has older weights than operators named: what it answers is
-	// worth less.
+	// Old says that the engine's weights are older than those that operators set; its
+	// answers have less value.
 	Old bool
-	// Running and Waiting are its requests; Reading are those of Running whose prompt
-	// is still being read.
+	// Running and Waiting are the numbers of its requests; Reading is the number of
+	// running requests whose prompt is still in prefill.
 	Running, Reading, Waiting int
-	// SentTokens are the tokens to be read of what was sent there since.
+	// SentTokens is the number of tokens to prefill of the requests sent there since
+	// the load report.
 	SentTokens int
-	// UsedTokens is the memory that its requests hold.
+	// UsedTokens is the memory that its requests hold, in tokens.
 	UsedTokens int
-	// Has says that the engine has the opening in its memory, or is reading it.
+	// Has says that the engine holds the shared prefix or is prefilling it.
 	Has bool
-	// Kept says that a store or another engine holds the opening for the engine's
-	// weights, so that an engine without it brings it from there instead of reading it.
+	// Kept says that a store or another engine holds the prefix for the engine's
+	// weights, so that an engine without it imports it instead of computing it.
 	Kept bool
-	// FetchWait is how long that link is taken by others before, Fetch how long it is
-	// taken by bringing the opening.
+	// FetchWait is the wait until the link to that holder is free, Fetch the time that
+	// the import then takes on it.
 	FetchWait, Fetch time.Duration
-	// New says that the opening was most likely not read before for the engine's
-	// weights: no store holds it, though one had room.
+	// New says that the prefix was most likely never computed for the engine's
+	// weights: no store holds it, although one had room.
 	New bool
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the engine runs concurrently; no limit when zero.
 	Slots int
-	// Distance is the time to it and back.
+	// Distance is the round-trip time to the engine.
 	Distance time.Duration
-	// Overrun is how much longer the prompt is expected to run than until the engine
-	// is to load new weights.
+	// Overrun is by how much the prompt is expected to run past the time at which the
+	// engine is to load new weights.
 	Overrun time.Duration
 }
 
-// OpeningConfig says what is known of the engines and of the prompts that come. Zero
-// values get a default.
+// OpeningConfig holds the measured properties of the engines and of recent prompts.
+// Zero values get a default unless the field says otherwise.
 type OpeningConfig struct {
-	// TokensPerMs is how fast an engine reads a prompt: 50 when zero, the slowest of
-	// the engines in use.
+	// TokensPerMs is the prefill speed of an engine; 50 when zero, the speed of the
+	// slowest engines in use.
 	TokensPerMs float64
-	// PromptTokens is how much of a prompt an engine usually has to read: 1,000 when
-	// zero.
+	// PromptTokens is the usual number of tokens of a prompt that an engine has to
+	// prefill; 1,000 when zero.
 	PromptTokens float64
-	// QuickTokens is the same of the prompts that have less to read than usual, which
-	// engines take first among equals: PromptTokens when zero.
+	// QuickTokens is the same for prompts with less to prefill than usual, which
+	// engines schedule first among those of equal priority; PromptTokens when zero.
 	QuickTokens float64
-	// QuickAim is the aim of those prompts; nothing is held for them when zero.
+	// QuickAim is the Aim of those prompts; when zero, no prompt is held in their favour.
 	QuickAim time.Duration
-	// MemoryTokens is how many tokens an engine's memory holds: 70,000 when zero.
+	// MemoryTokens is the capacity of an engine's KV cache in tokens; 70,000 when zero.
 	MemoryTokens int
 }
 
@@ -90,8 +92,8 @@
 	return c
 }
 
-// reading returns the ms that reading so many tokens takes.
-func (c OpeningConfig) reading(tokens int) float64 { return float64(tokens) / c.TokensPerMs }
+// prefillMs returns the time in ms to prefill the given number of tokens.
+func (c OpeningConfig) prefillMs(tokens int) float64 { return float64(tokens) / c.TokensPerMs }
 
 func orDefault[T int | float64 | time.Duration](v, d T) T {
 	if v == 0 {
@@ -103,11 +105,11 @@
 
 // OpeningDecision is the outcome of DecideOpening.
 type OpeningDecision struct {
-	target int
-	home   int
-	cost   float64
-	wait   float64
-	pace   Pace
+	target    int
+	home      int
+	costMs    float64
+	waitMs    float64
+	admission Pace
 }
 
 // Found reports whether any engine can take the prompt.
@@ -116,50 +118,54 @@
 // Target returns the index of the chosen engine, -1 when there is none.
 func (d OpeningDecision) Target() int { return d.target }
 
-// Home returns the index of the opening's first engine, -1 when there is none.
+// Home returns the index of the prefix's home engine, -1 when there is none.
 func (d OpeningDecision) Home() int { return d.home }
 
 // Cost returns the estimated cost in ms.
-func (d OpeningDecision) Cost() float64 { return d.cost }
+func (d OpeningDecision) Cost() float64 { return d.costMs }
 
-// Pace returns whether the prompt is to be sent now.
-func (d OpeningDecision) Pace() Pace { return d.pace }
+// Pace returns whether to send the prompt now, to hold it or to refuse it.
+func (d OpeningDecision) Pace() Pace { return d.admission }
 
-// Wait returns how long the chosen engine is expected to read other prompts first.
+// Wait returns how long the chosen engine is expected to work on other prompts first.
 func (d OpeningDecision) Wait() time.Duration {
-	return time.Duration(d.wait * float64(time.Millisecond))
+	return time.Duration(d.waitMs * float64(time.Millisecond))
 }
 
-// Costs beside time.
+// Penalties added to the estimated time.
 const (
-	// suspectCost, in ms, keeps work from an engine that failed of late while any
-	// other is not overloaded.
-	suspectCost = 3000
-	// notHomeCost, in ms, breaks ties in favour of the opening's first engine.
-	notHomeCost = 2
-	// runningCost, in ms, is what a request takes that generates: it makes each step
-	// a little longer.
-	runningCost = 0.5
-	// againFactor is what reading an opening again costs beyond its time, in parts of
-	// that time: all who come meanwhile wait for it, and it pushes other openings out.
-	againFactor = 2
-	// newFactor is what reading a new opening at another engine than its first costs,
-	// in parts of its time: another request with it may just be read there.
-	newFactor = 0.2
-	// oldFactor is what answering on old weights costs, in parts of the aim. They may be
-	// used for a while, their contexts are warm, and a late answer loses far more; so it
-	// decides among engines that are about as free.
-	oldFactor = 0.02
+	// suspectCostMs keeps work away from an engine that failed recently unless all
+	// other engines are overloaded.
+	suspectCostMs = 3000
+	// notHomeCostMs breaks ties in favour of the prefix's home engine.
+	notHomeCostMs = 2
+	// runningCostMs is the delay by each running request: it makes every step of the
+	// engine slightly longer.
+	runningCostMs = 0.5
+	// recomputeFactor is the penalty for recomputing a prefix in addition to the time that
+	// it takes, as a multiple of that time: all prompts that arrive meanwhile wait for it,
+	// and it evicts other prefixes.
+	recomputeFactor = 2
+	// newPrefixFactor is the penalty for computing a new prefix on an engine other than
+	// its home, as a part of the time that it takes: another request with the same prefix
+	// may be in prefill on the home engine.
+	newPrefixFactor = 0.2
+	// oldWeightsFactor is the penalty for old weights, as a part of the aim. Old weights
+	// remain allowed for a while and their contexts are cached, whereas a late answer
+	// loses far more value; so the penalty only decides between engines with about the
+	// same load.
+	oldWeightsFactor = 0.02
 )
 
-// DecideOpening returns the engine for a prompt: the least estimated time to its
-// first event plus the cost of reading its opening where it isn't. Each opening
-// has an order of engines, by rendezvous hashing, that all entries agree on
-// without talking; its first engine holds it unless it was evicted.
+// DecideOpening returns the engine for a prompt with a shared prefix: the one with
+// the least estimated time to the first event plus the penalty for computing the
+// prefix where it isn't cached. Rendezvous hashing ranks the engines for each prefix,
+// so that all entries agree on the first, the home engine, without communication;
+// the home engine holds the prefix unless it has evicted it.
 func DecideOpening(cfg OpeningConfig, r OpeningRequest, candidates []OpeningCandidate) OpeningDecision {
-	known := cfg // the pace goes by what was learned alone
+	learned := cfg // admission uses measured values only, not defaults
 	cfg = cfg.withDefaults()
-	d := OpeningDecision{target: -1, home: home(r, candidates)}
+	d := OpeningDecision{target: -1, home: homeIndex(r, candidates)}
 
 	for i := range candidates {
 		c := &candidates[i]
@@ -167,93 +173,95 @@
 			continue
 		}
 
-		cost := c.cost(cfg, r, i == d.home)
-		if d.target < 0 || cost < d.cost {
-			d.target, d.cost, d.wait = i, cost, c.wait(cfg, r)
-			d.pace = known.pace(r, d.Wait(), c.quick(cfg, r))
+		cost := c.totalCostMs(cfg, r, i == d.home)
+		if d.target < 0 || cost < d.costMs {
+			d.target, d.costMs, d.waitMs = i, cost, c.queueWaitMs(cfg, r)
+			d.admission = learned.admit(r, d.Wait(), c.hasShortPrefill(cfg, r))
 		}
 	}
 
 	return d
 }
 
-// home returns the index of the opening's first engine, -1 when there is none.
-func home(r OpeningRequest, candidates []OpeningCandidate) int {
-	first, best := -1, uint64(0)
+// homeIndex returns the index of the prefix's home engine, -1 when there is none.
+func homeIndex(r OpeningRequest, candidates []OpeningCandidate) int {
+	home, bestScore := -1, uint64(0)
 
 	for i := range candidates {
-		if score := xxhash.Sum64String(r.Opening + "/" + candidates[i].Name); first < 0 || score > best {
-			first, best = i, score
+		if score := xxhash.Sum64String(r.Opening + "/" + candidates[i].Name); home < 0 || score > bestScore {
+			home, bestScore = i, score
 		}
 	}
 
-	return first
+	return home
 }
 
-// cost returns the estimated cost of an engine in ms.
-func (c *OpeningCandidate) cost(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
-	ms := c.wait(cfg, r) + float64(c.Distance)/float64(time.Millisecond) + cfg.reading(r.Own)
+// totalCostMs returns the estimated cost of an engine in ms.
+func (c *OpeningCandidate) totalCostMs(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
+	ms := c.queueWaitMs(cfg, r) + float64(c.Distance)/float64(time.Millisecond) + cfg.prefillMs(r.Own)
 
 	if !home {
-		ms += notHomeCost
+		ms += notHomeCostMs
 	}
 
-	if there := c.Has || (home && r.Untold); !there {
-		ms += c.miss(cfg, r, home)
+	if cached := c.Has || (home && r.Untold); !cached {
+		ms += c.missCostMs(cfg, r, home)
 	}
 
-	if over := c.UsedTokens + r.tokens() - cfg.MemoryTokens; over > 0 {
-		ms += (1 + againFactor) * cfg.reading(over)
+	if excess := c.UsedTokens + r.memoryTokens() - cfg.MemoryTokens; excess > 0 {
+		ms += (1 + recomputeFactor) * cfg.prefillMs(excess)
 	}
 
 	if c.Old {
-		ms += oldFactor * float64(r.Aim) / float64(time.Millisecond)
+		ms += oldWeightsFactor * float64(r.Aim) / float64(time.Millisecond)
 	}
 
-	// An engine that is to load waits for its last run, and nothing else begins there.
+	// An engine that is to load new weights waits for its last request to end and starts
+	// no other until then.
 	ms += float64(c.Overrun) / float64(time.Millisecond)
 
 	if c.Suspected {
-		ms += suspectCost
+		ms += suspectCostMs
 	}
 
 	return ms
 }
 
-// miss is what it costs that an engine has to get the opening.
-func (c *OpeningCandidate) miss(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
+// missCostMs returns the cost in ms of an engine not holding the prefix.
+func (c *OpeningCandidate) missCostMs(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
 	switch {
 	case c.Kept:
 		return float64(c.FetchWait+c.Fetch) / float64(time.Millisecond)
 	case c.New && home:
 		return 0
 	case c.New:
-		return newFactor * cfg.reading(r.Shared)
+		return newPrefixFactor * cfg.prefillMs(r.Shared)
 	}
 
-	return (1 + againFactor) * cfg.reading(r.Shared)
+	return (1 + recomputeFactor) * cfg.prefillMs(r.Shared)
 }
 
-// quick reports whether the prompt has less to read on the engine than usual.
-func (c *OpeningCandidate) quick(cfg OpeningConfig, r OpeningRequest) bool {
-	unread := r.Own
+// hasShortPrefill reports whether the prompt has at most the usual number of tokens
+// to prefill on the engine.
+func (c *OpeningCandidate) hasShortPrefill(cfg OpeningConfig, r OpeningRequest) bool {
+	missing := r.Own
 	if !c.Has && !c.Kept {
-		unread += r.Shared
+		missing += r.Shared
 	}
 
-	return float64(unread) <= cfg.PromptTokens
+	return float64(missing) <= cfg.PromptTokens
 }
 
-// wait estimates the time before the engine starts on one more prompt: the prompts
-// before it are read in pieces, one after the other.
-func (c *OpeningCandidate) wait(cfg OpeningConfig, r OpeningRequest) float64 {
+// queueWaitMs estimates the time in ms before the engine starts one more prompt. Engines
+// prefill the prompts queued before it in chunks, one prompt after the other.
+func (c *OpeningCandidate) queueWaitMs(cfg OpeningConfig, r OpeningRequest) float64 {
 	waiting := cfg.PromptTokens
-	if c.quick(cfg, r) {
+	if c.hasShortPrefill(cfg, r) {
 		waiting = cfg.QuickTokens
 	}
 
-	before := float64(c.Reading)*cfg.PromptTokens + float64(c.Waiting)*waiting + float64(c.SentTokens)
-	ms := before/cfg.TokensPerMs + float64(c.Running)*runningCost
+	queuedTokens := float64(c.Reading)*cfg.PromptTokens + float64(c.Waiting)*waiting + float64(c.SentTokens)
+	ms := queuedTokens/cfg.TokensPerMs + float64(c.Running)*runningCostMs
 
 	if c.Slots > 0 && c.Running >= c.Slots {
 		ms += float64(c.Running-c.Slots+1) * cfg.PromptTokens / cfg.TokensPerMs
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -15,34 +15,35 @@
 	return all
 }
 
-func long(i int) OpeningRequest {
+func longPrompt(i int) OpeningRequest {
 	return OpeningRequest{Opening: fmt.Sprintf("case-%d", i), Shared: 12_800, Own: 4_260, Output: 30, Aim: 800 * time.Millisecond}
 }
 
-func short(i int) OpeningRequest {
+func shortPrompt(i int) OpeningRequest {
 	return OpeningRequest{Opening: fmt.Sprintf("seat-%d", i), Shared: 301, Own: 82, Output: 11, Aim: 400 * time.Millisecond}
 }
 
-// Entries don't talk about where an opening goes, and yet it has to go to the
-// engine that holds it, in whatever order an entry lists the engines.
+// Guards against entries that place the same shared prefix on different engines. Entries
+// don't communicate about placement, and each lists the engines in an order of its own.
 func TestEntriesAgreeOnAnOpeningsEngine(t *testing.T) {
 	all := engines(12)
-	turned := append(append([]OpeningCandidate{}, all[5:]...), all[:5]...)
+	rotated := append(append([]OpeningCandidate{}, all[5:]...), all[:5]...)
 
 	for i := range 200 {
-		a := DecideOpening(OpeningConfig{}, short(i), all)
-		b := DecideOpening(OpeningConfig{}, short(i), turned)
+		a := DecideOpening(OpeningConfig{}, shortPrompt(i), all)
+		b := DecideOpening(OpeningConfig{}, shortPrompt(i), rotated)
 
-		if got, want := turned[b.Target()].Name, all[a.Target()].Name; got != want {
+		if got, want := rotated[b.Target()].Name, all[a.Target()].Name; got != want {
 			t.Fatalf("%d: got %s, want %s", i, got, want)
 		}
 	}
 }
 
-// A long prompt is read for a tenth to a third of a second, and a short one that is sent
-// behind it waits for all of that: a rider at the curb sees nothing meanwhile. Nobody
-// keeps engines for short prompts, so each of them has to pass by the engines that read.
-// The lengths are those of fare reviews and seat questions, at 51 tokens a ms.
+// Guards against short prompts queued behind a long prefill, which takes a tenth to a
+// third of a second and delays the first event of the short prompt by as much. No engines
+// are reserved for short prompts, so the decision has to avoid engines in prefill. The
+// prompt lengths are those of fare reviews and seat questions, the speed is 51 tokens
+// per ms.
 func TestShortPromptsPassByEnginesThatRead(t *testing.T) {
 	cfg := OpeningConfig{TokensPerMs: 51, PromptTokens: 4500}
 
@@ -53,37 +54,38 @@
 		}
 
 		for i := range 200 {
-			r := short(i)
+			r := shortPrompt(i)
 			r.Untold = true
 
 			if d := DecideOpening(cfg, r, all); all[d.Target()].Reading > 0 {
-				t.Fatalf("%d of 12 read: got %s, want one that doesn't", reading+1, all[d.Target()].Name)
+				t.Fatalf("%d of 12 in prefill: got %s, want one without prefill", reading+1, all[d.Target()].Name)
 			}
 		}
 	}
 }
 
-// Engines that generate for long differ from those that read: the next prompt is read
-// between their steps. Taken for busy all the same, an engine with a dozen long answers
-// under way stands idle, and contexts are read again elsewhere.
+// Guards against treating an engine that decodes long answers as busy: it prefills the
+// next prompt between decoding steps. Otherwise an engine with a dozen long answers in
+// flight would be underused, and contexts would be recomputed elsewhere.
 func TestGeneratingHardlyDelaysTheNextPrompt(t *testing.T) {
 	all := engines(9)
-	home := DecideOpening(OpeningConfig{}, long(1), all).Target()
+	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
 	all[home].Has, all[home].Running = true, 12
 
-	if got := DecideOpening(OpeningConfig{}, long(1), all).Target(); got != home {
-		t.Errorf("got %s, want %s, which only generates", all[got].Name, all[home].Name)
+	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got != home {
+		t.Errorf("got %s, want %s, which only decodes", all[got].Name, all[home].Name)
 	}
 
 	all[home].Reading = 40
 
-	if got := DecideOpening(OpeningConfig{}, long(1), all).Target(); got == home {
-		t.Errorf("got %s, which reads forty prompts, want another", all[got].Name)
+	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got == home {
+		t.Errorf("got %s, which has forty prompts in prefill, want another", all[got].Name)
 	}
 }
 
-// Engines take prompts with little to read first, so those that wait delay a short one by
-// little; what is being read delays everybody.
+// Guards against overestimating the queue wait of short prompts: engines schedule prompts
+// with little to prefill first, so queued prompts delay a short one only slightly, whereas
+// prompts in prefill delay every prompt.
 func TestQuickPromptsPassThoseThatWait(t *testing.T) {
 	cfg := OpeningConfig{TokensPerMs: 100, PromptTokens: 4000, QuickTokens: 500}
 
@@ -93,9 +95,9 @@
 		reading, waiting int
 		want             time.Duration
 	}{
-		{"a short one behind ten", short(1), 0, 10, 50 * time.Millisecond},
-		{"a long one behind ten", long(1), 0, 10, 400 * time.Millisecond},
-		{"a short one behind one that is read", short(1), 1, 0, 40 * time.Millisecond},
+		{"short prompt, ten queued", shortPrompt(1), 0, 10, 50 * time.Millisecond},
+		{"long prompt, ten queued", longPrompt(1), 0, 10, 400 * time.Millisecond},
+		{"short prompt, one in prefill", shortPrompt(1), 1, 0, 40 * time.Millisecond},
 	}
 
 	for _, tt := range tests {
@@ -108,28 +110,29 @@
 	}
 }
 
-// An engine that is to load new weights waits for its last run, and nothing else begins
-// there: with a long answer under way it stands idle for seconds. Long answers go
-// elsewhere in time, short ones are served until the load begins.
+// Guards against idle engines during a reload. An engine that is to load new weights waits
+// for its last request to end and starts no other, so one long answer would keep it idle
+// for seconds. Long answers go to other engines beforehand; short ones are served until
+// the load begins.
 func TestLongAnswersAvoidAnEngineThatIsToLoad(t *testing.T) {
 	all := engines(3)
-	home := DecideOpening(OpeningConfig{}, long(1), all).Target()
+	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
 	all[home].Has = true
 
-	if got := DecideOpening(OpeningConfig{}, long(1), all).Target(); got != home {
-		t.Fatalf("got %d, want the engine that has the opening", got)
+	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got != home {
+		t.Fatalf("got %d, want the engine that has the shared prefix", got)
 	}
 
 	all[home].Overrun = 1500 * time.Millisecond
 
-	if got := DecideOpening(OpeningConfig{}, long(1), all).Target(); got == home {
-		t.Error("got the engine that would have to wait for it for 1.5 s, want another")
+	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got == home {
+		t.Error("got the engine whose load it would delay by 1.5 s, want another")
 	}
 }
 
-// The same queue is a quarter of a second on an engine that reads 50 tokens a ms and
-// nothing to speak of on one that reads 500. Weighed alike, contexts of quick engines
-// are read again though their turn would come at once.
+// Guards against ignoring the engines' speed in the queue wait. The same queue takes 400 ms
+// at 50 tokens per ms and 40 ms at 500. If both were taken as equal, contexts held by fast
+// engines would be recomputed elsewhere despite a short wait.
 func TestQuickEnginesAreWorthWaitingFor(t *testing.T) {
 	tests := []struct {
 		tokensPerMs float64
@@ -139,58 +142,59 @@
 	for _, tt := range tests {
 		cfg := OpeningConfig{TokensPerMs: tt.tokensPerMs, PromptTokens: 4000}
 		all := engines(9)
-		home := DecideOpening(cfg, long(1), all).Target()
+		home := DecideOpening(cfg, longPrompt(1), all).Target()
 		all[home].Has, all[home].Waiting = true, 5
 
-		if got := DecideOpening(cfg, long(1), all).Target() == home; got != tt.home {
-			t.Errorf("%v tokens a ms: got home %v, want %v: the opening costs three times its 12,800 tokens elsewhere", tt.tokensPerMs, got, tt.home)
+		if got := DecideOpening(cfg, longPrompt(1), all).Target() == home; got != tt.home {
+			t.Errorf("%v tokens per ms: got home %v, want %v: elsewhere the prefix costs three times its 12,800 tokens", tt.tokensPerMs, got, tt.home)
 		}
 
-		// A copy in a store is there in 100 ms, whatever the engines read.
+		// An import from a store takes 100 ms, independent of the prefill speed.
 		for i := range all {
 			all[i].Kept, all[i].Fetch = true, 100*time.Millisecond
 		}
 
 		wait := 5 * 4000 / tt.tokensPerMs
-		if got, want := DecideOpening(cfg, long(1), all).Target() == home, wait < 102; got != want {
-			t.Errorf("%v tokens a ms, kept in a store: got home %v, want %v for a wait of %.0f ms", tt.tokensPerMs, got, want, wait)
+		if got, want := DecideOpening(cfg, longPrompt(1), all).Target() == home, wait < 102; got != want {
+			t.Errorf("%v tokens per ms, held by a store: got home %v, want %v for a wait of %.0f ms", tt.tokensPerMs, got, want, wait)
 		}
 	}
 }
 
 func TestAnEngineThatGoesMovesOnlyItsOwnOpenings(t *testing.T) {
 	all := engines(12)
-	gone := DecideOpening(OpeningConfig{}, short(0), all).Target()
-	fewer := append([]OpeningCandidate{}, all...)
-	fewer[gone].Excluded = Leaving
+	excluded := DecideOpening(OpeningConfig{}, shortPrompt(0), all).Target()
+	remaining := append([]OpeningCandidate{}, all...)
+	remaining[excluded].Excluded = Draining
 	moved := 0
 
 	for i := range 500 {
-		before := DecideOpening(OpeningConfig{}, short(i), all).Target()
+		before := DecideOpening(OpeningConfig{}, shortPrompt(i), all).Target()
 
-		after := DecideOpening(OpeningConfig{}, short(i), fewer).Target()
-		if after == gone {
+		after := DecideOpening(OpeningConfig{}, shortPrompt(i), remaining).Target()
+		if after == excluded {
 			t.Fatal("got an engine that is excluded")
 		}
 
-		if before != gone && before != after {
+		if before != excluded && before != after {
 			moved++
 		}
 	}
 
 	if moved > 0 {
-		t.Errorf("got %d openings of other engines moved, want none", moved)
+		t.Errorf("got %d prefixes of other engines moved, want none", moved)
 	}
 }
 
-// A burst of one opening, as when a ferry is late: its first engine gets busy, and
-// the others have to help although they have to read the opening first.
+// Guards against a hot spot on a prefix's home engine. In a burst of prompts with one
+// prefix, as when a ferry is late, other engines have to take some of the prompts although
+// they have to compute the prefix first.
 func TestBusyEngineSharesItsOpenings(t *testing.T) {
 	all := engines(12)
-	home := DecideOpening(OpeningConfig{}, long(1), all).Target()
+	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
 	all[home].Reading = 8
 
-	d := DecideOpening(OpeningConfig{}, long(1), all)
+	d := DecideOpening(OpeningConfig{}, longPrompt(1), all)
 	if d.Target() == home {
 		t.Errorf("got the busy engine at a cost of %.0f ms", d.Cost())
 	}
@@ -206,24 +210,24 @@
 		set  func(home, other *OpeningCandidate)
 		want string
 	}{
-		{"alike", func(*OpeningCandidate, *OpeningCandidate) {}, "home"},
-		{"kept for the other's weights alone", func(_, o *OpeningCandidate) { o.Kept = true }, "other"},
-		{"kept near the other", func(h, o *OpeningCandidate) {
+		{"equal", func(*OpeningCandidate, *OpeningCandidate) {}, "home"},
+		{"held for the other's weights only", func(_, o *OpeningCandidate) { o.Kept = true }, "other"},
+		{"held nearer to the other", func(h, o *OpeningCandidate) {
 			h.Kept, o.Kept, h.Fetch, o.Fetch = true, true, 100*time.Millisecond, 50*time.Millisecond
 		}, "other"},
-		{"new anyway", func(h, o *OpeningCandidate) { h.New, o.New = true, true }, "home"},
-		{"old weights that have it kept", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.New = true, true, true }, "home"},
-		{"old weights, and it is kept for both", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.Kept = true, true, true }, "other"},
-		{"old weights, and it would be read again elsewhere", func(h, _ *OpeningCandidate) { h.Has, h.Old = true, true }, "home"},
-		{"failed of late", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Suspected = true, true, true }, "other"},
-		{"no memory left", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.UsedTokens = true, true, 69_000 }, "other"},
-		{"all slots taken", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Running, o.Running = true, true, 70, 6 }, "other"},
+		{"new prefix on both", func(h, o *OpeningCandidate) { h.New, o.New = true, true }, "home"},
+		{"old weights, held for them only", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.New = true, true, true }, "home"},
+		{"old weights, held for both", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.Kept = true, true, true }, "other"},
+		{"old weights, would be recomputed elsewhere", func(h, _ *OpeningCandidate) { h.Has, h.Old = true, true }, "home"},
+		{"failed recently", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Suspected = true, true, true }, "other"},
+		{"memory full", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.UsedTokens = true, true, 69_000 }, "other"},
+		{"no free slots", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Running, o.Running = true, true, 70, 6 }, "other"},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			all := engines(2)
-			home := DecideOpening(OpeningConfig{}, long(1), all).Target()
+			home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
 			other := 1 - home
 
 			tt.set(&all[home], &all[other])
@@ -233,31 +237,32 @@
 				want = other
 			}
 
-			if got := DecideOpening(OpeningConfig{}, long(1), all); got.Target() != want {
+			if got := DecideOpening(OpeningConfig{}, longPrompt(1), all); got.Target() != want {
 				t.Errorf("got %d at %.0f ms, want %d", got.Target(), got.Cost(), want)
 			}
 		})
 	}
 }
 
-// New weights make all contexts cold, and for some seconds there are more long
-// prompts than room. An engine without room that gets one all the same pushes out what
-// the others there use; a prompt goes where there is room, and waits where there is none.
+// Guards against sending prompts to engines without free memory. After a change of weights
+// all contexts are cold, and for some seconds there are more long prompts than memory. A
+// prompt sent to a full engine evicts contexts in use there, so it has to go to an engine
+// with free memory or wait.
 func TestPromptsGoWhereThereIsRoom(t *testing.T) {
 	all := engines(12)
 	for i := range all {
 		all[i].Excluded = NoRoom
 	}
 
-	if d := DecideOpening(OpeningConfig{}, long(1), all); d.Found() {
-		t.Errorf("got %s, want none for now", all[d.Target()].Name)
+	if d := DecideOpening(OpeningConfig{}, longPrompt(1), all); d.Found() {
+		t.Errorf("got %s, want none", all[d.Target()].Name)
 	}
 
 	all[7].Excluded = None
 
 	for i := range 50 {
-		if got := DecideOpening(OpeningConfig{}, long(i), all).Target(); got != 7 {
-			t.Errorf("got %d, want the one with room", got)
+		if got := DecideOpening(OpeningConfig{}, longPrompt(i), all).Target(); got != 7 {
+			t.Errorf("got %d, want the one with free memory", got)
 		}
 	}
 }
@@ -266,12 +271,12 @@
 	all := engines(2)
 	all[0].Excluded, all[1].Excluded = AlreadyTried, OtherVersion
 
-	if d := DecideOpening(OpeningConfig{}, long(1), all); d.Found() {
-		t.Errorf("got %d, want nobody", d.Target())
+	if d := DecideOpening(OpeningConfig{}, longPrompt(1), all); d.Found() {
+		t.Errorf("got %d, want none", d.Target())
 	}
 
-	if d := DecideOpening(OpeningConfig{}, long(1), nil); d.Found() {
-		t.Errorf("got %d of none", d.Target())
+	if d := DecideOpening(OpeningConfig{}, longPrompt(1), nil); d.Found() {
+		t.Errorf("got %d, want none for an empty list", d.Target())
 	}
 }
 
@@ -279,15 +284,15 @@
 	all := engines(1)
 
 	for i := range 10 {
-		if !DecideOpening(OpeningConfig{}, long(i), all).Found() || !DecideOpening(OpeningConfig{}, short(i), all).Found() {
-			t.Fatal("got nobody, want the only engine")
+		if !DecideOpening(OpeningConfig{}, longPrompt(i), all).Found() || !DecideOpening(OpeningConfig{}, shortPrompt(i), all).Found() {
+			t.Fatal("got none, want the only engine")
 		}
 	}
 }
 
 func BenchmarkDecideOpening(b *testing.B) {
 	all := engines(55)
-	r := long(7)
+	r := longPrompt(7)
 
 	b.ReportAllocs()
 
@@ -296,18 +301,18 @@
 	}
 }
 
-// New weights are named, and a few engines have them. All prompts that went there would
-// read their contexts anew beside each other, and riders at the curb would wait for that while the
-// engines with the old weights, which may still be used, hold the contexts and are idle.
+// Guards against moving all prompts at once to the few engines with new weights. Those
+// engines would recompute all contexts at the same time, and short prompts would wait for
+// that while engines with old weights, which are still allowed and hold the contexts, idle.
 func TestQuestionsStayOnOldWeightsWhileTheNewEnginesRead(t *testing.T) {
 	cfg := OpeningConfig{TokensPerMs: 51, PromptTokens: 1000}
 	tests := []struct {
 		name    string
-		reading int // prompts that each engine with the new weights reads
+		reading int // prompts in prefill on each engine with new weights
 		old     bool
 	}{
-		{"they are idle", 0, false},
-		{"they read one prompt each", 1, true},
+		{"new engines idle", 0, false},
+		{"one prompt in prefill on each new engine", 1, true},
 	}
 
 	for _, tt := range tests {
@@ -320,7 +325,7 @@
 		}
 
 		for i := range 100 {
-			if got := all[DecideOpening(cfg, short(i), all).Target()].Old; got != tt.old {
+			if got := all[DecideOpening(cfg, shortPrompt(i), all).Target()].Old; got != tt.old {
 				t.Fatalf("%s: got an engine with old weights %v, want %v", tt.name, got, tt.old)
 			}
 		}
--- a/route/pace.go
+++ b/route/pace.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Pace is whether a prompt is sent now.
+// Pace is the admission decision for a prompt.
 type Pace uint8
 
-// The paces.
+// The admission decisions.
 const (
-	// SendNow is for a prompt whose turn at the engine comes in time.
+	// SendNow means that the prompt is sent now.
 	SendNow Pace = iota
-	// Hold is for one that had better wait at the entry.
+	// Hold means that the prompt waits at the entry until engines have less to prefill.
 	Hold
-	// TooLate is for one whose first event can't be on time.
+	// TooLate means that the first event can't be on time; the prompt is refused.
 	TooLate
 )
 
 // String returns the snake-case name of p.
 func (p Pace) String() string { return [...]string{"send_now", "hold", "too_late"}[p] }
 
-// queueShare is the part of the quick prompts' aim for which engines may have other
-// prompts to read when a long one is sent.
-const queueShare = 0.25
+// longPromptQueueShare is the part of QuickAim that the prefill queue of an engine may
+// take for a long prompt to be sent there.
+const longPromptQueueShare = 0.25
 
-// pace returns whether a prompt is sent to an engine that reads others for so long first.
+// admit returns whether a prompt is sent to an engine that has a prefill queue of the
+// given length.
 //
-// When more comes than engines can read, as after new weights, queues grow until all
-// answers are late, and engines read prompts whose callers have left meanwhile. A prompt
-// that can't be on time is refused at once instead; it costs its engine nothing and may
-// come back when its turn is near.
+// When more prompts arrive than engines can prefill, as after a change of weights,
+// queues would grow until all answers are late, and engines would prefill prompts whose
+// callers have disconnected. So a prompt that can't be on time is refused at once: it
+// costs its engine nothing, and the caller can retry when the queue is shorter.
 //
-// Long prompts mostly have long aims. Were they sent for as long as they are on time,
-// engines would always have that much to read, and every short prompt, whose aim is less,
-// would be late or refused: riders at the curb would wait for the planning office. So
-// what isn't quick is held while engines have much to read.
+// Long prompts mostly have long aims. If they were sent as long as they are on time,
+// engines would always have that much to prefill, and every short prompt, whose aim is
+// shorter, would be late or refused. So prompts without a short prefill are held while
+// the queue is longer than longPromptQueueShare of QuickAim.
 //
-// Before the engines' speed is known they are taken for the slowest there are, and
-// nothing is refused for that.
-func (c OpeningConfig) pace(r OpeningRequest, wait time.Duration, quick bool) Pace {
+// Until the speed of the engines is measured, prompts are admitted without a check: the
+// default speed is that of the slowest engines and would refuse too many.
+func (c OpeningConfig) admit(r OpeningRequest, wait time.Duration, shortPrefill bool) Pace {
 	switch {
 	case c.TokensPerMs <= 0 || r.Aim <= 0:
 		return SendNow
 	case wait > r.Aim:
 		return TooLate
-	case !quick && c.QuickAim > 0 && wait > time.Duration(queueShare*float64(c.QuickAim)):
+	case !shortPrefill && c.QuickAim > 0 && wait > time.Duration(longPromptQueueShare*float64(c.QuickAim)):
 		return Hold
 	default:
 		return SendNow
--- a/route/route.go
+++ b/route/route.go
@@ -1,23 +1,25 @@
-// Package route decides which engine takes a prompt and which target takes a
-// call of a plain service.
+// Package route selects the engine for a prompt and the target for a call of a plain
+// service.
 //
 // # Model
 //
 // For each engine that may take the prompt, Decide estimates the seconds until
 // the first token:
 //
-//	delay + max(wait for the queue before it, import) + prefill of what is missing
+//	delay + max(queue wait, import) + prefill of the missing tokens
 //
-// for each way in which the context may come there: it is warm, it is imported
-// from a store or another engine, or it is recomputed. An import runs while the
-// prompt waits, so only the longer of both counts. The queue before it is what
-// the last load report said plus what this entry sent since; the older the
-// report, the less sure it is, so a doubt that grows with its age is drawn by
-// the request's seed: entries that act on the same stale report then spread
-// over the engines that are about as good instead of all taking the same one.
+// for each strategy by which the engine can get the prompt's context: it is warm
+// (in the engine's cache), it is imported from a store or another engine, or it is
+// recomputed. An import runs while the prompt waits in the queue, so only the longer
+// of the two counts. The queue is that of the last load report plus the requests that
+// this entry has sent since. A stale report is less reliable, so a random penalty that
+// grows with the report's age, seeded by the request, is added to the wait: entries
+// that act on the same stale report then spread over the engines of similar cost
+// instead of all choosing the same one.
 //
-// The cost of a way is its time to first token and the prefill of tokens that
-// were computed before, weighed by the settings in force. The least cost wins.
+// The cost of a strategy is the weighted sum of its time to first token and the
+// prefill time of tokens that were computed before, with the cost weights in force.
+// The candidate with the least cost is chosen.
 //
 // # Example
 //
@@ -31,19 +33,21 @@
 
 import "time"
 
-// MaxCandidates is how many candidates a Decision weighs; further ones are not looked at.
+// MaxCandidates is the maximum number of candidates that a decision evaluates; further
+// ones are ignored.
 const MaxCandidates = 64
 
-// How says how a prompt's context comes to its engine. The zero How is Recompute.
+// How is the strategy by which an engine gets a prompt's context. The zero How is
+// Recompute.
 type How uint8
 
-// The ways.
+// The strategies.
 const (
-	// Recompute computes the whole prompt.
+	// Recompute means that the engine computes the whole prompt.
 	Recompute How = iota
-	// Warm uses blocks that the engine is said to hold.
+	// Warm means that the engine uses blocks that it is believed to hold.
 	Warm
-	// Import copies blocks from a store or another engine.
+	// Import means that blocks are copied from a store or another engine.
 	Import
 )
 
@@ -63,97 +67,98 @@
 type Request struct {
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Computed is how many of its leading tokens were computed before,
-	// wherever that was. It bounds what counts as recomputed.
+	// Computed is the number of leading tokens that were computed before, on any engine.
+	// It is the upper bound of what counts as recomputed.
 	Computed int
-	// Version is the weight version that a new request uses; empty takes any.
+	// Version is the weight version that the request must use; any when empty.
 	Version string
-	// BytesPerToken is the size of a token's cache.
+	// BytesPerToken is the size of a token in the KV cache.
 	BytesPerToken int64
-	// Seed differs for each request and draws among about equal candidates.
+	// Seed differs for each request; it randomises the choice between candidates of similar cost.
 	Seed uint64
-	// Sources are the copies that may be imported.
+	// Sources are the copies that can be imported.
 	Sources []Source
-	// Links estimates imports; without it nothing is imported.
+	// Links estimates imports; when nil, nothing is imported.
 	Links Links
 }
 
-// Source is a copy of the prompt's leading tokens outside the candidate.
+// Source is a copy of leading tokens of the prompt, held by a store or an engine.
 type Source struct {
 	// Name is the holder's VM name.
 	Name string
 	// DataCentre is where the holder is.
 	DataCentre string
-	// Tokens is how many leading tokens of the prompt the copy has.
+	// Tokens is the number of leading tokens of the prompt in the copy.
 	Tokens int
-	// Store says that the holder is a store and the copy sealed; otherwise it
-	// is an engine's cache, which may have evicted it.
+	// Store says that the holder is a store and the copy sealed; otherwise the holder
+	// is an engine, which may have evicted the copy from its cache.
 	Store bool
-	// Learned is when the copy was last known to be there.
+	// Learned is the time at which the copy was last known to exist.
 	Learned time.Time
 }
 
-// Candidate is an engine as the entry believes it to be.
+// Candidate is an engine, with the state known to the entry.
 type Candidate struct {
 	// Name is the VM name.
 	Name string
-	// DataCentre is where it is.
+	// DataCentre is where the engine runs.
 	DataCentre string
 	// Version is the weight version loaded.
 	Version string
-	// Draining says that it takes no new work.
+	// Draining says that the engine takes no new work.
 	Draining bool
-	// Suspected says that it failed of late.
+	// Suspected says that the engine failed recently.
 	Suspected bool
-	// Tried says that this request was there before.
+	// Tried says that this request was sent to the engine before.
 	Tried bool
-	// Delay is the round trip between the entry and it.
+	// Delay is the round-trip time between the entry and the engine.
 	Delay time.Duration
-	// LoadAt is when the load report was true.
+	// LoadAt is the time at which the load report was measured.
 	LoadAt time.Time
-	// Running and Waiting are the requests of the load report.
+	// Running and Waiting are the numbers of requests in the load report.
 	Running, Waiting int
-	// WaitingPrefillTokens are the tokens still to be computed before a new
-	// request of the same priority, of the load report.
+	// WaitingPrefillTokens is the number of tokens in the load report that are to be
+	// computed before a new request of the same priority.
 	WaitingPrefillTokens int
-	// BusyTokens are the tokens of less pressing prefill that are expected to run
-	// to the end of their chunk first: half a chunk where there is any.
+	// BusyTokens is the number of tokens of lower-priority prefill that are expected to
+	// run first, to the end of their chunk: half a chunk if there is any such prefill.
 	BusyTokens int
-	// SentTokens are the tokens to be computed of what this entry sent there
-	// since the load report, and SentRequests their number.
+	// SentTokens and SentRequests are the tokens to be computed and the number of the
+	// requests that this entry has sent there since the load report.
 	SentTokens, SentRequests int
-	// MaxRunning is how many requests run at once.
+	// MaxRunning is the number of requests that run concurrently; no limit when zero.
 	MaxRunning int
-	// PlaceTime is the mean time for which a request keeps its place.
+	// PlaceTime is the mean time for which a request occupies its batch slot.
 	PlaceTime time.Duration
-	// PrefillTokensPerSecond is its speed with an empty batch.
+	// PrefillTokensPerSecond is the prefill speed with an empty batch; the engine is excluded when zero.
 	PrefillTokensPerSecond float64
-	// Warm is how many leading tokens of the prompt it is said to hold.
+	// Warm is the number of leading tokens of the prompt that the engine is believed to hold.
 	Warm int
-	// WarmAt is when that was last known.
+	// WarmAt is the time at which that was last known.
 	WarmAt time.Time
 }
 
-// Exclusion says why a candidate was not weighed. The zero Exclusion is None.
+// Exclusion is the reason why a candidate was not evaluated. The zero Exclusion is None.
 type Exclusion uint8
 
 // The exclusions.
 const (
-	// None means that the candidate was weighed.
+	// None means that the candidate was evaluated.
 	None Exclusion = iota
-	// Leaving means that it takes no new work.
-	Leaving
-	// Suspect means that it failed of late.
-	Suspect
-	// OtherVersion means that it has another weight version.
+	// Draining means that the candidate takes no new work.
+	Draining
+	// Suspected means that the candidate failed recently.
+	Suspected
+	// OtherVersion means that the candidate has another weight version.
 	OtherVersion
-	// AlreadyTried means that this request was there before.
+	// AlreadyTried means that this request was sent to the candidate before.
 	AlreadyTried
-	// NoSpeed means that nothing is known of its speed yet.
-	NoSpeed
-	// NoRoom means that it has as much work as its memory allows.
+	// SpeedUnknown means that the candidate's prefill speed is not known yet.
+	SpeedUnknown
+	// NoRoom means that the candidate has as much work as its memory allows.
 	NoRoom
-	// Throttled means that it is cold after its start and gets no more requests now.
+	// Throttled means that the candidate has a cold cache after its start and has
+	// reached its limit of requests for now.
 	Throttled
 )
 
@@ -162,83 +167,83 @@
 	return [...]string{"none", "draining", "suspected", "other_version", "already_tried", "no_speed", "no_room", "throttled"}[x]
 }
 
-// Cost is what one candidate would cost, with its best way.
+// Cost is the estimate for one candidate with its cheapest strategy.
 type Cost struct {
-	// Excluded is why it was not weighed.
+	// Excluded is the reason why the candidate was not evaluated.
 	Excluded Exclusion
-	// How is the best way for this candidate.
+	// How is the cheapest strategy for the candidate.
 	How How
-	// Source is the index of the source imported from, -1 for none.
+	// Source is the index of the source to import from, -1 for none.
 	Source int8
-	// Wait is the estimated wait for the queue, in seconds, without the doubt.
+	// Wait is the estimated queue wait in seconds, without the penalty for a stale load report.
 	Wait float32
-	// Transfer is the estimated time of the import, in seconds.
+	// Transfer is the estimated duration of the import in seconds.
 	Transfer float32
-	// Prefill is the estimated prefill, in seconds.
+	// Prefill is the estimated duration of the prefill in seconds.
 	Prefill float32
-	// Recomputed is how many tokens that were computed before would be again.
+	// Recomputed is the number of tokens computed before that would be computed again.
 	Recomputed int32
-	// FirstToken is the estimated time to first token, in seconds.
+	// FirstToken is the estimated time to first token in seconds.
 	FirstToken float32
-	// Total is the weighed cost.
+	// Total is the weighted cost by which candidates are compared.
 	Total float32
 }
 
-// Decide returns where the prompt goes. A candidate that is draining,
-// suspected, of another version or already tried is left out; when nothing but
-// suspicion stands in the way of all, the suspected are weighed after all, since
-// a suspicion can be wrong and an empty pool serves nobody.
+// Decide returns the engine for a prompt. Candidates that are draining, suspected, of
+// another version, of unknown speed or already tried are excluded. When that leaves none,
+// suspected candidates are evaluated too, since a suspicion can be wrong and an empty
+// pool serves no requests.
 func Decide(now time.Time, cfg Config, q Request, candidates []Candidate) Decision {
 	cfg = cfg.withDefaults()
-	d := Decision{target: -1, second: -1, count: min(len(candidates), MaxCandidates)}
+	d := Decision{target: -1, runnerUp: -1, count: min(len(candidates), MaxCandidates)}
 
-	v := newView(now, cfg, q)
-	d.weigh(&v, candidates, false)
+	s := newShared(now, cfg, q)
+	d.evaluate(&s, candidates, false)
 
 	if d.target < 0 {
-		d.weigh(&v, candidates, true)
+		d.evaluate(&s, candidates, true)
 	}
 
 	return d
 }
 
-func (d *Decision) weigh(v *view, candidates []Candidate, suspected bool) {
+func (d *Decision) evaluate(s *shared, candidates []Candidate, allowSuspected bool) {
 	for i := range d.count {
 		c := &candidates[i]
-		d.costs[i] = Cost{Source: -1, Excluded: exclusion(&v.q, c, suspected)}
+		d.costs[i] = Cost{Source: -1, Excluded: exclusion(&s.q, c, allowSuspected)}
 
 		if d.costs[i].Excluded != None {
 			continue
 		}
 
-		d.costs[i] = v.cheapest(c, i)
-		d.rank(i)
+		d.costs[i] = s.bestCost(c, i)
+		d.updateBest(i)
 	}
 }
 
-// rank puts candidate i in its place among the two best.
-func (d *Decision) rank(i int) {
+// updateBest updates the best and second-best candidates with candidate i.
+func (d *Decision) updateBest(i int) {
 	switch {
 	case d.target < 0 || d.costs[i].Total < d.costs[d.target].Total:
-		d.second = d.target
+		d.runnerUp = d.target
 		d.target = i
-	case d.second < 0 || d.costs[i].Total < d.costs[d.second].Total:
-		d.second = i
+	case d.runnerUp < 0 || d.costs[i].Total < d.costs[d.runnerUp].Total:
+		d.runnerUp = i
 	}
 }
 
-func exclusion(q *Request, c *Candidate, suspected bool) Exclusion {
+func exclusion(q *Request, c *Candidate, allowSuspected bool) Exclusion {
 	switch {
 	case c.Tried:
 		return AlreadyTried
 	case c.Draining:
-		return Leaving
+		return Draining
 	case q.Version != "" && c.Version != q.Version:
 		return OtherVersion
 	case c.PrefillTokensPerSecond <= 0:
-		return NoSpeed
-	case c.Suspected && !suspected:
-		return Suspect
+		return SpeedUnknown
+	case c.Suspected && !allowSuspected:
+		return Suspected
 	default:
 		return None
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -10,10 +10,10 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// free is a link that takes a fixed time.
-type free time.Duration
+// fixedLink is a link with a fixed wait.
+type fixedLink time.Duration
 
-func (f free) Way(time.Time, string, string) (time.Duration, float64) {
+func (f fixedLink) Way(time.Time, string, string) (time.Duration, float64) {
 	return time.Duration(f), 1e9
 }
 
@@ -42,17 +42,17 @@
 		target     int
 		how        How
 	}{
-		{"nobody", Config{}, Request{Tokens: 8000}, nil, -1, Recompute},
-		{"fresh goes to the idle one", Config{}, Request{Tokens: 8000}, []Candidate{busy(engine("a"), 4000), engine("b")}, 1, Recompute},
-		{"warm beats idle", Config{}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), warm(engine("b"), 7900)}, 1, Warm},
-		{"too busy though warm", Config{}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), busy(warm(engine("b"), 7900), 40_000)}, 0, Recompute},
-		{"recomputing is dearer than waiting", Config{FirstTokenWeight: 1, RecomputedWeight: 10}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), busy(warm(engine("b"), 7900), 40_000)}, 1, Warm},
-		{"import beats recompute", Config{}, Request{Tokens: 8000, Computed: 8000, Sources: store, Links: free(100 * time.Millisecond)}, []Candidate{engine("a")}, 0, Import},
-		{"slow link is worse than recompute", Config{}, Request{Tokens: 8000, Computed: 8000, Sources: store, Links: free(10 * time.Second)}, []Candidate{engine("a")}, 0, Recompute},
+		{"no candidates", Config{}, Request{Tokens: 8000}, nil, -1, Recompute},
+		{"new prompt goes to the idle engine", Config{}, Request{Tokens: 8000}, []Candidate{busy(engine("a"), 4000), engine("b")}, 1, Recompute},
+		{"warm engine beats idle engine", Config{}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), warm(engine("b"), 7900)}, 1, Warm},
+		{"queue outweighs warm cache", Config{}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), busy(warm(engine("b"), 7900), 40_000)}, 0, Recompute},
+		{"recomputing costs more than waiting", Config{FirstTokenWeight: 1, RecomputedWeight: 10}, Request{Tokens: 8000, Computed: 8000}, []Candidate{engine("a"), busy(warm(engine("b"), 7900), 40_000)}, 1, Warm},
+		{"import beats recompute", Config{}, Request{Tokens: 8000, Computed: 8000, Sources: store, Links: fixedLink(100 * time.Millisecond)}, []Candidate{engine("a")}, 0, Import},
+		{"recompute beats import over slow link", Config{}, Request{Tokens: 8000, Computed: 8000, Sources: store, Links: fixedLink(10 * time.Second)}, []Candidate{engine("a")}, 0, Recompute},
 		{"other version", Config{}, Request{Tokens: 8000, Version: "v2"}, []Candidate{engine("a")}, -1, Recompute},
 		{"draining", Config{}, Request{Tokens: 80}, []Candidate{{Draining: true, PrefillTokensPerSecond: 1}}, -1, Recompute},
-		{"suspected only when all are", Config{}, Request{Tokens: 80}, []Candidate{{Suspected: true, PrefillTokensPerSecond: 1}}, 0, Recompute},
-		{"full batch waits for a place", Config{}, Request{Tokens: 80}, []Candidate{{Running: 16, MaxRunning: 16, PlaceTime: time.Minute, PrefillTokensPerSecond: 8000}, busy(engine("b"), 4000)}, 1, Recompute},
+		{"suspected is used when all are", Config{}, Request{Tokens: 80}, []Candidate{{Suspected: true, PrefillTokensPerSecond: 1}}, 0, Recompute},
+		{"full batch waits for a slot", Config{}, Request{Tokens: 80}, []Candidate{{Running: 16, MaxRunning: 16, PlaceTime: time.Minute, PrefillTokensPerSecond: 8000}, busy(engine("b"), 4000)}, 1, Recompute},
 	}
 
 	for _, c := range cases {
@@ -69,8 +69,8 @@
 	}
 }
 
-// A target that drains, holds another weight version or crashed on this request
-// before must not get it, however good it looks.
+// Guards against choosing a target that drains, holds another weight version or was
+// already tried for this request, e.g. because it crashed on it, whatever its cost.
 func TestExcludedAreNeverChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := make([]Candidate, rapid.IntRange(0, 70).Draw(t, "n"))
@@ -112,8 +112,8 @@
 	})
 }
 
-// Many entries hold the same load report from seconds ago. If all of them sent
-// to the same least loaded engine, it would drown while others idle.
+// Guards against overload of a single engine: many entries act on the same load report
+// from seconds ago, and if all chose the least loaded engine, the others would idle.
 func TestStaleViewSpreads(t *testing.T) {
 	candidates := make([]Candidate, 8)
 	for i := range candidates {
@@ -134,7 +134,7 @@
 
 	for i, n := range chosen {
 		if n > 250 {
-			t.Errorf("engine %d: got %d of 800, want it not to drown", i, n)
+			t.Errorf("engine %d: got %d of 800, want at most 250", i, n)
 		}
 	}
 }
@@ -148,12 +148,12 @@
 		recompute time.Duration
 		want      bool
 	}{
-		{"just begun", Config{}, time.Millisecond, 0, 0, false},
-		{"nothing has come", Config{}, 2 * time.Second, 0, time.Second, true},
-		{"nothing yet, but recomputing takes longer", Config{}, time.Second, 0, 2 * time.Second, false},
-		{"nearly there", Config{}, 10 * time.Second, 0.95, time.Second, false},
+		{"just started", Config{}, time.Millisecond, 0, 0, false},
+		{"nothing has arrived", Config{}, 2 * time.Second, 0, time.Second, true},
+		{"nothing has arrived, but recomputing takes longer", Config{}, time.Second, 0, 2 * time.Second, false},
+		{"nearly complete", Config{}, 10 * time.Second, 0.95, time.Second, false},
 		{"recomputing weighs more", Config{FirstTokenWeight: 0.2, RecomputedWeight: 1}, time.Second, 0.2, time.Second, false},
-		{"a tenth of the speed", Config{}, time.Second, 0.1, time.Second, true},
+		{"a tenth arrived", Config{}, time.Second, 0.1, time.Second, true},
 	}
 
 	for _, c := range cases {
@@ -171,10 +171,10 @@
 		candidates []CallCandidate
 		want       int
 	}{
-		{"nobody", nil, -1},
+		{"no candidates", nil, -1},
 		{"least loaded", []CallCandidate{{Running: 3, LoadAt: epoch}, {Running: 1, LoadAt: epoch}}, 1},
-		{"own calls count", []CallCandidate{{Running: 3, LoadAt: epoch}, {Running: 1, SentRequests: 4, LoadAt: epoch}}, 0},
-		{"old report, own calls known", []CallCandidate{{InFlight: 3, LoadAt: epoch.Add(-time.Hour)}, {Running: 9, LoadAt: epoch.Add(-time.Hour)}}, 1},
+		{"calls sent since the report count", []CallCandidate{{Running: 3, LoadAt: epoch}, {Running: 1, SentRequests: 4, LoadAt: epoch}}, 0},
+		{"old report, calls in flight decide", []CallCandidate{{InFlight: 3, LoadAt: epoch.Add(-time.Hour)}, {Running: 9, LoadAt: epoch.Add(-time.Hour)}}, 1},
 		{"draining", []CallCandidate{{Draining: true}, {Running: 9, LoadAt: epoch}}, 1},
 		{"all suspected", []CallCandidate{{Suspected: true, Running: 2, LoadAt: epoch}, {Suspected: true, LoadAt: epoch}}, 1},
 		{"tried", []CallCandidate{{Tried: true}}, -1},
@@ -210,7 +210,7 @@
 				candidates[i].WaitingPrefillTokens = 97 * i % 1000
 			}
 
-			q := Request{Tokens: 8000, Computed: 8000, Version: "v1", Links: free(time.Second)}
+			q := Request{Tokens: 8000, Computed: 8000, Version: "v1", Links: fixedLink(time.Second)}
 			q.Sources = []Source{
 				{Name: "store-1", Tokens: 7900, Store: true, Learned: epoch},
 				{Name: "store-2", Tokens: 7000, Store: true, Learned: epoch},
@@ -225,7 +225,7 @@
 				d := Decide(now, Config{FirstTokenWeight: 1, RecomputedWeight: 0.2}, q, candidates)
 
 				if !d.Found() {
-					b.Fatal("nothing found")
+					b.Fatal("no candidate found")
 				}
 			}
 		})
--- a/route/way.go
+++ b/route/way.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Links tells how busy the links between data centres are.
+// Links estimates the load of the links between data centres.
 type Links interface {
-	// Way returns how long a new import from one data centre to another would
-	// wait for what is promised, and the link's rate in bytes a second.
+	// Way returns how long a new import from one data centre to another would wait for
+	// transfers that are already reserved, and the link's rate in bytes per second.
 	Way(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64)
 }
 
-// MaxSources is how many sources a Decision weighs; further ones are not looked at.
+// MaxSources is the maximum number of sources that a Decision evaluates; further ones
+// are ignored.
 const MaxSources = 8
 
-// memoWays is how many ways from one source are remembered during a decision.
-// Candidates come from few data centres; a further one is asked for each time.
-const memoWays = 4
+// cachedLinksPerSource is the number of link estimates per source that a decision
+// caches. Candidates are in few data centres; further ones are looked up each time.
+const cachedLinksPerSource = 4
 
-// way is the answer of Links for one source and one data centre.
-type way struct {
+// linkEstimate is the result of Links for one source and one destination data centre.
+type linkEstimate struct {
 	to      string
 	wait    float64
 	perByte float64
 }
 
-// wayMemo spares a look into Links for each pair of candidate and source.
-type wayMemo struct {
-	ways  [MaxSources][memoWays]way
-	count [MaxSources]int
+// linkCache avoids a call of Links for each pair of candidate and source.
+type linkCache struct {
+	estimates [MaxSources][cachedLinksPerSource]linkEstimate
+	count     [MaxSources]int
 }
 
-func (m *wayMemo) get(v *view, source int, to string) way {
+func (m *linkCache) get(s *shared, source int, to string) linkEstimate {
 	for i := range m.count[source] {
-		if m.ways[source][i].to == to {
-			return m.ways[source][i]
+		if m.estimates[source][i].to == to {
+			return m.estimates[source][i]
 		}
 	}
 
-	wait, rate := v.q.Links.Way(v.now, v.q.Sources[source].DataCentre, to)
-	w := way{to: to, wait: seconds(wait)}
+	wait, rate := s.q.Links.Way(s.now, s.q.Sources[source].DataCentre, to)
+	w := linkEstimate{to: to, wait: seconds(wait)}
 
 	if rate > 0 {
 		w.perByte = 1 / rate
 	}
 
-	if n := m.count[source]; n < memoWays {
-		m.ways[source][n] = w
+	if n := m.count[source]; n < cachedLinksPerSource {
+		m.estimates[source][n] = w
 		m.count[source]++
 	}
 
