--- a/target/attempts_test.go
+++ b/target/attempts_test.go
@@ -15,20 +15,20 @@
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// result is what the model in fail saw.
+// result counts the requests of one simulation.
 type result struct {
 	requests, attempts, lost int
 	late, lateAttempts       int // from the fifth second on
 }
 
-// fail sends 100 idempotent requests a second for 30 s by one entry to twelve
-// targets of which four fail every request, and repeats as the rules allow.
-func fail(seed uint64, eject bool) result {
+// simulate sends 100 idempotent requests per second for 30 s from one entry to twelve
+// targets, four of which fail every request, and retries as the rules allow.
+func simulate(seed uint64, eject bool) result {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := target.TableConfig{Self: "entry-1", DataCentre: "yvr-east", Subset: 12}
 
 	if !eject {
-		cfg.EjectAfter = 1 << 30
+		cfg.EjectAfterFailures = 1 << 30
 	}
 
 	t := target.NewTable(cfg)
@@ -47,7 +47,7 @@
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		b.First(now)
 
-		n, ok := attempts(now, t, b, rng)
+		n, ok := sendWithRetries(now, t, b, rng)
 		r.requests++
 		r.attempts += n
 
@@ -64,8 +64,8 @@
 	return r
 }
 
-// attempts runs one request and returns how often it was tried.
-func attempts(now time.Time, t *target.Table, b *retry.Budget, rng *rand.Rand) (n int, ok bool) {
+// sendWithRetries runs one request and returns the number of its attempts.
+func sendWithRetries(now time.Time, t *target.Table, b *retry.Budget, rng *rand.Rand) (n int, ok bool) {
 	for n = 1; ; n++ {
 		c := t.Candidates(now, service)
 		to := c[rng.IntN(len(c))]
@@ -88,18 +88,18 @@
 	}
 }
 
-// A third of the targets fail every request that they get. Users of the rest
-// must not find it crowded by repeats, and nearly all requests must succeed.
+// Guards against a retry storm: when a third of the targets fail all requests, retries must
+// not overload the rest, and nearly all requests must succeed.
 func TestAttemptsWhenAThirdOfTheTargetsFail(t *testing.T) {
 	for seed := range uint64(5) {
-		got, without := fail(seed, true), fail(seed, false)
+		got, without := simulate(seed, true), simulate(seed, false)
 
-		t.Logf("seed %d: attempts a request %.4f, from the fifth second on %.4f, lost %d of %d; without ejection %.4f, lost %d",
+		t.Logf("seed %d: attempts per request %.4f, from the fifth second on %.4f, lost %d of %d; without ejection %.4f, lost %d",
 			seed, float64(got.attempts)/float64(got.requests), float64(got.lateAttempts)/float64(got.late), got.lost, got.requests,
 			float64(without.attempts)/float64(without.requests), without.lost)
 
 		if float64(got.attempts) > 1.2*float64(got.requests)+3 {
-			t.Errorf("seed %d: got %d attempts for %d requests, want at most 1.2 a request", seed, got.attempts, got.requests)
+			t.Errorf("seed %d: got %d attempts for %d requests, want at most 1.2 per request", seed, got.attempts, got.requests)
 		}
 
 		if got.lost*100 > got.requests {
--- a/target/bench_test.go
+++ b/target/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// sizes are targets and services: the larger site of today, ten times as many,
-// and two years on; then one large service.
+// sizes are numbers of targets and services: the larger of the present sites, ten times
+// as many targets, the size expected in two years, and a single large service.
 var sizes = []struct{ targets, services int }{{21, 2}, {210, 4}, {1700, 35}, {1700, 1}}
 
 func rows(targets, services int) []Listed {
@@ -24,7 +24,7 @@
 	return all
 }
 
-func filled(targets, services int) *Table {
+func filledTable(targets, services int) *Table {
 	regions := map[string]string{}
 	for i := range 11 {
 		regions[fmt.Sprintf("dc-%02d", i)] = fmt.Sprintf("region-%d", i%3)
@@ -41,7 +41,7 @@
 	return t
 }
 
-func each(b *testing.B, f func(b *testing.B, targets, services int)) {
+func forEachSize(b *testing.B, f func(b *testing.B, targets, services int)) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("targets=%d/services=%d", s.targets, s.services), func(b *testing.B) {
 			b.ReportAllocs()
@@ -51,8 +51,8 @@
 }
 
 func BenchmarkCandidates(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
-		t := filled(targets, services)
+	forEachSize(b, func(b *testing.B, targets, services int) {
+		t := filledTable(targets, services)
 		dst := make([]Target, 0, targets)
 
 		for b.Loop() {
@@ -62,8 +62,8 @@
 }
 
 func BenchmarkSentAndDone(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
-		t := filled(targets, services)
+	forEachSize(b, func(b *testing.B, targets, services int) {
+		t := filledTable(targets, services)
 		now := epoch
 
 		for b.Loop() {
@@ -74,8 +74,8 @@
 }
 
 func BenchmarkNextToAsk(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
-		t := filled(targets, services)
+	forEachSize(b, func(b *testing.B, targets, services int) {
+		t := filledTable(targets, services)
 		now := epoch
 
 		for b.Loop() {
@@ -86,8 +86,8 @@
 }
 
 func BenchmarkHello(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
-		t := filled(targets, services)
+	forEachSize(b, func(b *testing.B, targets, services int) {
+		t := filledTable(targets, services)
 		h := Hello{VM: "engine-0007", BootID: "engine-0007-boot-0123456789abcdef", Sequence: 1, State: Ready, WeightVersion: "v1"}
 
 		for b.Loop() {
@@ -98,8 +98,8 @@
 }
 
 func BenchmarkList(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
-		t := filled(targets, services)
+	forEachSize(b, func(b *testing.B, targets, services int) {
+		t := filledTable(targets, services)
 		all := rows(targets, services)
 
 		for b.Loop() {
@@ -109,17 +109,17 @@
 }
 
 func BenchmarkBytes(b *testing.B) {
-	each(b, func(b *testing.B, targets, services int) {
+	forEachSize(b, func(b *testing.B, targets, services int) {
 		for b.Loop() {
 			before := heap()
-			t := filled(targets, services)
+			t := filledTable(targets, services)
 			b.ReportMetric(float64(heap()-before)/float64(targets), "bytes/target")
 			runtime.KeepAlive(t)
 		}
 	})
 }
 
-// heap returns the bytes in use after a collection.
+// heap returns the bytes in use after a garbage collection.
 func heap() int64 {
 	var m runtime.MemStats
 
--- a/target/candidate.go
+++ b/target/candidate.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// barred reports whether r gets no work whatever the need.
-func (t *Table) barred(now time.Time, r *row) bool {
+// excluded reports whether r gets no work, even when no other target is left.
+func (t *Table) excluded(now time.Time, r *row) bool {
 	if r.leaving() {
 		return true
 	}
 
-	return r.state == Loading && now.Sub(r.heardAt) <= t.silence()
+	return r.state == Loading && now.Sub(r.lastSeen) <= t.unresponsiveAfter()
 }
 
-// silence is how long a target may be unheard. Of one that wasn't asked nothing
-// can be heard: with a few hundred targets a round of asking takes longer than
-// SilentAfter, and all would be doubted though all are well.
-func (t *Table) silence() time.Duration {
-	return max(t.cfg.SilentAfter, askRounds*time.Duration(t.well)*t.cfg.AskEvery)
+// unresponsiveAfter is how long a target may send no state or load report. It is at least
+// maxMissedRounds polling rounds, since a target that was not polled reports nothing:
+// with a few hundred targets a round takes longer than SilentAfter, and all targets
+// would be suspected although all are up.
+func (t *Table) unresponsiveAfter() time.Duration {
+	return max(t.cfg.SilentAfter, maxMissedRounds*time.Duration(t.subsetSize)*t.cfg.PollInterval)
 }
 
-// askRounds is how many rounds of asking a target may miss.
-const askRounds = 2
+// maxMissedRounds is the number of polling rounds that a target may miss.
+const maxMissedRounds = 2
 
-// doubted reports whether r gets work only when too few others are left.
-func (t *Table) doubted(now time.Time, r *row) bool {
+// suspected reports whether r gets work only when too few other targets are left.
+func (t *Table) suspected(now time.Time, r *row) bool {
 	if r.outlier.probation && !r.outlier.probeOpen(now, t.cfg.ProbePatience) {
 		return true
 	}
 
-	if !r.well || r.sideAddress == "" {
+	if !r.inSubset || r.sideAddress == "" {
 		return false
 	}
 
-	return r.heardAt.IsZero() || now.Sub(r.heardAt) > t.silence()
+	return r.lastSeen.IsZero() || now.Sub(r.lastSeen) > t.unresponsiveAfter()
 }
 
-// Candidates returns the targets of a service that may get work.
+// Candidates returns the targets of a service that may get work; nil when there are none.
 func (t *Table) Candidates(now time.Time, service string) []Target {
 	return t.AppendCandidates(now, nil, service)
 }
 
-// AppendCandidates appends the targets of a service that may get work, those
-// known well first. It does not allocate when dst has room. In a large pool it
-// stops at Offer: weighing more costs more than it wins, and one farther off
-// that holds a context is found by Target.
+// AppendCandidates appends the targets of a service that may get work to dst, the subset
+// and the nearest first. It does not allocate when dst has enough capacity. It stops at
+// MaxCandidates: in a large pool evaluating more costs more than it gains, and a farther
+// target that holds a context is available from Target.
 //
-// Doubt may be this entry's own fault (its cable, its clock); so when it would
-// take more than DoubtShare of the pool, the doubted are offered too, marked.
+// A suspicion may be the fault of this entry (its cable, its clock). So when suspected
+// targets are more than MaxSuspectedShare of the pool, they are appended too, with
+// Doubted set.
 func (t *Table) AppendCandidates(now time.Time, dst []Target, service string) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,31 +57,31 @@
 		return dst
 	}
 
-	start, usable := len(dst), 0
+	start, eligible := len(dst), 0
 
 	for _, r := range p.rows {
-		if t.barred(now, r) {
+		if t.excluded(now, r) {
 			continue
 		}
 
-		usable++
+		eligible++
 
-		if t.doubted(now, r) {
+		if t.suspected(now, r) {
 			continue
 		}
 
 		dst = append(dst, r.target(now))
-		if len(dst)-start == t.cfg.Offer {
+		if len(dst)-start == t.cfg.MaxCandidates {
 			return dst
 		}
 	}
 
-	if float64(usable-(len(dst)-start)) <= t.cfg.DoubtShare*float64(usable) {
+	if float64(eligible-(len(dst)-start)) <= t.cfg.MaxSuspectedShare*float64(eligible) {
 		return dst
 	}
 
 	for _, r := range p.rows {
-		if !t.barred(now, r) && t.doubted(now, r) {
+		if !t.excluded(now, r) && t.suspected(now, r) {
 			c := r.target(now)
 			c.Doubted = true
 			dst = append(dst, c)
--- a/target/hello.go
+++ b/target/hello.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ObserveHello takes what a side process says of its target.
+// ObserveHello applies a state report of a side process. Stale state reports are ignored.
 func (t *Table) ObserveHello(now time.Time, h Hello) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -15,37 +15,37 @@
 		return nil
 	}
 
-	if t.late(now, r, h) {
+	if t.stale(now, r, h) {
 		return nil
 	}
 
 	var changes []Change
 	if h.BootID != r.bootID {
-		changes = appendChange(changes, r.boot(h))
+		changes = appendChange(changes, r.restart(h))
 	}
 
 	r.address = or(r.address, h.Address)
 	r.sideAddress = or(r.sideAddress, h.SideAddress)
 
-	changes = appendChange(changes, r.say(h.State))
+	changes = appendChange(changes, r.setState(h.State))
 	r.sequence = h.Sequence
-	r.heardAt = now
+	r.lastSeen = now
 	r.model, r.version, r.role = h.Model, h.WeightVersion, h.Role
-	r.report(now, h.Load)
+	r.setLoad(now, h.Load)
 
 	if len(changes) > 0 {
-		t.choose(t.pools[r.service])
+		t.selectSubset(t.pools[r.service])
 	}
 
 	return changes
 }
 
-// late reports whether h was overtaken by what was heard since. A hello of an
-// earlier boot that arrives after a later boot said draining would bring a
-// leaving target back. Boot ids have no order, and the clock of a VM that was
-// replaced under the same name may be behind; so an earlier start counts only
-// as long as a message can have been under way.
-func (t *Table) late(now time.Time, r *row, h Hello) bool {
+// stale reports whether h is older than what is known of the target. A state report of an
+// earlier boot that arrives after a later boot reported draining must not return a
+// leaving target to the pool. Boot ids have no order, and the clock of a VM that was
+// replaced under the same name may be behind; so an earlier start time only counts as
+// stale for as long as a message can be in flight.
+func (t *Table) stale(now time.Time, r *row, h Hello) bool {
 	if h.BootID == r.bootID {
 		return h.Sequence != 0 && h.Sequence <= r.sequence
 	}
@@ -54,17 +54,17 @@
 		return true
 	}
 
-	// A refusal doesn't tell its boot. It may have come from a boot whose first
-	// hello, of before it drained, is still under way.
+	// A refusal carries no boot id. It may have come from a boot whose first state report,
+	// sent before it drained, is still in flight.
 	if !r.refusedAt.IsZero() && now.Sub(r.refusedAt) <= t.cfg.SilentAfter {
 		return true
 	}
 
-	return h.Started.Before(r.started) && !h.Started.IsZero() && now.Sub(r.heardAt) <= t.cfg.SilentAfter
+	return h.Started.Before(r.started) && !h.Started.IsZero() && now.Sub(r.lastSeen) <= t.cfg.SilentAfter
 }
 
-// boot starts anew for a target that was started again.
-func (r *row) boot(h Hello) Change {
+// restart resets the state of a target that has a new boot id.
+func (r *row) restart(h Hello) Change {
 	first := r.bootID == ""
 	if !first {
 		copy(r.oldBoots[1:], r.oldBoots[:])
@@ -75,7 +75,7 @@
 	r.started = h.Started
 	r.sequence = 0
 	r.state = Unknown
-	r.saidDraining = false
+	r.reportedDraining = false
 	r.outlier = outlier{}
 	r.loadKnown = false
 
@@ -86,10 +86,10 @@
 	return Change{VM: r.vm, Reason: NewBoot}
 }
 
-// say takes a state told at first hand. Draining stays for this boot: a hello
-// that was overtaken, or a lagging list, must not bring the target back.
-func (r *row) say(s State) Change {
-	if r.saidDraining || s == r.state {
+// setState applies a state that was reported directly. Draining is final for a boot: a
+// reordered state report or a lagging list must not return the target to the pool.
+func (r *row) setState(s State) Change {
+	if r.reportedDraining || s == r.state {
 		return Change{}
 	}
 
@@ -97,12 +97,12 @@
 
 	switch s {
 	case Draining:
-		r.saidDraining = true
-		return Change{VM: r.vm, Reason: SaidDraining}
+		r.reportedDraining = true
+		return Change{VM: r.vm, Reason: ReportedDraining}
 	case Ready:
-		return Change{VM: r.vm, Reason: SaidReady}
+		return Change{VM: r.vm, Reason: ReportedReady}
 	case Loading:
-		return Change{VM: r.vm, Reason: SaidLoading}
+		return Change{VM: r.vm, Reason: ReportedLoading}
 	case Unknown:
 		return Change{}
 	default:
--- a/target/leaving_test.go
+++ b/target/leaving_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// way is one way in which an entry comes to know that a target leaves.
-type way struct {
-	name  string
-	says  time.Duration // when its side process says so; zero for never
-	list  time.Duration // when the list says so; zero for never
-	ends  Outcome       // how requests that are sent to it end
-	after int           // how many may still be sent from the fifth second on
+// departure is one way in which an entry learns that a target leaves.
+type departure struct {
+	name     string
+	reported time.Duration // when its side process reports it; zero for never
+	listed   time.Duration // when the list shows it; zero for never
+	outcome  Outcome       // outcome of requests sent to it
+	maxSent  int           // maximum number of requests sent 5 s or more after the target left
 }
 
-// sent lets a target leave at its first second and returns how many requests an
-// entry that gets 50 a second sends to it from the sixth to the thirtieth.
-func (w way) sent(seed uint64) int {
+// requestsAfterLeaving lets a target leave at 1 s and returns the number of requests that
+// an entry with 50 requests per second sends to it from 6 s to 30 s.
+func (d departure) requestsAfterLeaving(seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	tab := newTable("a", "b", "c", "d")
 	late := 0
@@ -25,13 +25,13 @@
 	for i := range 30 * 50 {
 		at := time.Duration(i) * 20 * time.Millisecond
 		now := epoch.Add(at)
-		gone := at >= time.Second
+		leaving := at >= time.Second
 
-		if w.says > 0 && at == w.says {
+		if d.reported > 0 && at == d.reported {
 			tab.ObserveHello(now, Hello{VM: "a", BootID: "1", Sequence: 2, State: Draining})
 		}
 
-		if w.list > 0 && at == w.list {
+		if d.listed > 0 && at == d.listed {
 			rows := list("a", "b", "c", "d")
 			rows[0].State = Leaving
 			tab.ObserveList(now, rows)
@@ -42,10 +42,10 @@
 		s := tab.Sent(now, to.VM, 1)
 
 		switch {
-		case to.VM != "a" || !gone:
+		case to.VM != "a" || !leaving:
 			tab.Done(now, s, Succeeded)
 		default:
-			tab.Done(now, s, w.ends)
+			tab.Done(now, s, d.outcome)
 
 			if at >= 6*time.Second {
 				late++
@@ -56,23 +56,23 @@
 	return late
 }
 
-// A target leaves. The list may lag, its side process may be silent, the entry
-// may be cut from it; any way of the three has to be enough, or users go on being
-// sent to a machine that is about to go.
+// Guards against new requests to a VM that is about to be removed. The list may lag, the side
+// process may be unresponsive, and the entry may have no connection to the target; any one
+// of the three sources has to suffice.
 func TestEachWayAloneStopsNewWork(t *testing.T) {
-	ways := []way{
-		{"the side process says so", 1020 * time.Millisecond, 0, Succeeded, 0},
-		{"the list says so after three seconds", 0, 4 * time.Second, Succeeded, 0},
-		{"the side process refuses", 0, 0, RefusedDraining, 0},
-		// Tries by one request after 2, 4, 8 and 16 s, none of which arrives.
-		{"nothing arrives there", 0, 0, Failed, 4},
+	departures := []departure{
+		{"side process reports draining", 1020 * time.Millisecond, 0, Succeeded, 0},
+		{"list shows leaving after three seconds", 0, 4 * time.Second, Succeeded, 0},
+		{"side process refuses requests", 0, 0, RefusedDraining, 0},
+		// At most four probes, after ejections of 2, 4, 8 and 16 s, all of which fail.
+		{"all requests fail", 0, 0, Failed, 4},
 	}
 
-	for _, w := range ways {
-		t.Run(w.name, func(t *testing.T) {
+	for _, d := range departures {
+		t.Run(d.name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				if got := w.sent(seed); got > w.after {
-					t.Errorf("seed %d: got %d requests sent from the fifth second on, want at most %d", seed, got, w.after)
+				if got := d.requestsAfterLeaving(seed); got > d.maxSent {
+					t.Errorf("seed %d: got %d requests sent 5 s or more after the target left, want at most %d", seed, got, d.maxSent)
 				}
 			}
 		})
--- a/target/list.go
+++ b/target/list.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// ObserveList takes a whole VM list; rows that are no targets are skipped.
+// ObserveList applies a complete VM list. Entries of other kinds than engine and plain
+// are ignored.
 func (t *Table) ObserveList(now time.Time, vms []Listed) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -22,21 +23,21 @@
 		}
 
 		if r := t.row(l.VM, l.DataCentre, l.Service); r != nil {
-			changes = appendChange(changes, t.listed(now, r, l))
+			changes = appendChange(changes, t.applyListed(now, r, l))
 		}
 	}
 
-	changes = t.dropUnlisted(now, changes)
+	changes = t.applyMissing(now, changes)
 	for _, p := range t.pools {
-		t.choose(p)
+		t.selectSubset(p)
 	}
 
 	return changes
 }
 
-// listed takes one row of the list.
-func (t *Table) listed(now time.Time, r *row, l Listed) Change {
-	was, known := r.listLeaving, r.listed
+// applyListed applies one entry of the list.
+func (t *Table) applyListed(now time.Time, r *row, l Listed) Change {
+	wasLeaving, wasListed := r.listLeaving, r.listed
 	r.seenOnList = true
 	r.listed = true
 	r.listAt = now
@@ -45,39 +46,39 @@
 	r.listLeaving = l.State == Leaving
 
 	switch {
-	case r.listLeaving && !was:
+	case r.listLeaving && !wasLeaving:
 		return Change{VM: r.vm, Reason: ListedLeaving}
-	case !r.listLeaving && (was || !known):
+	case !r.listLeaving && (wasLeaving || !wasListed):
 		return Change{VM: r.vm, Reason: ListedLive}
 	default:
 		return Change{}
 	}
 }
 
-// dropUnlisted treats targets that the list showed before and left out now as
-// gone. A list that lost its content would empty every pool; so when it leaves
-// out more than DoubtShare of the targets of a pool that speak at first hand as
-// ready, those are kept.
-func (t *Table) dropUnlisted(now time.Time, changes []Change) []Change {
+// applyMissing treats targets that an earlier list contained and this one doesn't as
+// gone. A list that lost its content would empty every pool; so when the list lacks
+// more than MaxSuspectedShare of the targets of a pool that report that they are ready,
+// those targets are kept.
+func (t *Table) applyMissing(now time.Time, changes []Change) []Change {
 	for _, p := range t.pools {
-		speaking, missing := 0, 0
+		reporting, missing := 0, 0
 
 		for _, r := range p.rows {
-			if !t.speaking(now, r) {
+			if !t.reportsReady(now, r) {
 				continue
 			}
 
-			speaking++
+			reporting++
 
 			if r.listed && !r.seenOnList {
 				missing++
 			}
 		}
 
-		doubtful := float64(missing) > t.cfg.DoubtShare*float64(speaking)
+		rejected := float64(missing) > t.cfg.MaxSuspectedShare*float64(reporting)
 		for _, r := range slices.Clone(p.rows) {
 			if r.listed && !r.seenOnList {
-				changes = appendChange(changes, t.unlisted(now, r, doubtful))
+				changes = appendChange(changes, t.applyUnlisted(now, r, rejected))
 			}
 		}
 	}
@@ -85,23 +86,23 @@
 	return changes
 }
 
-// speaking reports whether r said lately that it is ready.
-func (t *Table) speaking(now time.Time, r *row) bool {
-	return r.state == Ready && !r.leaving() && !r.heardAt.IsZero() && now.Sub(r.heardAt) <= t.silence()
+// reportsReady reports whether r has reported that it is ready and is not unresponsive.
+func (t *Table) reportsReady(now time.Time, r *row) bool {
+	return r.state == Ready && !r.leaving() && !r.lastSeen.IsZero() && now.Sub(r.lastSeen) <= t.unresponsiveAfter()
 }
 
-// unlisted takes a target that the list left out.
-func (t *Table) unlisted(now time.Time, r *row, doubtful bool) Change {
-	if doubtful && t.speaking(now, r) {
-		return Change{VM: r.vm, Reason: ListDoubted}
+// applyUnlisted applies the absence of a target from the list.
+func (t *Table) applyUnlisted(now time.Time, r *row, rejected bool) Change {
+	if rejected && t.reportsReady(now, r) {
+		return Change{VM: r.vm, Reason: ListRejected}
 	}
 
 	if !r.listLeaving {
 		r.listLeaving = true
-		return Change{VM: r.vm, Reason: ListedGone}
+		return Change{VM: r.vm, Reason: Unlisted}
 	}
 
-	if now.Sub(r.listAt) > t.cfg.ForgetAfter && now.Sub(r.heardAt) > t.cfg.ForgetAfter {
+	if now.Sub(r.listAt) > t.cfg.ForgetAfter && now.Sub(r.lastSeen) > t.cfg.ForgetAfter {
 		t.remove(r)
 	}
 
--- a/target/load.go
+++ b/target/load.go
@@ -2,96 +2,96 @@
 
 import "time"
 
-// aheadSlots is how many groups of sendings are told apart.
-const aheadSlots = 8
-
-// aheadGrain is how close sendings may be to share a slot.
-const aheadGrain = 20 * time.Millisecond
-
-// ahead counts what this entry sent to one target since its load was measured.
-// Without it every entry would send to the target that was emptiest a second
-// ago until the next report comes, and they would all hit the same one.
-type ahead struct {
-	slots [aheadSlots]sendings
-	n     int
+// maxSentGroups is the maximum number of groups in a sentCounter.
+const maxSentGroups = 8
+
+// sentGroupWidth is the maximum time between the first and the last request added to a group.
+const sentGroupWidth = 20 * time.Millisecond
+
+// sentCounter counts the requests that this entry sent to one target since its load was
+// measured. Without it all entries would send to the target that was least loaded in the
+// last report, up to a second old, until the next report arrives.
+type sentCounter struct {
+	groups [maxSentGroups]sentGroup
+	n      int
 }
 
-// sendings are the requests sent at about one time, in Unix nanoseconds.
-type sendings struct {
+// sentGroup is a group of requests sent at about the same time; a merged group spans more
+// than sentGroupWidth. Times are in Unix nanoseconds.
+type sentGroup struct {
 	first, last   int64
 	count, tokens int32
 }
 
-// add counts a request sent at now. When all slots are taken the two oldest
-// become one.
-func (a *ahead) add(now time.Time, tokens int) {
+// add counts a request sent at now. When all groups are in use, the two oldest are merged.
+func (c *sentCounter) add(now time.Time, tokens int) {
 	at := now.UnixNano()
 
-	if a.n > 0 && at-a.slots[a.n-1].first <= int64(aheadGrain) {
-		s := &a.slots[a.n-1]
-		s.last = max(s.last, at)
-		s.count++
-		s.tokens += int32(tokens)
+	if c.n > 0 && at-c.groups[c.n-1].first <= int64(sentGroupWidth) {
+		g := &c.groups[c.n-1]
+		g.last = max(g.last, at)
+		g.count++
+		g.tokens += int32(tokens)
 
 		return
 	}
 
-	if a.n == aheadSlots {
-		a.slots[1].first = a.slots[0].first
-		a.slots[1].count += a.slots[0].count
-		a.slots[1].tokens += a.slots[0].tokens
-		copy(a.slots[:], a.slots[1:])
-		a.n--
+	if c.n == maxSentGroups {
+		c.groups[1].first = c.groups[0].first
+		c.groups[1].count += c.groups[0].count
+		c.groups[1].tokens += c.groups[0].tokens
+		copy(c.groups[:], c.groups[1:])
+		c.n--
 	}
 
-	a.slots[a.n] = sendings{first: at, last: at, count: 1, tokens: int32(tokens)}
-	a.n++
+	c.groups[c.n] = sentGroup{first: at, last: at, count: 1, tokens: int32(tokens)}
+	c.n++
 }
 
-// remove takes back a request that was sent at and has ended. One that a load
-// report has covered already is in no slot.
-func (a *ahead) remove(sent time.Time, tokens int) {
+// remove subtracts a request that was sent at the given time and has ended. It does
+// nothing for a request that a load report covers already, as that is in no group.
+func (c *sentCounter) remove(sent time.Time, tokens int) {
 	at := sent.UnixNano()
 
-	for i := range a.n {
-		s := &a.slots[i]
-		if at < s.first || at > s.last || s.count == 0 {
+	for i := range c.n {
+		g := &c.groups[i]
+		if at < g.first || at > g.last || g.count == 0 {
 			continue
 		}
 
-		s.count--
-		s.tokens = max(s.tokens-int32(tokens), 0)
+		g.count--
+		g.tokens = max(g.tokens-int32(tokens), 0)
 
 		return
 	}
 }
 
-// covered drops what was sent up to a load's measurement, which counts it.
-func (a *ahead) covered(by time.Time) {
-	n, at := 0, by.UnixNano()
+// dropBefore drops the groups sent up to the measurement of a load, which includes them.
+func (c *sentCounter) dropBefore(measured time.Time) {
+	n, at := 0, measured.UnixNano()
 
-	for i := range a.n {
-		if a.slots[i].last > at && a.slots[i].count > 0 {
-			a.slots[n] = a.slots[i]
+	for i := range c.n {
+		if c.groups[i].last > at && c.groups[i].count > 0 {
+			c.groups[n] = c.groups[i]
 			n++
 		}
 	}
 
-	a.n = n
+	c.n = n
 }
 
-// total returns the requests and their prompt tokens.
-func (a *ahead) total() (count, tokens int) {
-	for i := range a.n {
-		count += int(a.slots[i].count)
-		tokens += int(a.slots[i].tokens)
+// total returns the number of requests and the sum of their prompt tokens.
+func (c *sentCounter) total() (count, tokens int) {
+	for i := range c.n {
+		count += int(c.groups[i].count)
+		tokens += int(c.groups[i].tokens)
 	}
 
 	return count, tokens
 }
 
-// report takes a load report; one older than the last is ignored.
-func (r *row) report(now time.Time, l Load) {
+// setLoad applies a load report; one that was measured earlier than the last is ignored.
+func (r *row) setLoad(now time.Time, l Load) {
 	at := now.Add(-l.Age)
 	if r.loadKnown && at.Before(r.loadAt) {
 		return
@@ -100,5 +100,5 @@
 	r.load = l
 	r.loadAt = at
 	r.loadKnown = true
-	r.ahead.covered(at)
+	r.sent.dropBefore(at)
 }
--- a/target/outcome.go
+++ b/target/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Sent records that a request with so many prompt tokens goes to a target.
+// Sent records that a request with the given number of prompt tokens is sent to a target.
 func (t *Table) Sent(now time.Time, vm string, tokens int) Sending {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -14,7 +14,7 @@
 		return s
 	}
 
-	r.ahead.add(now, tokens)
+	r.sent.add(now, tokens)
 
 	if r.outlier.probation {
 		s.probe = true
@@ -25,7 +25,7 @@
 	return s
 }
 
-// Done records how a request ended.
+// Done records the outcome of a request.
 func (t *Table) Done(now time.Time, s Sending, o Outcome) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,7 +35,7 @@
 		return nil
 	}
 
-	r.ahead.remove(s.at, s.tokens)
+	r.sent.remove(s.at, s.tokens)
 
 	if s.probe {
 		r.outlier.probing = false
@@ -43,15 +43,15 @@
 
 	switch o {
 	case Succeeded:
-		if r.outlier.succeed(now, t.cfg.EjectMost) {
+		if r.outlier.recordSuccess(now, t.cfg.EjectMost) {
 			return []Change{{VM: r.vm, Reason: Restored}}
 		}
 	case Failed:
-		return t.failed(now, r, s)
+		return t.recordFailure(now, r, s)
 	case RefusedDraining:
 		r.refusedAt = now
-		changes := appendChange(nil, r.say(Draining))
-		t.choose(t.pools[r.service])
+		changes := appendChange(nil, r.setState(Draining))
+		t.selectSubset(t.pools[r.service])
 
 		return changes
 	case Neutral:
@@ -60,17 +60,17 @@
 	return nil
 }
 
-// failed counts a failure and ejects when there are enough in a row.
-func (t *Table) failed(now time.Time, r *row, s Sending) []Change {
+// recordFailure counts a failure and ejects the target after EjectAfterFailures in a row.
+func (t *Table) recordFailure(now time.Time, r *row, s Sending) []Change {
 	o := &r.outlier
 	o.failures++
 
-	// Requests sent before the ejection fail during it; they must not lengthen it.
+	// Requests sent before an ejection may fail during it; they must not prolong it.
 	if o.ejected(now) || (o.probation && !s.probe) {
 		return nil
 	}
 
-	if !o.probation && (o.failures < t.cfg.EjectAfter || !t.roomToEject(now, r)) {
+	if !o.probation && (o.failures < t.cfg.EjectAfterFailures || !t.mayEject(now, r)) {
 		return nil
 	}
 
@@ -79,21 +79,22 @@
 	return []Change{{VM: r.vm, Reason: Ejected, Until: o.until}}
 }
 
-// roomToEject reports whether r may go without taking more than DoubtShare of its pool.
-func (t *Table) roomToEject(now time.Time, r *row) bool {
-	usable, out := 0, 0
+// mayEject reports whether ejecting r keeps the ejected part of its pool within
+// MaxSuspectedShare.
+func (t *Table) mayEject(now time.Time, r *row) bool {
+	eligible, ejected := 0, 0
 
 	for _, o := range t.pools[r.service].rows {
-		if t.barred(now, o) {
+		if t.excluded(now, o) {
 			continue
 		}
 
-		usable++
+		eligible++
 
 		if o.outlier.probation {
-			out++
+			ejected++
 		}
 	}
 
-	return float64(out+1) <= t.cfg.DoubtShare*float64(usable)
+	return float64(ejected+1) <= t.cfg.MaxSuspectedShare*float64(eligible)
 }
--- a/target/subset.go
+++ b/target/subset.go
@@ -7,14 +7,14 @@
 	"github.com/zeebo/xxh3"
 )
 
-// score orders the targets for one entry: rendezvous hashing, so that one VM
-// more or less changes one place of a subset and no more. go-rendezvous gives
-// only the first place, so the ranking is made here with the hash library.
+// score ranks the targets for one entry by rendezvous hashing, so that adding or removing
+// one VM changes at most one member of a subset. go-rendezvous returns only the first
+// member, so the ranking uses the hash library directly.
 func score(self, vm string) uint64 {
 	return xxh3.HashStringSeed(vm, xxh3.HashString(self))
 }
 
-// distance is 0 in the entry's data centre, 1 in its region and 2 elsewhere.
+// distance is 0 in the entry's data centre, 1 in the same region and 2 elsewhere.
 func (t *Table) distance(dataCentre string) int {
 	if dataCentre == t.cfg.DataCentre {
 		return 0
@@ -28,35 +28,35 @@
 	return 2
 }
 
-// leastSubset is how many targets of a service are known well however many
-// services there are: with one alone its silence would leave none.
-const leastSubset = 2
+// minSubset is the least number of targets per service in the subset, however many
+// services there are: a single one would leave none when it is unresponsive.
+const minSubset = 2
 
-// subset returns how many targets of each service are known well. Each costs a
-// connection and questions, so what all services have together is bounded:
-// eight of each of 35 models would cost an entry more than it may spend.
-func (t *Table) subset() int {
-	each := t.cfg.Known / max(len(t.pools), 1)
+// subsetLimit returns the maximum subset size per service. Each target in a subset costs a
+// connection and polling, so the total over all services is bounded: eight targets for
+// each of 35 models would exceed the budget of an entry.
+func (t *Table) subsetLimit() int {
+	share := t.cfg.Known / max(len(t.pools), 1)
 
-	return min(t.cfg.Subset, max(each, leastSubset))
+	return min(t.cfg.Subset, max(share, minSubset))
 }
 
-// choose marks the subset of a pool anew.
-func (t *Table) choose(p *pool) {
+// selectSubset sorts a pool by distance and score and marks its subset.
+func (t *Table) selectSubset(p *pool) {
 	slices.SortFunc(p.rows, func(a, b *row) int {
 		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.score, b.score), cmp.Compare(a.vm, b.vm))
 	})
 
-	t.well -= p.well
-	p.well = 0
+	t.subsetSize -= p.subsetSize
+	p.subsetSize = 0
 
-	most := t.subset()
+	limit := t.subsetLimit()
 	for _, r := range p.rows {
-		r.well = p.well < most && !r.leaving()
-		if r.well {
-			p.well++
+		r.inSubset = p.subsetSize < limit && !r.leaving()
+		if r.inSubset {
+			p.subsetSize++
 		}
 	}
 
-	t.well += p.well
+	t.subsetSize += p.subsetSize
 }
--- a/target/table.go
+++ b/target/table.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// TableConfig configures a Table. Zero durations and counts get a default.
+// TableConfig configures a Table. Zero values get the defaults given.
 type TableConfig struct {
-	// Self is this entry's VM, by which its subset differs from others'.
+	// Self is the VM name of this entry, by which its subset differs from that of other entries.
 	Self string
 	// DataCentre is where this entry runs.
 	DataCentre string
 	// Regions maps data centres to regions.
 	Regions map[string]string
-	// Subset is how many targets of a service are known well at most. 8 when zero.
+	// Subset is the maximum number of targets of a service in the subset. 8 when zero.
 	Subset int
-	// Known is how many targets of all services are known well; with many
-	// services each has fewer, but no less than two. 128 when zero.
+	// Known is the maximum number of targets of all services in the subset; with many
+	// services each has fewer, but no fewer than two. 128 when zero.
 	Known int
-	// SilentAfter is the silence after which a target known well is doubted, or
-	// longer when two rounds of asking take longer. 30 s when zero.
+	// SilentAfter is the time without a report after which a target in the subset is
+	// suspected, or two polling rounds if those take longer. 30 s when zero.
 	SilentAfter time.Duration
-	// AskEvery is the time between two askings of side processes (NextToAsk). 500 ms when zero.
-	AskEvery time.Duration
-	// EjectAfter is how many failures in a row eject. 3 when zero.
-	EjectAfter int
-	// EjectFor is the length of the first ejection; it doubles. 2 s when zero.
+	// PollInterval is the time between two polls of side processes (NextToAsk). 500 ms when zero.
+	PollInterval time.Duration
+	// EjectAfterFailures is the number of consecutive failures that eject a target. 3 when zero.
+	EjectAfterFailures int
+	// EjectFor is the duration of the first ejection; each further one takes twice as long. 2 s when zero.
 	EjectFor time.Duration
-	// EjectMost is the longest ejection. 2 min when zero.
+	// EjectMost is the maximum duration of an ejection. 2 min when zero.
 	EjectMost time.Duration
-	// DoubtShare is the largest part of a pool that doubt takes away. 0.5 when zero.
-	DoubtShare float64
-	// ProbePatience is how long an unfinished probe bars the next. 30 s when zero.
+	// MaxSuspectedShare is the largest part of a pool that suspicions remove. 0.5 when zero.
+	MaxSuspectedShare float64
+	// ProbePatience is how long an unfinished probe blocks the next one. 30 s when zero.
 	ProbePatience time.Duration
-	// ForgetAfter is how long a gone target is remembered, so that a VM that
-	// wakes from a freeze isn't taken for a new one. 24 h when zero.
+	// ForgetAfter is how long a target that is gone is remembered, so that a VM that
+	// resumes after a pause isn't taken for a new one. 24 h when zero.
 	ForgetAfter time.Duration
-	// Offer bounds the targets that Candidates returns when none is doubted; the
-	// nearest go first. 64 when zero.
-	Offer int
-	// Most bounds the number of targets. 8192 when zero.
-	Most int
+	// MaxCandidates is the maximum number of targets that Candidates returns when none
+	// is suspected; the nearest go first. 64 when zero.
+	MaxCandidates int
+	// MaxTargets is the maximum number of targets in the table. 8192 when zero.
+	MaxTargets int
 }
 
 func (c TableConfig) withDefaults() TableConfig {
 	c.Subset = or(c.Subset, 8)
 	c.Known = or(c.Known, 128)
 	c.SilentAfter = or(c.SilentAfter, 30*time.Second)
-	c.AskEvery = or(c.AskEvery, 500*time.Millisecond)
-	c.EjectAfter = or(c.EjectAfter, 3)
+	c.PollInterval = or(c.PollInterval, 500*time.Millisecond)
+	c.EjectAfterFailures = or(c.EjectAfterFailures, 3)
 	c.EjectFor = or(c.EjectFor, 2*time.Second)
 	c.EjectMost = or(c.EjectMost, 2*time.Minute)
-	c.DoubtShare = or(c.DoubtShare, 0.5)
+	c.MaxSuspectedShare = or(c.MaxSuspectedShare, 0.5)
 	c.ProbePatience = or(c.ProbePatience, 30*time.Second)
 	c.ForgetAfter = or(c.ForgetAfter, 24*time.Hour)
-	c.Offer = or(c.Offer, 64)
-	c.Most = or(c.Most, 8192)
+	c.MaxCandidates = or(c.MaxCandidates, 64)
+	c.MaxTargets = or(c.MaxTargets, 8192)
 
 	return c
 }
@@ -71,8 +71,8 @@
 	return v
 }
 
-// Table is what an entry believes of its targets. Use NewTable. Its methods may
-// be called from many goroutines.
+// Table holds the state of the targets known to an entry. Use NewTable. Its methods are
+// safe for concurrent use.
 type Table struct {
 	cfg TableConfig
 
@@ -80,51 +80,51 @@
 	rows    map[string]*row
 	pools   map[string]*pool
 	drained map[string]bool
-	// evacuated are data centres whose targets take no new work.
-	evacuated map[string]bool
-	well      int // targets known well
+	// evacuated holds the data centres whose targets take no new work.
+	evacuated  map[string]bool
+	subsetSize int // targets in the subset, of all services
 }
 
-// pool is the targets of one service.
+// pool holds the targets of one service.
 type pool struct {
-	rows []*row
-	well int // of them known well
+	rows       []*row
+	subsetSize int // rows in the subset
 }
 
-// row is what is believed of one target.
+// row is the known state of one target.
 type row struct {
 	vm, dataCentre, service, address, sideAddress string
 	score                                         uint64
 	distance                                      int
-	well                                          bool
+	inSubset                                      bool
 
-	listed      bool // the list shows it, or showed it
-	listLeaving bool // the list calls it leaving or left it out
-	seenOnList  bool // scratch of ObserveList
+	listed      bool // the list contains or contained it
+	listLeaving bool // the list shows it as leaving or no longer contains it
+	seenOnList  bool // used within ObserveList only
 	listAt      time.Time
 
 	bootID, model, version, role string
 	started                      time.Time
 	sequence                     uint64
 	state                        State
-	saidDraining                 bool      // by the present boot
+	reportedDraining             bool      // by the current boot
 	oldBoots                     [4]string // newest first
-	heardAt                      time.Time
+	lastSeen                     time.Time
 	refusedAt                    time.Time // last refusal as draining
-	askedAt                      time.Time // when NextToAsk last gave it out
+	polledAt                     time.Time // when NextToAsk last returned it
 
 	load      Load
 	loadAt    time.Time
 	loadKnown bool
-	ahead     ahead
+	sent      sentCounter
 
 	operatorDrained bool
 	outlier         outlier
 }
 
-// leaving reports whether r is firmly out.
+// leaving reports whether r is out for good or drained by an operator, rather than only suspected.
 func (r *row) leaving() bool {
-	return r.saidDraining || r.listLeaving || r.operatorDrained
+	return r.reportedDraining || r.listLeaving || r.operatorDrained
 }
 
 // NewTable returns an empty Table.
@@ -139,13 +139,13 @@
 	}
 }
 
-// row returns the row of a VM and makes it when there is room; nil otherwise.
+// row returns the row of a VM, created if needed; nil when the table is full or service is empty.
 func (t *Table) row(vm, dataCentre, service string) *row {
 	if r, ok := t.rows[vm]; ok {
 		return r
 	}
 
-	if len(t.rows) >= t.cfg.Most || service == "" {
+	if len(t.rows) >= t.cfg.MaxTargets || service == "" {
 		return nil
 	}
 
@@ -167,7 +167,7 @@
 	return r
 }
 
-// remove forgets r.
+// remove deletes r from the table.
 func (t *Table) remove(r *row) {
 	delete(t.rows, r.vm)
 
@@ -175,28 +175,29 @@
 	p.rows = slices.DeleteFunc(p.rows, func(o *row) bool { return o == r })
 
 	if len(p.rows) == 0 {
-		t.well -= p.well
+		t.subsetSize -= p.subsetSize
 		delete(t.pools, r.service)
 	}
 }
 
-// ObserveLoad takes the load told on an answer. The side process that told it is
-// alive, so this counts as hearing it; it needn't be asked for a while.
+// ObserveLoad applies the load reported on an answer. The side process that reported it is
+// up, so this counts as seeing a target that has sent a state report before, and postpones
+// the next poll.
 func (t *Table) ObserveLoad(now time.Time, vm string, l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	if r, ok := t.rows[vm]; ok {
-		r.report(now, l)
+		r.setLoad(now, l)
 
-		if !r.heardAt.IsZero() {
-			r.heardAt = now
+		if !r.lastSeen.IsZero() {
+			r.lastSeen = now
 		}
 	}
 }
 
-// ObserveRestart takes that a target was started anew under the name it had: its
-// failures and its load were those of the start before.
+// ObserveRestart records that a target was restarted under the same name: its failures
+// and its load belong to the boot before and are reset.
 func (t *Table) ObserveRestart(_ time.Time, vm string) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,7 +213,7 @@
 	return []Change{{VM: r.vm, Reason: NewBoot}}
 }
 
-// ObserveDrained takes the whole lists of targets that operators drained and of data centres
+// ObserveDrained replaces the lists of targets that operators drained and of data centres
 // that they evacuated.
 func (t *Table) ObserveDrained(_ time.Time, vms, dataCentres []string) {
 	t.mu.Lock()
@@ -234,11 +235,11 @@
 	}
 
 	for _, p := range t.pools {
-		t.choose(p)
+		t.selectSubset(p)
 	}
 }
 
-// Subset returns the VMs of a service that this entry keeps a connection to.
+// Subset returns the targets of a service that this entry keeps a connection to.
 func (t *Table) Subset(service string) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -248,22 +249,21 @@
 		return nil
 	}
 
-	var well []Target
+	var subset []Target
 
 	for _, r := range p.rows {
-		if r.well {
-			well = append(well, r.target(r.heardAt))
+		if r.inSubset {
+			subset = append(subset, r.target(r.lastSeen))
 		}
 	}
 
-	return well
+	return subset
 }
 
-// NextToAsk returns the target, of all that this entry keeps a connection to,
-// that was heard or asked longest ago, if that is at least after. Asking each in
-// turn instead spends most questions on targets whose answers have told their
-// load a moment ago, and at a few hundred targets a round takes longer than the
-// silence after which a target is doubted.
+// NextToAsk returns the target in the subset that was seen or polled least recently, if
+// that was at least after ago, and records it as polled. Polling in a fixed order instead
+// would spend most polls on targets that have just reported their load on an answer, and
+// with a few hundred targets a round would take longer than SilentAfter.
 func (t *Table) NextToAsk(now time.Time, after time.Duration) (Target, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,33 +272,33 @@
 
 	for _, p := range t.pools {
 		for _, r := range p.rows {
-			if r.well && (next == nil || r.before(next)) {
+			if r.inSubset && (next == nil || r.lessRecent(next)) {
 				next = r
 			}
 		}
 	}
 
-	if next == nil || now.Sub(next.told()) < after {
+	if next == nil || now.Sub(next.lastContact()) < after {
 		return Target{}, false
 	}
 
-	next.askedAt = now
+	next.polledAt = now
 
 	return next.target(now), true
 }
 
-// told returns when r was last heard or asked.
-func (r *row) told() time.Time {
-	if r.askedAt.After(r.heardAt) {
-		return r.askedAt
+// lastContact returns when r was last seen or polled.
+func (r *row) lastContact() time.Time {
+	if r.polledAt.After(r.lastSeen) {
+		return r.polledAt
 	}
 
-	return r.heardAt
+	return r.lastSeen
 }
 
-// before orders targets by how long ago they were heard or asked.
-func (r *row) before(o *row) bool {
-	if a, b := r.told(), o.told(); !a.Equal(b) {
+// lessRecent reports whether r was seen or polled before o; ties are broken by VM name.
+func (r *row) lessRecent(o *row) bool {
+	if a, b := r.lastContact(), o.lastContact(); !a.Equal(b) {
 		return a.Before(b)
 	}
 
@@ -320,7 +320,7 @@
 	return names
 }
 
-// Target returns what is believed of one VM.
+// Target returns the known state of one VM; false when it is unknown.
 func (t *Table) Target(now time.Time, vm string) (Target, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -331,7 +331,7 @@
 	}
 
 	c := r.target(now)
-	c.Doubted = t.doubted(now, r)
+	c.Doubted = t.suspected(now, r)
 
 	return c, true
 }
@@ -343,10 +343,10 @@
 
 	r, ok := t.rows[vm]
 
-	return ok && !t.barred(now, r)
+	return ok && !t.excluded(now, r)
 }
 
-// Len returns how many targets are held, gone ones included.
+// Len returns the number of targets in the table, gone ones included.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -354,16 +354,16 @@
 	return len(t.rows)
 }
 
-// target gives r as callers see it.
+// target returns a snapshot of r.
 func (r *row) target(now time.Time) Target {
 	c := Target{
 		VM: r.vm, DataCentre: r.dataCentre, Service: r.service, Address: r.address, SideAddress: r.sideAddress,
 		BootID: r.bootID, Model: r.model, WeightVersion: r.version, Role: r.role, State: r.state,
-		Load: r.load, LoadKnown: r.loadKnown, Well: r.well,
+		Load: r.load, LoadKnown: r.loadKnown, InSubset: r.inSubset,
 		Probe: r.outlier.probation, Failures: r.outlier.failures, Heard: -1,
 	}
 
-	if r.saidDraining || r.listLeaving || r.operatorDrained {
+	if r.reportedDraining || r.listLeaving || r.operatorDrained {
 		c.State = Draining
 	}
 
@@ -371,16 +371,16 @@
 		c.Load.Age = now.Sub(r.loadAt)
 	}
 
-	if !r.heardAt.IsZero() {
-		c.Heard = now.Sub(r.heardAt)
+	if !r.lastSeen.IsZero() {
+		c.Heard = now.Sub(r.lastSeen)
 	}
 
-	c.Ahead, c.AheadTokens = r.ahead.total()
+	c.Ahead, c.AheadTokens = r.sent.total()
 
 	return c
 }
 
-// appendChange appends c unless nothing changed.
+// appendChange appends c unless its Reason is NoReason.
 func appendChange(changes []Change, c Change) []Change {
 	if c.Reason == NoReason {
 		return changes
--- a/target/table_test.go
+++ b/target/table_test.go
@@ -30,7 +30,7 @@
 	return t
 }
 
-func offers(t *Table, now time.Time, vm string) bool {
+func isCandidate(t *Table, now time.Time, vm string) bool {
 	for _, c := range t.Candidates(now, service) {
 		if c.VM == vm {
 			return true
@@ -40,40 +40,40 @@
 	return false
 }
 
-// A VM is told to go. Its side process says so at once and the list still shows
-// it as live for a while. A user would see requests cut off when it goes.
+// Guards against requests that are cut off when a VM is removed: its side process reports
+// draining at once, while the list shows the VM as live for a while longer.
 func TestLaggingListDoesNotBringBackALeavingTarget(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Sequence: 5, State: Draining})
 	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Sequence: 4, State: Ready})
 	tab.ObserveList(epoch.Add(time.Second), list("a", "b"))
 
-	if offers(tab, epoch.Add(time.Second), "a") {
-		t.Error("a: got offered after it said draining")
+	if isCandidate(tab, epoch.Add(time.Second), "a") {
+		t.Error("a: got offered after it reported draining")
 	}
 
 	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "2", Sequence: 1, State: Ready})
 	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "1", Sequence: 9, State: Draining})
 
-	if !offers(tab, epoch.Add(time.Minute), "a") {
-		t.Error("a: got no offer after a new boot id said ready")
+	if !isCandidate(tab, epoch.Add(time.Minute), "a") {
+		t.Error("a: got no offer after a report of a new boot that it is ready")
 	}
 }
 
-// A target was started anew and its first word is that it drains; a hello of the
-// boot before arrives late. Found by TestWordsAgainstTruth with seed 12414.
+// A target restarts and its first report is that it drains; a report of the boot before
+// arrives late. Found by TestWordsAgainstTruth with seed 12414.
 func TestLateHelloOfAnEarlierBootDoesNotBringBackALeavingTarget(t *testing.T) {
 	tab := newTable("b")
 	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "2", Started: epoch, Sequence: 1, State: Draining, Service: service})
 	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Started: epoch.Add(-time.Hour), Sequence: 7, State: Ready, Service: service})
 
-	if offers(tab, epoch, "a") {
-		t.Error("a: got offered after its newest boot said draining")
+	if isCandidate(tab, epoch, "a") {
+		t.Error("a: got offered after its newest boot reported draining")
 	}
 }
 
-// A VM is replaced under its old name by one whose clock is behind. It must get
-// work again once nothing of the old one can be under way.
+// Guards against ignoring a VM that was replaced under its old name by one whose clock is
+// behind. It must get work once no report of the old VM can be in flight.
 func TestReplacedTargetWithASlowClockGetsWork(t *testing.T) {
 	tab := newTable("b")
 	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Started: epoch, Sequence: 1, State: Draining, Service: service})
@@ -81,25 +81,24 @@
 	later := epoch.Add(time.Minute)
 	tab.ObserveHello(later, Hello{VM: "a", BootID: "2", Started: epoch.Add(-time.Hour), Sequence: 1, State: Ready, Service: service})
 
-	if !offers(tab, later, "a") {
+	if !isCandidate(tab, later, "a") {
 		t.Error("a: got no offer, want one for the new boot")
 	}
 }
 
-// The side process of a leaving VM is silent and the list lags; the first
-// request that reaches the side process is refused as draining. The entry must
-// not send it more.
+// Guards against sending more requests to a target that has refused one as draining, when
+// its side process sent no report and the list lags.
 func TestRefusalAsDrainingTakesATargetOut(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.Done(epoch, tab.Sent(epoch, "a", 10), RefusedDraining)
 
-	if offers(tab, epoch, "a") {
+	if isCandidate(tab, epoch, "a") {
 		t.Error("a: got offered after it refused as draining")
 	}
 }
 
-// The list service restarts and serves an empty list for a moment. Were it
-// believed, every user would get "unavailable" though all targets are well.
+// Guards against emptying the pool when the list service restarts and serves an empty list
+// for a moment: all requests would be refused as unavailable although all targets are up.
 func TestEmptyListDoesNotEmptyThePool(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	tab.ObserveList(epoch.Add(time.Second), nil)
@@ -109,21 +108,21 @@
 	}
 }
 
-// A VM was frozen for so long that the list dropped it, and wakes as if nothing
-// had happened. Its hello must not make a new target of it.
+// Guards against a VM that was paused for so long that the list dropped it, and then resumes:
+// its report must not add it as a new target.
 func TestWokenTargetStaysGone(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	tab.ObserveList(epoch.Add(time.Minute), list("b", "c"))
 	tab.ObserveList(epoch.Add(time.Hour), list("b", "c"))
 	tab.ObserveHello(epoch.Add(time.Hour), Hello{VM: "a", BootID: "1", Sequence: 2, State: Ready, Service: service})
 
-	if offers(tab, epoch.Add(time.Hour), "a") {
+	if isCandidate(tab, epoch.Add(time.Hour), "a") {
 		t.Error("a: got offered though the list dropped it")
 	}
 }
 
-// A target fails for a while and recovers. Were it never tried again, its users
-// would find the rest of the pool crowded for good.
+// Guards against an ejection that never ends: a target that fails for a while and recovers
+// must be probed and restored, or the rest of the pool would remain overloaded.
 func TestEjectedTargetIsTriedByOneRequestAndRestored(t *testing.T) {
 	tab := newTable("a", "b", "c", "d")
 
@@ -131,29 +130,29 @@
 		tab.Done(epoch, tab.Sent(epoch, "a", 1), Failed)
 	}
 
-	if offers(tab, epoch, "a") {
+	if isCandidate(tab, epoch, "a") {
 		t.Fatal("a: got offered right after its ejection")
 	}
 
 	later := epoch.Add(3 * time.Second)
-	if !offers(tab, later, "a") {
+	if !isCandidate(tab, later, "a") {
 		t.Fatal("a: got no probe after its ejection")
 	}
 
 	probe := tab.Sent(later, "a", 1)
-	if offers(tab, later, "a") {
-		t.Error("a: got offered beside a probe under way")
+	if isCandidate(tab, later, "a") {
+		t.Error("a: got offered while a probe was in flight")
 	}
 
 	tab.Done(later, probe, Succeeded)
 
-	if !offers(tab, later, "a") {
+	if !isCandidate(tab, later, "a") {
 		t.Error("a: got no offer after its probe succeeded")
 	}
 }
 
-// All targets fail, or so it looks from an entry whose cable is bad. Were all
-// ejected, it could not tell the better ones from the worse.
+// Guards against ejecting all targets when all appear to fail, as from an entry with a bad
+// cable: the entry could then no longer tell better targets from worse.
 func TestEjectionsTakeAtMostHalfOfAPool(t *testing.T) {
 	tab := newTable("a", "b", "c", "d", "e")
 	ejected := 0
@@ -173,20 +172,20 @@
 	}
 }
 
-// A request refused as draining comes from a boot of which the entry knows
-// nothing yet; that boot's first hello, of before it drained, arrives later.
+// Guards against a refusal as draining being undone by the first report of the boot that
+// refused, which was sent before it drained and arrives later.
 func TestRefusalOutlivesTheFirstHelloOfItsBoot(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.Done(epoch, tab.Sent(epoch, "a", 1), RefusedDraining)
 	tab.ObserveHello(epoch.Add(time.Second), Hello{VM: "a", BootID: "2", Sequence: 1, State: Ready})
 
-	if offers(tab, epoch.Add(time.Second), "a") {
+	if isCandidate(tab, epoch.Add(time.Second), "a") {
 		t.Error("a: got offered after its refusal")
 	}
 
 	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "2", Sequence: 2, State: Ready})
 
-	if !offers(tab, epoch.Add(time.Minute), "a") {
+	if !isCandidate(tab, epoch.Add(time.Minute), "a") {
 		t.Error("a: got no offer a minute after its refusal, want one")
 	}
 }
@@ -195,18 +194,18 @@
 	tab := newTable("a", "b")
 	tab.ObserveDrained(epoch, []string{"a"}, nil)
 
-	if offers(tab, epoch, "a") {
+	if isCandidate(tab, epoch, "a") {
 		t.Error("a: got offered though operators drained it")
 	}
 
 	tab.ObserveDrained(epoch, nil, nil)
 
-	if !offers(tab, epoch, "a") {
+	if !isCandidate(tab, epoch, "a") {
 		t.Error("a: got no offer after operators undrained it")
 	}
 }
 
-// Guards against new work for a data centre that operators evacuated.
+// Guards against sending new work to a data centre that operators evacuated.
 func TestEvacuatedDataCentreGetsNoWork(t *testing.T) {
 	tab := newTable("a")
 	rows := list("a", "b")
@@ -214,14 +213,14 @@
 	tab.ObserveList(epoch, rows)
 	tab.ObserveDrained(epoch, nil, []string{rows[0].DataCentre, "nowhere"})
 
-	if offers(tab, epoch, "a") || !offers(tab, epoch, "b") {
-		t.Errorf("got a offered: %v, b: %v; want b alone", offers(tab, epoch, "a"), offers(tab, epoch, "b"))
+	if isCandidate(tab, epoch, "a") || !isCandidate(tab, epoch, "b") {
+		t.Errorf("got a offered: %v, b: %v; want b alone", isCandidate(tab, epoch, "a"), isCandidate(tab, epoch, "b"))
 	}
 
 	tab.ObserveDrained(epoch, nil, nil)
 
-	if !offers(tab, epoch, "a") {
-		t.Error("a: got no offer after its data centre may have work again")
+	if !isCandidate(tab, epoch, "a") {
+		t.Error("a: got no offer after its data centre was repopulated")
 	}
 }
 
@@ -248,8 +247,8 @@
 	}
 }
 
-// A side process says hello without its addresses, which the list has told. Lost
-// with them was that it has a side process at all: its silence went unnoticed.
+// Guards against losing the side process's address when a report without addresses arrives:
+// the target was then treated as having no side process, and its silence went unnoticed.
 func TestSilentTargetIsDoubted(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	later := epoch.Add(time.Minute)
@@ -258,23 +257,24 @@
 		tab.ObserveHello(later, Hello{VM: vm, BootID: "1", Sequence: 2, State: Ready})
 	}
 
-	if offers(tab, later, "a") {
-		t.Error("a: got offered after a minute of silence while others speak")
+	if isCandidate(tab, later, "a") {
+		t.Error("a: got offered after a minute without a report while others report")
 	}
 
 	for _, c := range tab.Candidates(later.Add(time.Minute), service) {
 		if !c.Doubted {
-			t.Errorf("%s: got offered without doubt, want doubted: all are silent", c.VM)
+			t.Errorf("%s: got offered without suspicion, want doubted: none reports", c.VM)
 		}
 	}
 
 	if got, want := len(tab.Candidates(later.Add(time.Minute), service)), 3; got != want {
-		t.Errorf("all silent: got %d offered, want %d", got, want)
+		t.Errorf("none reports: got %d offered, want %d", got, want)
 	}
 }
 
-// An entry knows 200 targets and asks two a second. A round takes 100 s; were 30 s
-// of silence enough, users would be sent to all of them only for want of better.
+// Guards against suspecting targets that were not polled. An entry with 200 targets that
+// polls two per second needs 100 s for a round; after 30 s without a report all targets
+// would be suspected.
 func TestTargetThatWasNotAskedIsNotSilent(t *testing.T) {
 	var vms []string
 	for i := range 200 {
@@ -299,8 +299,8 @@
 	}
 }
 
-// An entry knows a few hundred targets. Were all asked in turn, a round would
-// take so long that targets which are well count as silent.
+// Guards against polling targets in a fixed order: with a few hundred targets a round would
+// take so long that responsive targets are suspected.
 func TestNextToAskIsTheOneHeardLongestAgo(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	tab.ObserveHello(epoch.Add(time.Second), Hello{VM: "a", BootID: "1", Sequence: 2, State: Ready})
@@ -322,8 +322,8 @@
 	}
 }
 
-// An entry serves 35 models. Eight connections for each would cost it more bytes
-// and memory than it may spend.
+// Guards against exceeding an entry's budget of bandwidth and memory: with 35 models, eight
+// connections for each would be too many.
 func TestSubsetsOfManyServicesStayWithinWhatIsKnown(t *testing.T) {
 	tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east"})
 
@@ -335,14 +335,14 @@
 	tab.ObserveList(epoch, rows[:20])
 
 	if got, want := len(tab.Subset("0")), 1; got != want {
-		t.Errorf("one target of a service: got %d known well, want %d", got, want)
+		t.Errorf("one target of a service: got %d in the subset, want %d", got, want)
 	}
 
 	tab.ObserveList(epoch, rows)
 
 	for _, s := range tab.Services() {
 		if got, want := len(tab.Subset(s)), 3; got != want {
-			t.Errorf("service %s: got %d known well, want %d", s, got, want)
+			t.Errorf("service %s: got %d in the subset, want %d", s, got, want)
 		}
 	}
 }
--- a/target/target.go
+++ b/target/target.go
@@ -1,20 +1,20 @@
-// Package target holds what one entry believes of the targets it may send to.
+// Package target tracks the state of the targets to which one entry may send requests.
 //
 // # Model
 //
-// A Table joins four sources, none of which is right alone: the VM list, which
-// is complete and lags; what a target's side process says at first hand, which
-// is prompt and may fall silent; the load told on answers, which ages; and the
-// entry's own successes and failures.
+// A Table combines four sources, none of which is reliable alone: the VM list, which
+// is complete but lags; the reports of a target's side process, which are prompt but
+// may stop; the load reported on answers, which becomes stale; and the outcomes of the
+// entry's own requests.
 //
-// A target that leaves is dropped as soon as any of three says so: its side
-// process (also by refusing with "draining"), the list, or the entry's own
-// failures. The first two are firm: a target whose side process said that it
-// drains stays out until a new boot id speaks for it, whatever the lagging list
-// says, and a target that the list calls leaving or has left out stays out until
-// the list calls it live again. Doubt (failures in a row, silence) is not firm:
-// it grows and fades, is tried out by one request at a time, and never takes
-// more than a share of a pool away.
+// A leaving target is removed from the candidates as soon as any of three sources shows
+// it: its side process (also by refusing a request as draining), the list, or failures of
+// the entry's own requests. The first two are final: a target whose side process reported
+// draining stays out until a report with a new boot id arrives, whatever the lagging list
+// contains, and a target that the list shows as leaving or doesn't contain stays out until
+// the list shows it as live again. A suspicion (consecutive failures, no response)
+// is not final: ejections grow with repeated failures and expire, an ejected target is
+// probed with one request at a time, and suspicions never remove more than a share of a pool.
 //
 // # Example
 //
@@ -28,18 +28,18 @@
 
 import "time"
 
-// State is what a side process says of its target. The zero State is Unknown.
+// State is the state of a target as reported by its side process. The zero State is Unknown.
 type State uint8
 
 // The states.
 const (
-	// Unknown means that nothing was heard at first hand.
+	// Unknown means that nothing was reported directly.
 	Unknown State = iota
-	// Loading means that weights are being loaded; no work is taken.
+	// Loading means that the target loads weights and takes no work.
 	Loading
-	// Ready means that work is taken.
+	// Ready means that the target takes work.
 	Ready
-	// Draining means that the target leaves and takes no new work.
+	// Draining means that the target is leaving and takes no new work.
 	Draining
 )
 
@@ -59,18 +59,19 @@
 	}
 }
 
-// Outcome is how a request ended as far as its target is concerned.
+// Outcome is the outcome of a request with regard to its target.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Neutral says nothing about the target: cancelled by the caller, refused for room.
+	// Neutral says nothing about the target, e.g. a request cancelled by the caller or
+	// refused for lack of capacity.
 	Neutral Outcome = iota
-	// Succeeded means that the whole answer came.
+	// Succeeded means that the whole answer was received.
 	Succeeded
-	// Failed means that the target or the way to it failed, or fell silent.
+	// Failed means that the target or the connection to it failed or became unresponsive.
 	Failed
-	// RefusedDraining means that the side process refused because it drains.
+	// RefusedDraining means that the side process refused the request because it is draining.
 	RefusedDraining
 )
 
@@ -90,37 +91,37 @@
 	}
 }
 
-// Words of the VM list.
+// Values in the VM list.
 const (
-	// Live is the list's state of a VM that stays.
+	// Live is the state of a VM in the list that is not leaving.
 	Live = "live"
-	// Leaving is the list's state of a VM that is about to go.
+	// Leaving is the state of a VM in the list that is about to be removed.
 	Leaving = "leaving"
-	// KindEngine is the list's kind of a model engine.
+	// KindEngine is the kind of a model engine in the list.
 	KindEngine = "engine"
-	// KindPlain is the list's kind of a plain service.
+	// KindPlain is the kind of a target of a plain service in the list.
 	KindPlain = "plain"
 )
 
-// Listed is one row of the VM list.
+// Listed is one entry of the VM list.
 type Listed struct {
-	// VM is the VM's name.
+	// VM is the VM name.
 	VM string `json:"vm"`
 	// DataCentre is where the VM runs.
 	DataCentre string `json:"data_centre"`
 	// Kind is "entry", "engine", "plain" or "store".
 	Kind string `json:"kind"`
-	// Service is the service that a target belongs to.
+	// Service is the service of a target.
 	Service string `json:"service"`
 	// Address is the target's own address.
 	Address string `json:"address"`
-	// SideAddress is the side process's address; empty when there is none.
+	// SideAddress is the address of the side process; empty when there is none.
 	SideAddress string `json:"side_address"`
 	// State is "live" or "leaving".
 	State string `json:"state"`
 }
 
-// Load is one report of how much a target has to do.
+// Load is a load report of a target.
 type Load struct {
 	// Running is the number of requests in the batch.
 	Running int
@@ -128,65 +129,68 @@
 	Waiting int
 	// WaitingTokens is the number of prompt tokens in the queue.
 	WaitingTokens int
-	// UsedBlocks and TotalBlocks are the cache's fill.
+	// UsedBlocks and TotalBlocks are the used and the total blocks of the KV cache.
 	UsedBlocks, TotalBlocks int
-	// Age is how old the report was when it came, by the reporter's own clock,
-	// so that clocks which are apart don't matter.
+	// Age is the time since the measurement, by the reporter's clock, so that clock skew
+	// between VMs doesn't matter.
 	Age time.Duration
 }
 
-// Hello is what a side process says of its target at first hand.
+// Hello is a state report: the state of a target, reported directly by its side process.
 type Hello struct {
-	// VM is the target's VM.
+	// VM is the target's VM name.
 	VM string
-	// BootID is new at each start of the target.
+	// BootID is new for each start of the target.
 	BootID string
-	// Started is when that boot began, by the VM's own clock; zero when not known.
-	// It tells a late hello of an earlier boot from a new boot's first one.
+	// Started is the start time of that boot by the VM's clock; zero when not known. It
+	// distinguishes a late state report of an earlier boot from the first one of a new boot.
 	Started time.Time
-	// Sequence rises with each hello of one boot; an older one is ignored.
+	// Sequence increases with each state report of one boot; older ones are ignored. Zero turns
+	// the check off.
 	Sequence uint64
 	// State is the target's state.
 	State State
-	// DataCentre, Service, Address and SideAddress are needed only for a target
-	// that the list doesn't show yet.
+	// DataCentre, Service, Address and SideAddress are only needed for a target that the
+	// list doesn't contain yet.
 	DataCentre, Service, Address, SideAddress string
-	// Model, WeightVersion and Role are what the engine has loaded.
+	// Model, WeightVersion and Role describe what the engine has loaded.
 	Model, WeightVersion, Role string
-	// Load is the newest load known there.
+	// Load is the latest load known to the side process.
 	Load Load
 }
 
-// Target is what is believed of one target.
+// Target is the known state of one target.
 type Target struct {
-	// VM is the target's VM.
+	// VM is the target's VM name.
 	VM string
-	// DataCentre, Service, Address and SideAddress say where it is.
+	// DataCentre, Service, Address and SideAddress are the location of the target.
 	DataCentre, Service, Address, SideAddress string
-	// BootID, Model, WeightVersion and Role are as last told; empty when nothing was.
+	// BootID, Model, WeightVersion and Role are as last reported; empty when never reported.
 	BootID, Model, WeightVersion, Role string
-	// State is the last state told at first hand.
+	// State is the last state reported directly, or Draining when the list shows the target
+	// as leaving or operators drained it.
 	State State
-	// Load is the last load told. Its Age is as of the call that gave this Target.
+	// Load is the last load report. Its Age is relative to the call that returned this Target.
 	Load Load
-	// LoadKnown says that Load was ever told.
+	// LoadKnown says that a load was reported.
 	LoadKnown bool
-	// Ahead and AheadTokens are what this entry sent since Load was measured
-	// and what has not ended yet.
+	// Ahead is the number of requests that this entry sent after Load was measured and that
+	// have not ended, AheadTokens the sum of their prompt tokens.
 	Ahead, AheadTokens int
-	// Well says that the target is in this entry's subset, with a connection kept.
-	Well bool
-	// Probe says that the target was ejected and is being tried: one request at a time.
+	// InSubset says that the target is in this entry's subset, with a connection kept open.
+	InSubset bool
+	// Probe says that the target was ejected and is being probed with one request at a time.
 	Probe bool
-	// Doubted says that the target is offered only because too few others are left.
+	// Doubted says that the target is suspected; it is then a candidate only because too
+	// few others are left.
 	Doubted bool
-	// Failures is the number of failures in a row.
+	// Failures is the number of consecutive failures.
 	Failures int
-	// Heard is how long ago its side process was heard; negative for never.
+	// Heard is the time since its side process was last seen; negative when it never was.
 	Heard time.Duration
 }
 
-// Sending is a request under way to a target; Sent gives it and Done takes it back.
+// Sending is a request in flight to a target, from Table.Sent to Table.Done.
 type Sending struct {
 	vm     string
 	at     time.Time
@@ -194,36 +198,37 @@
 	probe  bool
 }
 
-// VM returns the target's VM.
+// VM returns the target's VM name.
 func (s Sending) VM() string { return s.vm }
 
-// Reason is why a target's standing changed.
+// Reason is the reason for a change of a target's state.
 type Reason uint8
 
 // The reasons.
 const (
 	// NoReason means that nothing changed.
 	NoReason Reason = iota
-	// SaidDraining means that the side process said so.
-	SaidDraining
-	// ListedLeaving means that the list calls the VM leaving.
+	// ReportedDraining means that the side process reported that the target is draining.
+	ReportedDraining
+	// ListedLeaving means that the list shows the VM as leaving.
 	ListedLeaving
-	// ListedGone means that the list left the VM out.
-	ListedGone
-	// ListedLive means that the list shows the VM as live, anew or again.
+	// Unlisted means that the list no longer contains the VM.
+	Unlisted
+	// ListedLive means that the list shows the VM as live, for the first time or again.
 	ListedLive
-	// ListDoubted means that the list left out too many VMs that speak, and is not followed.
-	ListDoubted
-	// NewBoot means that a new boot id spoke.
+	// ListRejected means that the list lacks too many VMs that report that they are ready,
+	// and that the VM is kept in spite of the list.
+	ListRejected
+	// NewBoot means that the target was restarted.
 	NewBoot
-	// Ejected means that failures in a row took it out for a while.
+	// Ejected means that consecutive failures removed the target from the candidates for a while.
 	Ejected
-	// Restored means that an ejected target succeeded.
+	// Restored means that a request to an ejected target succeeded.
 	Restored
-	// SaidReady means that the target became ready.
-	SaidReady
-	// SaidLoading means that the target started loading.
-	SaidLoading
+	// ReportedReady means that the side process reported that the target is ready.
+	ReportedReady
+	// ReportedLoading means that the side process reported that the target is loading weights.
+	ReportedLoading
 )
 
 var reasonNames = [...]string{
@@ -240,12 +245,12 @@
 	return reasonNames[r]
 }
 
-// Change is a change of a target's standing, to be logged.
+// Change is a change of a target's state, to be logged.
 type Change struct {
-	// VM is the target's VM.
+	// VM is the target's VM name.
 	VM string
-	// Reason is what happened.
+	// Reason is the reason for the change.
 	Reason Reason
-	// Until is the end of an ejection.
+	// Until is the end of an ejection; zero for other reasons.
 	Until time.Time
 }
--- a/target/truth_test.go
+++ b/target/truth_test.go
@@ -9,41 +9,41 @@
 	"pgregory.net/rapid"
 )
 
-// truth is the oracle of TestWordsAgainstTruth: what really is, and which words
-// of it reached the entry. It knows nothing of how the table works.
-type truth struct {
-	vms       []string
-	boot      map[string]int       // present boot by VM
-	draining  map[string]bool      // the present boot drains
-	listState map[string]string    // what the platform's list will say
-	toldBoot  map[string]int       // newest boot that spoke to the entry
-	toldDrain map[string]bool      // that boot said draining to the entry
-	toldLoad  map[string]time.Time // that boot's last word was loading
-	listed    map[string]string    // last list that reached the entry; "" is left out
-	everSeen  map[string]bool      // the list showed it at least once
-	heard     map[string]time.Time // when it last spoke
-	pending   []sentHello          // hellos under way, which may be late, crossed or lost
-	lists     []map[string]string  // snapshots under way
-	sequence  map[string]uint64    // of the present boot
-	newestSeq map[string]uint64    // newest that reached the entry, of toldBoot
-	doubted   map[string]bool      // the last list left out too many that speak
-	wire      map[string][]Sending // requests under way
-	refusal   map[string]refusal   // the last one
+// oracle is the reference model of TestWordsAgainstTruth: the real state of the targets and
+// the reports that reached the entry. It is independent of the implementation of the table.
+type oracle struct {
+	vms             []string
+	boot            map[string]int       // current boot by VM
+	draining        map[string]bool      // the current boot drains
+	listState       map[string]string    // state in the platform's next list
+	reportedBoot    map[string]int       // newest boot that reported to the entry
+	reportedDrain   map[string]bool      // that boot reported draining to the entry
+	reportedLoading map[string]time.Time // when that boot last reported, if that was loading
+	listed          map[string]string    // state in the last list that reached the entry; "" when missing
+	everSeen        map[string]bool      // contained in at least one list
+	lastSeen        map[string]time.Time // when its last report arrived
+	pending         []pendingReport      // reports in flight, which may be late, reordered or lost
+	lists           []map[string]string  // lists in flight
+	sequence        map[string]uint64    // of the current boot
+	newestSeq       map[string]uint64    // newest that reached the entry, of reportedBoot
+	listRejected    map[string]bool      // the last list lacked too many that report ready
+	inFlight        map[string][]Sending // requests in flight
+	refusal         map[string]refusal   // the last refusal
 }
 
-// sentHello is a hello under way. Streams have deadlines, so it arrives within
+// pendingReport is a state report in flight. Streams have deadlines, so it arrives within
 // 20 s or never.
-type sentHello struct {
+type pendingReport struct {
 	Hello
 	at time.Time
 }
 
-func newTruth(n int) *truth {
-	w := &truth{
-		boot: map[string]int{}, draining: map[string]bool{}, listState: map[string]string{}, toldBoot: map[string]int{},
-		toldDrain: map[string]bool{}, toldLoad: map[string]time.Time{}, listed: map[string]string{}, everSeen: map[string]bool{},
-		heard: map[string]time.Time{}, sequence: map[string]uint64{}, newestSeq: map[string]uint64{}, doubted: map[string]bool{},
-		wire: map[string][]Sending{}, refusal: map[string]refusal{},
+func newOracle(n int) *oracle {
+	w := &oracle{
+		boot: map[string]int{}, draining: map[string]bool{}, listState: map[string]string{}, reportedBoot: map[string]int{},
+		reportedDrain: map[string]bool{}, reportedLoading: map[string]time.Time{}, listed: map[string]string{}, everSeen: map[string]bool{},
+		lastSeen: map[string]time.Time{}, sequence: map[string]uint64{}, newestSeq: map[string]uint64{}, listRejected: map[string]bool{},
+		inFlight: map[string][]Sending{}, refusal: map[string]refusal{},
 	}
 
 	for i := range n {
@@ -56,75 +56,75 @@
 	return w
 }
 
-// mustNot reports whether the entry was told in any way that vm is leaving.
-func (w *truth) mustNot(vm string) bool {
-	if w.toldDrain[vm] {
+// knownLeaving reports whether any source told the entry that vm is leaving.
+func (w *oracle) knownLeaving(vm string) bool {
+	if w.reportedDrain[vm] {
 		return true
 	}
 
-	return w.everSeen[vm] && w.listed[vm] != Live && !w.doubted[vm]
+	return w.everSeen[vm] && w.listed[vm] != Live && !w.listRejected[vm]
 }
 
-// may reports whether nothing firm speaks against vm.
-func (w *truth) may(now time.Time, vm string) bool {
-	if w.mustNot(vm) {
+// mayReceive reports whether vm may get requests, suspicions aside.
+func (w *oracle) mayReceive(now time.Time, vm string) bool {
+	if w.knownLeaving(vm) {
 		return false
 	}
 
-	loading, ok := w.toldLoad[vm]
+	loading, ok := w.reportedLoading[vm]
 	if ok && now.Sub(loading) <= 30*time.Second {
 		return false
 	}
 
-	return w.everSeen[vm] || w.toldBoot[vm] > 0
+	return w.everSeen[vm] || w.reportedBoot[vm] > 0
 }
 
-// refusal is one as draining: by which boot, unknown to the entry, and when.
+// refusal is a refusal as draining: the boot that refused, unknown to the entry, and the time.
 type refusal struct {
 	boot int
 	at   time.Time
 }
 
-func (w *truth) hear(now time.Time, h Hello) {
+func (w *oracle) applyHello(now time.Time, h Hello) {
 	var boot int
 	_, _ = fmt.Sscan(h.BootID, &boot)
 
-	// Nothing that the refusing boot or one before it says can take its refusal back.
+	// A report of the refusing boot or an earlier one can't undo the refusal.
 	if r, ok := w.refusal[h.VM]; ok && boot <= r.boot {
 		return
 	}
 
-	// The entry may take its time to believe a later boot.
+	// The entry may wait before it accepts a report of a later boot.
 	if r, ok := w.refusal[h.VM]; ok && now.Sub(r.at) <= 30*time.Second {
 		return
 	}
 
-	if boot < w.toldBoot[h.VM] || (boot == w.toldBoot[h.VM] && h.Sequence <= w.newestSeq[h.VM]) {
+	if boot < w.reportedBoot[h.VM] || (boot == w.reportedBoot[h.VM] && h.Sequence <= w.newestSeq[h.VM]) {
 		return
 	}
 
-	if boot > w.toldBoot[h.VM] {
-		w.toldDrain[h.VM] = false
+	if boot > w.reportedBoot[h.VM] {
+		w.reportedDrain[h.VM] = false
 	}
 
-	w.toldBoot[h.VM] = boot
+	w.reportedBoot[h.VM] = boot
 	w.newestSeq[h.VM] = h.Sequence
-	w.heard[h.VM] = now
-	w.toldDrain[h.VM] = w.toldDrain[h.VM] || h.State == Draining
-	delete(w.toldLoad, h.VM)
+	w.lastSeen[h.VM] = now
+	w.reportedDrain[h.VM] = w.reportedDrain[h.VM] || h.State == Draining
+	delete(w.reportedLoading, h.VM)
 
 	if h.State == Loading {
-		w.toldLoad[h.VM] = now
+		w.reportedLoading[h.VM] = now
 	}
 }
 
-// TestWordsAgainstTruth draws faults together and twice: targets leave, restart,
-// load and freeze; hellos are late, crossed and lost; the list lags; requests
-// fail. A user must never be sent to a target of which the entry was told that
-// it leaves, and must never be refused while a usable target is left.
+// TestWordsAgainstTruth draws random, overlapping faults: targets leave, restart, load and
+// pause; reports are late, reordered and lost; the list lags; requests fail. It guards
+// against sending requests to a target that any source reported as leaving, and against
+// refusing requests while a usable target is left.
 func TestWordsAgainstTruth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newTruth(rapid.IntRange(1, 8).Draw(rt, "targets"))
+		w := newOracle(rapid.IntRange(1, 8).Draw(rt, "targets"))
 		tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", Subset: 4})
 		now := epoch
 		vm := func() string { return rapid.SampledFrom(w.vms).Draw(rt, "vm") }
@@ -159,7 +159,7 @@
 				}
 
 				h.Started = epoch.Add(time.Duration(w.boot[v]) * time.Second)
-				w.pending = append(w.pending, sentHello{h, now})
+				w.pending = append(w.pending, pendingReport{h, now})
 			},
 			"deliver": func(rt *rapid.T) {
 				if len(w.pending) == 0 {
@@ -177,7 +177,7 @@
 					return
 				}
 
-				w.hear(now, h.Hello)
+				w.applyHello(now, h.Hello)
 				tab.ObserveHello(now, h.Hello)
 			},
 			"snapshot": func(*rapid.T) {
@@ -193,7 +193,7 @@
 					return
 				}
 
-				takeList(now, w, tab)
+				deliverList(now, w, tab)
 			},
 			"send": func(rt *rapid.T) {
 				c := tab.Candidates(now, service)
@@ -203,64 +203,64 @@
 
 				v := c[rapid.IntRange(0, len(c)-1).Draw(rt, "candidate")].VM
 				s := tab.Sent(now, v, 10)
-				w.wire[v] = append(w.wire[v], s)
+				w.inFlight[v] = append(w.inFlight[v], s)
 			},
 			"refuse": func(*rapid.T) {
 				v := vm()
-				if !w.draining[v] || len(w.wire[v]) == 0 {
+				if !w.draining[v] || len(w.inFlight[v]) == 0 {
 					return
 				}
 
-				tab.Done(now, w.wire[v][0], RefusedDraining)
-				w.wire[v] = w.wire[v][1:]
-				w.toldDrain[v] = true
+				tab.Done(now, w.inFlight[v][0], RefusedDraining)
+				w.inFlight[v] = w.inFlight[v][1:]
+				w.reportedDrain[v] = true
 				w.refusal[v] = refusal{w.boot[v], now}
 			},
 			"end": func(rt *rapid.T) {
 				v := vm()
-				if len(w.wire[v]) == 0 {
+				if len(w.inFlight[v]) == 0 {
 					return
 				}
 
-				s := w.wire[v][0]
-				w.wire[v] = w.wire[v][1:]
+				s := w.inFlight[v][0]
+				w.inFlight[v] = w.inFlight[v][1:]
 				o := rapid.SampledFrom([]Outcome{Succeeded, Failed, Failed, Failed, Neutral}).Draw(rt, "outcome")
 				tab.Done(now, s, o)
 			},
-			"": func(rt *rapid.T) { checkOffers(rt, now, w, tab) },
+			"": func(rt *rapid.T) { checkCandidates(rt, now, w, tab) },
 		})
 	})
 }
 
-// speaks reports whether vm said lately that it is ready, and was not listed as leaving.
-func (w *truth) speaks(now time.Time, vm, listed string) bool {
-	at, ok := w.heard[vm]
-	_, loading := w.toldLoad[vm]
+// reportsReady reports whether vm recently reported ready and was not listed as leaving.
+func (w *oracle) reportsReady(now time.Time, vm, listed string) bool {
+	at, ok := w.lastSeen[vm]
+	_, loading := w.reportedLoading[vm]
 
-	return ok && now.Sub(at) <= 30*time.Second && !loading && !w.toldDrain[vm] && listed == Live
+	return ok && now.Sub(at) <= 30*time.Second && !loading && !w.reportedDrain[vm] && listed == Live
 }
 
-// takeList gives the entry the next list and works out which of the targets that
-// it leaves out speak: when they are more than half of all that speak, the list
-// has lost them and not the platform.
-func takeList(now time.Time, w *truth, tab *Table) {
+// deliverList gives the entry the next list and works out whether to expect a rejection: when
+// more than half of the targets that report ready are missing, the list is at fault, not the
+// targets.
+func deliverList(now time.Time, w *oracle, tab *Table) {
 	next := w.lists[0]
 	w.lists = w.lists[1:]
 
 	var rows []Listed
 
-	speaking, lost := 0, map[string]bool{}
+	reporting, lost := 0, map[string]bool{}
 
 	for _, v := range w.vms {
-		// What a target is listed as when it is asked whether it speaks: by this
-		// list, or by the last one that was followed.
+		// The listed state when the list is evaluated: that of this list or else of the last
+		// list that was accepted.
 		listed := next[v]
-		if listed == "" && (w.listed[v] == Live || w.doubted[v] || !w.everSeen[v]) {
+		if listed == "" && (w.listed[v] == Live || w.listRejected[v] || !w.everSeen[v]) {
 			listed = Live
 		}
 
-		if w.speaks(now, v, listed) {
-			speaking++
+		if w.reportsReady(now, v, listed) {
+			reporting++
 			lost[v] = w.everSeen[v] && next[v] == ""
 		}
 	}
@@ -274,7 +274,7 @@
 	}
 
 	for _, v := range w.vms {
-		w.doubted[v] = lost[v] && missing*2 > speaking
+		w.listRejected[v] = lost[v] && missing*2 > reporting
 		w.listed[v] = next[v]
 
 		if next[v] != "" {
@@ -286,7 +286,7 @@
 	tab.ObserveList(now, rows)
 }
 
-func checkOffers(rt *rapid.T, now time.Time, w *truth, tab *Table) {
+func checkCandidates(rt *rapid.T, now time.Time, w *oracle, tab *Table) {
 	offered := map[string]bool{}
 	for _, c := range tab.Candidates(now, service) {
 		offered[c.VM] = true
@@ -295,11 +295,11 @@
 	usable, got := 0, 0
 
 	for _, v := range w.vms {
-		if offered[v] && w.mustNot(v) {
-			rt.Fatalf("%s: got offered, want not: the entry was told that it leaves", v)
+		if offered[v] && w.knownLeaving(v) {
+			rt.Fatalf("%s: got offered, want not: a source reported that it leaves", v)
 		}
 
-		if w.may(now, v) {
+		if w.mayReceive(now, v) {
 			usable++
 
 			if offered[v] {
--- a/target/wire_test.go
+++ b/target/wire_test.go
@@ -23,13 +23,13 @@
 	"boragehub/target"
 )
 
-// The benchmarks of this file measure what believing costs on the wire, with the
-// real connections between processes, for docs/CAPACITY.md.
+// The benchmarks in this file measure the network cost of tracking targets over real
+// connections between processes, for docs/CAPACITY.md.
 
-// headers are the bytes of IPv4 and UDP on each datagram.
+// headers is the size of the IPv4 and UDP headers of a datagram in bytes.
 const headers = 28
 
-// wire forwards datagrams between one dialer and one server and counts them.
+// wire forwards datagrams between one dialer and one server and counts their bytes.
 type wire struct {
 	front, back *net.UDPConn
 	from        atomic.Pointer[net.UDPAddr]
@@ -56,8 +56,8 @@
 
 	w := &wire{front: front, back: back}
 
-	go w.forth()
-	go w.answer()
+	go w.forward()
+	go w.backward()
 
 	b.Cleanup(func() {
 		_ = front.Close()
@@ -67,7 +67,7 @@
 	return w
 }
 
-func (w *wire) forth() {
+func (w *wire) forward() {
 	buf := make([]byte, 64<<10)
 
 	for {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (w *wire) answer() {
+func (w *wire) backward() {
 	buf := make([]byte, 64<<10)
 
 	for {
@@ -96,7 +96,7 @@
 	}
 }
 
-// state is what a side process of an engine says when asked.
+// state is the answer of an engine's side process to a poll.
 var state = message.State{
 	VM: "engine-0007", Boot: "0192f1c8-7b1e-7c3a-9d52-3f0a6f1e2b4d", Service: "boragehub-llm", Model: "shuttle-8b", Version: "v12",
 	BlockTokens: 16, Ready: true, Load: message.Load{Running: 12, Waiting: 3, WaitingTokens: 4096, AgeMS: 180},
@@ -104,7 +104,7 @@
 	StateAgeMS: 3600000, Fence: 4711, Accepted: 12,
 }
 
-// keys returns the TLS settings of a process, as daemons get theirs.
+// keys returns the TLS configuration of a process, loaded from files as in production.
 func keys(b *testing.B, a *certificate.Authority, vm, role string) *tls.Config {
 	b.Helper()
 
@@ -136,7 +136,8 @@
 	return k.TLS()
 }
 
-// sideProcess serves states and returns its address and what entries dial with.
+// sideProcess starts a server for states; it returns its address and the TLS
+// configuration with which an entry dials it.
 func sideProcess(b *testing.B) (string, *tls.Config) {
 	b.Helper()
 
@@ -178,8 +179,8 @@
 	}
 }
 
-// BenchmarkPoll asks a side process for its state: time, and bytes on the wire
-// in both directions with IP and UDP headers.
+// BenchmarkPoll polls a side process for its state: it measures the time and the bytes on
+// the wire in both directions with IP and UDP headers.
 func BenchmarkPoll(b *testing.B) {
 	addr, own := sideProcess(b)
 	w := newWire(b, addr)
@@ -198,7 +199,7 @@
 	b.ReportMetric(float64(w.bytes.Load()-before)/float64(n), "wire-bytes/poll")
 }
 
-// BenchmarkHandshake opens a connection and asks once.
+// BenchmarkHandshake opens a connection and polls once.
 func BenchmarkHandshake(b *testing.B) {
 	addr, own := sideProcess(b)
 
@@ -219,12 +220,12 @@
 	b.ReportMetric(float64(sum)/float64(n), "wire-bytes/connection")
 }
 
-// idle is how long BenchmarkIdle watches; before it as long passes unwatched, in
-// which QUIC finds out how large datagrams may be.
+// idle is the time that BenchmarkIdle measures. It waits as long before, while QUIC
+// discovers the path MTU.
 const idle = 20 * time.Second
 
-// BenchmarkIdle leaves a connection open: without a conversation, where only
-// keep-alives pass, and with one on which both ends beat.
+// BenchmarkIdle measures an idle connection: without an open stream, when only keep-alives
+// are sent, and with one, on which both ends send heartbeats.
 func BenchmarkIdle(b *testing.B) {
 	for _, open := range []bool{false, true} {
 		b.Run(fmt.Sprintf("conversation=%v", open), func(b *testing.B) {
@@ -258,8 +259,8 @@
 	}
 }
 
-// BenchmarkConnections holds connections of many entries to one side process:
-// memory of both ends in use.
+// BenchmarkConnections measures the memory of connections from many entries to one side
+// process, both ends included.
 func BenchmarkConnections(b *testing.B) {
 	for _, count := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("connections=%d", count), func(b *testing.B) {
@@ -295,8 +296,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkListOnTheWire reads the platform's whole list: time, and its bytes
-// plain and compressed.
+// BenchmarkListOnTheWire measures the platform's whole list: the time to decode it and its
+// size plain and compressed.
 func BenchmarkListOnTheWire(b *testing.B) {
 	for _, vms := range []int{36, 360, 2400} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
