--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// BackoffConfig configures the waits between attempts. Zero values get a default.
+// BackoffConfig configures the delays between attempts. Zero values get a default.
 type BackoffConfig struct {
-	// First is the longest wait before the second attempt. 20 ms when zero.
-	First time.Duration
-	// Most is the longest wait of all. 1 s when zero.
-	Most time.Duration
+	// Initial is the maximum delay before the second attempt. 20 ms when zero.
+	Initial time.Duration
+	// Max is the maximum delay before any attempt. 1 s when zero.
+	Max time.Duration
 }
 
-// Backoff returns the wait after attempt number n (from 1): between half and
-// the whole of a bound that doubles, so that requests which failed together
-// don't come back together. The same rng gives the same waits.
+// Backoff returns the delay after attempt number n, counted from 1: a random value between
+// half and the whole of a bound that doubles with each attempt up to Max. The jitter keeps
+// requests that failed together from being retried together. The same rng gives the same
+// delays.
 func (c BackoffConfig) Backoff(n int, rng *rand.Rand) time.Duration {
-	first, most := c.First, c.Most
-	if first <= 0 {
-		first = 20 * time.Millisecond
+	initial, limit := c.Initial, c.Max
+	if initial <= 0 {
+		initial = 20 * time.Millisecond
 	}
 
-	if most <= 0 {
-		most = time.Second
+	if limit <= 0 {
+		limit = time.Second
 	}
 
-	bound := min(first<<min(max(n-1, 0), maxDoublings), most)
+	bound := min(initial<<min(max(n-1, 0), maxDoublings), limit)
 
 	return bound/2 + time.Duration(rng.Int64N(int64(bound/2)+1))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,13 +1,12 @@
-// Package retry decides what may be repeated, how often and when.
+// Package retry decides which requests may be retried, how often and when.
 //
 // # Model
 //
-// A retry helps one request and, in a fault that hits many, doubles the load on
-// what is left. So a Budget bounds retries and hedges to a part of the first
-// attempts in a window: an outage then costs the fleet that part and no more,
-// however many requests fail. May tells whether the rules allow a repeat at
-// all: an idempotent request may be repeated elsewhere; any other only when it
-// is certain that nothing ran.
+// A retry helps one request, but in a fault that affects many it doubles the load on the
+// remaining targets. So a Budget limits retries and hedges to a ratio of the first attempts
+// in a window, plus a small floor: an outage adds no more load than that, however many
+// requests fail. May reports whether the rules allow a retry at all: an idempotent request
+// may be retried on another target; any other only when it is certain that nothing ran.
 //
 // # Example
 //
@@ -25,30 +24,30 @@
 
 // BudgetConfig configures a Budget. Zero values get a default.
 type BudgetConfig struct {
-	// Ratio is the largest part of first attempts that may be repeated. 0.2 when zero.
+	// Ratio is the maximum ratio of retries to first attempts. 0.2 when zero.
 	Ratio float64
-	// Window is the time over which both are counted. 10 s when zero.
+	// Window is the period over which both are counted. 10 s when zero.
 	Window time.Duration
-	// Floor is how many repeats a window allows however few first attempts
-	// there were, so that a quiet entry can repeat at all. 3 when zero, none when negative.
+	// Floor is the number of retries allowed per window in addition to Ratio, so that an
+	// entry with few requests can retry at all. 3 when zero, none when negative.
 	Floor int
 }
 
-// slots is the number of parts of the window.
-const slots = 10
+// windowSlots is the number of slots into which the window is divided.
+const windowSlots = 10
 
-// Budget bounds repeats to a part of first attempts. Use NewBudget. Its methods
-// may be called from many goroutines.
+// Budget limits retries to a ratio of first attempts. Use NewBudget. Its methods are safe
+// for concurrent use.
 type Budget struct {
 	cfg BudgetConfig
 
-	mu      sync.Mutex
-	slot    int64 // number of the newest slot
-	firsts  [slots]int
-	repeats [slots]int
+	mu            sync.Mutex
+	slot          int64 // number of the newest slot
+	firstAttempts [windowSlots]int
+	retries       [windowSlots]int
 }
 
-// NewBudget returns a Budget without history.
+// NewBudget returns a Budget with no attempts counted.
 func NewBudget(cfg BudgetConfig) *Budget {
 	if cfg.Ratio == 0 {
 		cfg.Ratio = 0.2
@@ -65,8 +64,8 @@
 	return &Budget{cfg: cfg}
 }
 
-// SetFloor changes how many repeats a window allows besides the part of first
-// attempts, as when the number of entries that share them changes.
+// SetFloor changes the number of retries allowed per window in addition to Ratio, as when
+// the number of entries that share it changes. Zero or less allows none.
 func (b *Budget) SetFloor(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,43 +78,43 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.firsts[b.advance(now)]++
+	b.firstAttempts[b.advance(now)]++
 }
 
-// Allow reports whether one more repeat fits, and counts it if so.
+// Allow reports whether the budget allows one more retry, and counts it if so.
 func (b *Budget) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	i := b.advance(now)
-	if float64(sum(b.repeats)+1) > b.cfg.Ratio*float64(sum(b.firsts))+float64(max(b.cfg.Floor, 0)) {
+	if float64(sum(b.retries)+1) > b.cfg.Ratio*float64(sum(b.firstAttempts))+float64(max(b.cfg.Floor, 0)) {
 		return false
 	}
 
-	b.repeats[i]++
+	b.retries[i]++
 
 	return true
 }
 
-// advance empties the slots that have passed and returns the present one. A
-// clock that goes back stays in the newest slot.
+// advance clears the slots that have expired and returns the index of the current one. When
+// the clock goes back, the newest slot remains the current one.
 func (b *Budget) advance(now time.Time) int {
-	n := now.UnixNano() / int64(b.cfg.Window/slots)
-	if n-b.slot >= slots {
-		b.firsts, b.repeats = [slots]int{}, [slots]int{}
+	n := now.UnixNano() / int64(b.cfg.Window/windowSlots)
+	if n-b.slot >= windowSlots {
+		b.firstAttempts, b.retries = [windowSlots]int{}, [windowSlots]int{}
 		b.slot = n
 	}
 
 	for b.slot < n {
 		b.slot++
-		b.firsts[b.slot%slots] = 0
-		b.repeats[b.slot%slots] = 0
+		b.firstAttempts[b.slot%windowSlots] = 0
+		b.retries[b.slot%windowSlots] = 0
 	}
 
-	return int(b.slot % slots)
+	return int(b.slot % windowSlots)
 }
 
-func sum(counts [slots]int) int {
+func sum(counts [windowSlots]int) int {
 	n := 0
 	for _, c := range counts {
 		n += c
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -6,27 +6,27 @@
 	"boragehub/failure"
 )
 
-// Attempt is one attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Idempotent says that the request may run twice.
+	// Idempotent says that the request may run more than once.
 	Idempotent bool
-	// Sent says that some of the request may have reached the target's side.
+	// Sent says that part of the request may have reached the target or its side process.
 	Sent bool
-	// Kind is how the attempt failed.
+	// Kind is the kind of failure.
 	Kind failure.Kind
-	// Number counts attempts from 1.
+	// Number is the number of the attempt, counted from 1.
 	Number int
-	// Most bounds the number of attempts; zero allows no repeat.
+	// Most is the maximum number of attempts; zero allows no retry.
 	Most int
-	// Answered says that part of the answer has gone to the caller; only an
-	// engine that resumes can go on from there, which is not a repeat.
+	// Answered says that part of the answer was sent to the caller. Only an engine that can
+	// resume the answer may then continue it, which is not a retry.
 	Answered bool
 }
 
-// May reports whether the rules allow the request to be tried on another
-// target. Whether there is room for it is the Budget's word.
+// May reports whether the rules allow the request to be retried on another target. The
+// caller has to check its Budget as well.
 func May(a Attempt) bool {
-	if a.Number >= a.Most || a.Answered || !elsewhere(a.Kind) {
+	if a.Number >= a.Most || a.Answered || !retryableElsewhere(a.Kind) {
 		return false
 	}
 
@@ -34,14 +34,14 @@
 		return true
 	}
 
-	// A non-idempotent request that may have run would run twice: only a
-	// refusal that is known to be true lets it go elsewhere.
+	// A non-idempotent request that may have run would run twice: it is retried only if the
+	// failure guarantees that nothing ran.
 	return a.Kind.Answer().Ran == failure.NotRun
 }
 
-// elsewhere reports whether another target may do what one could not.
-func elsewhere(k failure.Kind) bool {
-	switch k { //nolint:exhaustive // all others say something of the request, not of the target
+// retryableElsewhere reports whether another target may succeed after a failure of kind k.
+func retryableElsewhere(k failure.Kind) bool {
+	switch k { //nolint:exhaustive // all other kinds concern the request, not the target
 	case failure.Internal, failure.QueueFull, failure.Unavailable, failure.NotReady, failure.Draining,
 		failure.WrongVersion, failure.TargetLost, failure.ProtocolMismatch, failure.BadMessage:
 		return true
@@ -52,24 +52,25 @@
 
 // Hedge describes a request that waits for its first token.
 type Hedge struct {
-	// Idempotent says that the request may run twice.
+	// Idempotent says that the request may run more than once.
 	Idempotent bool
-	// Suspect says that the request ran on a target that died; it must not be
-	// on two targets at once.
+	// Suspect says that the request ran on a target that crashed; it must not run on two
+	// targets at once.
 	Suspect bool
-	// Waited is how long it has waited.
+	// Waited is how long the request has waited so far.
 	Waited time.Duration
-	// Usual is how long 95 in 100 such requests wait; zero when not known.
+	// Usual is the 95th percentile of the wait of such requests; zero, when not known,
+	// allows no hedge.
 	Usual time.Duration
-	// Left is the time until its deadline.
+	// Left is the time until the request's deadline.
 	Left time.Duration
-	// Hedged says that it was hedged already.
+	// Hedged says that the request was hedged before.
 	Hedged bool
 }
 
-// MayHedge reports whether a second run beside the first is worth trying: only
-// for an idempotent request that has waited longer than nearly all others and
-// can still make its deadline. The Budget has the last word.
+// MayHedge reports whether a second attempt in parallel is worthwhile: only for an
+// idempotent request that has waited longer than 95 % of such requests and can still meet
+// its deadline. The caller has to check its Budget as well.
 func MayHedge(h Hedge) bool {
 	if !h.Idempotent || h.Suspect || h.Hedged || h.Usual <= 0 {
 		return false
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -12,15 +12,15 @@
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// Targets fail and every request wants to be repeated. Were all allowed, what is
-// left of the fleet would get double the load just then.
+// Guards against a retry storm: when targets fail and every request is to be retried, an
+// unlimited number of retries would double the load on the remaining targets.
 func TestBudgetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := BudgetConfig{Ratio: rapid.SampledFrom([]float64{0.1, 0.2, 0.5}).Draw(rt, "ratio"), Floor: 2}
 		b := NewBudget(cfg)
 		now := epoch
 
-		var firsts, repeats []time.Time
+		var firstAttempts, retries []time.Time
 
 		within := func(times []time.Time, span time.Duration) int {
 			n := 0
@@ -40,22 +40,22 @@
 			},
 			"first": func(*rapid.T) {
 				b.First(now)
-				firsts = append(firsts, now)
+				firstAttempts = append(firstAttempts, now)
 			},
 			"repeat": func(rt *rapid.T) {
 				allowed := b.Allow(now)
 				if allowed {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 
-				// The budget's window moves by a tenth at a time.
+				// The budget's window advances by a tenth of its length at a time.
 				short, long := 9*time.Second, 10*time.Second
-				if got, most := within(repeats, short), cfg.Ratio*float64(within(firsts, long))+2; allowed && float64(got) > most {
-					rt.Fatalf("repeats: got %d in the window, want at most %.1f", got, most)
+				if got, limit := within(retries, short), cfg.Ratio*float64(within(firstAttempts, long))+2; allowed && float64(got) > limit {
+					rt.Fatalf("retries: got %d in the window, want at most %.1f", got, limit)
 				}
 
-				if got, most := within(repeats, long)+1, cfg.Ratio*float64(within(firsts, short))+2; !allowed && float64(got) <= most {
-					rt.Fatalf("got refused with %d repeats in the window, want up to %.1f allowed", got, most)
+				if got, limit := within(retries, long)+1, cfg.Ratio*float64(within(firstAttempts, short))+2; !allowed && float64(got) <= limit {
+					rt.Fatalf("got refused with %d retries in the window, want up to %.1f allowed", got, limit)
 				}
 			},
 		})
@@ -70,14 +70,14 @@
 	}{
 		{"idempotent, target lost", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3}, true},
 		{"idempotent, attempts used up", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 3, Most: 3}, false},
-		{"idempotent, part answered", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3, Answered: true}, false},
-		{"idempotent, the request is wrong", Attempt{Idempotent: true, Sent: true, Kind: failure.BadRequest, Number: 1, Most: 3}, false},
-		{"idempotent, deadline over", Attempt{Idempotent: true, Sent: true, Kind: failure.Timeout, Number: 1, Most: 3}, false},
+		{"idempotent, partly answered", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3, Answered: true}, false},
+		{"idempotent, bad request", Attempt{Idempotent: true, Sent: true, Kind: failure.BadRequest, Number: 1, Most: 3}, false},
+		{"idempotent, deadline exceeded", Attempt{Idempotent: true, Sent: true, Kind: failure.Timeout, Number: 1, Most: 3}, false},
 		{"idempotent, quarantined", Attempt{Idempotent: true, Sent: true, Kind: failure.Quarantined, Number: 1, Most: 3}, false},
 		{"booking, target lost", Attempt{Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3}, false},
 		{"booking, never sent", Attempt{Kind: failure.TargetLost, Number: 1, Most: 3}, true},
 		{"booking, refused as draining", Attempt{Sent: true, Kind: failure.Draining, Number: 1, Most: 3}, true},
-		{"booking, unintelligible answer", Attempt{Sent: true, Kind: failure.BadMessage, Number: 1, Most: 3}, false},
+		{"booking, malformed answer", Attempt{Sent: true, Kind: failure.BadMessage, Number: 1, Most: 3}, false},
 		{"booking, log unavailable", Attempt{Sent: true, Kind: failure.LogUnavailable, Number: 1, Most: 3}, false},
 		{"booking, outcome unknown", Attempt{Sent: true, Kind: failure.OutcomeUnknown, Number: 1, Most: 3}, false},
 	}
@@ -91,24 +91,24 @@
 	}
 }
 
-// A booking whose target fell silent may have gone through. Whatever the kind of
-// failure, a repeat without a promise that nothing ran would charge twice.
+// Guards against charging a booking twice: a booking whose target became unresponsive may
+// have been executed, so it may be retried only after a failure that guarantees that nothing ran.
 func TestBookingIsRepeatedOnlyOnAPromise(t *testing.T) {
 	for _, k := range failure.Kinds() {
 		got := May(Attempt{Sent: true, Kind: k, Number: 1, Most: 9})
 		if got && k.Answer().Ran != failure.NotRun {
-			t.Errorf("%v: got repeated, want not: it may have run", k)
+			t.Errorf("%v: got a retry, want none: it may have run", k)
 		}
 	}
 }
 
 func TestMayHedge(t *testing.T) {
 	late := Hedge{Idempotent: true, Waited: 2 * time.Second, Usual: time.Second, Left: time.Second}
-	booking, suspect, again, soon := late, late, late, late
+	booking, suspect, hedged, early := late, late, late, late
 	booking.Idempotent = false
 	suspect.Suspect = true
-	again.Hedged = true
-	soon.Waited = time.Second / 2
+	hedged.Hedged = true
+	early.Waited = time.Second / 2
 
 	cases := []struct {
 		name string
@@ -118,9 +118,9 @@
 		{"late", late, true},
 		{"not idempotent", booking, false},
 		{"suspect", suspect, false},
-		{"hedged before", again, false},
-		{"not late yet", soon, false},
-		{"nothing known", Hedge{}, false},
+		{"hedged before", hedged, false},
+		{"not late yet", early, false},
+		{"no data", Hedge{}, false},
 	}
 
 	for _, c := range cases {
@@ -134,12 +134,12 @@
 
 func TestBackoffGrowsWithinItsBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	cfg := BackoffConfig{First: 20 * time.Millisecond, Most: 100 * time.Millisecond}
+	cfg := BackoffConfig{Initial: 20 * time.Millisecond, Max: 100 * time.Millisecond}
 
-	for n, most := range []time.Duration{20, 20, 40, 80, 100, 100} {
+	for n, bound := range []time.Duration{20, 20, 40, 80, 100, 100} {
 		got := cfg.Backoff(n, rng)
-		if got < most*time.Millisecond/2 || got > most*time.Millisecond {
-			t.Errorf("attempt %d: got %v, want between half and the whole of %v ms", n, got, most)
+		if got < bound*time.Millisecond/2 || got > bound*time.Millisecond {
+			t.Errorf("attempt %d: got %v, want between half and the whole of %v ms", n, got, bound)
 		}
 	}
 }
