--- a/loader/bringer.go
+++ b/loader/bringer.go
@@ -10,44 +10,45 @@
 	"boragehub/pause"
 )
 
-// Timing of a load.
+// Timing of a reload.
 const (
-	// callTimeout bounds a call of the engine.
+	// callTimeout is the timeout of one call to the engine.
 	callTimeout = 600 * time.Millisecond
-	// headStart is how long before the order the entries are told, so that what
-	// they sent just before has started.
-	headStart = 60 * time.Millisecond
-	// orderAgain is how long an order may show no effect before it is given again.
-	orderAgain = 1500 * time.Millisecond
-	// loadPatience is how long a load may take.
-	loadPatience = 6 * time.Second
+	// announceLead is the time from the announcement to the entries until the order
+	// is sent, so that requests that entries sent just before have started.
+	announceLead = 60 * time.Millisecond
+	// orderRetryInterval is how long an order may show no effect before it is sent again.
+	orderRetryInterval = 1500 * time.Millisecond
+	// loadTimeout is how long a load may take, retries of the order included.
+	loadTimeout = 6 * time.Second
 )
 
-// bringer brings one engine to a version whose turn has come. The engine's loader uses
-// it, and an entry that stands in for one.
-type bringer struct {
-	engine  Engine
-	entries Entries
-	address string // the engine's
-	holder  string // this process's VM
-	every   time.Duration
-	place   int       // of this process among those who may order the engine
-	slot    int       // of those who may order the engine one after the other; 0 is its loader's
-	until   time.Time // when it may be ordered no more; zero for always
-	state   func(ctx context.Context) (State, bool)
-	log     logr.Logger
+// reloader loads a version into one engine whose rollout slot has started. It is used by
+// the engine's Loader, or by an entry's Standby if the engine has no loader.
+type reloader struct {
+	engine       Engine
+	entries      Entries
+	address      string // of the engine
+	holder       string // VM of this process
+	pollInterval time.Duration
+	rank         int       // of this process among those that may order the engine
+	window       int       // ordering window in which the order is sent; 0 is that of the engine's loader
+	orderUntil   time.Time // end of the window for orders; zero for no limit
+	queryState   func(ctx context.Context) (State, bool)
+	log          logr.Logger
 }
 
-// bring tells the entries, so that they send their requests elsewhere, and loads.
-func (b *bringer) bring(ctx context.Context, self string, n Named) {
-	b.entries.Tell(ctx, b.address, n.Model, n.Version, false)
+// reload announces the load to the entries, so that they send their requests to other
+// engines, and then orders it.
+func (r *reloader) reload(ctx context.Context, self string, n Named) {
+	r.entries.Tell(ctx, r.address, n.Model, n.Version, false)
 
-	if pause.For(ctx, headStart) {
-		b.load(ctx, self, n)
+	if pause.For(ctx, announceLead) {
+		r.orderAndWait(ctx, self, n)
 	}
 }
 
-// askState asks an engine for its state.
+// askState asks an engine for its state, with callTimeout.
 func askState(ctx context.Context, e Engine, address string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -55,79 +56,83 @@
 	return e.State(ctx, address)
 }
 
-// load orders the version and waits until the engine has it.
-func (b *bringer) load(ctx context.Context, self string, n Named) {
-	began := time.Now()
+// orderAndWait orders the version and waits until the engine has it, at most loadTimeout.
+func (r *reloader) orderAndWait(ctx context.Context, self string, n Named) {
+	started := time.Now()
 
 	var (
-		ordered time.Time
-		born    int64
+		orderedAt time.Time
+		startTime int64
 	)
 
-	for ctx.Err() == nil && time.Since(began) < loadPatience {
-		s, ok := b.state(ctx)
+	for ctx.Err() == nil && time.Since(started) < loadTimeout {
+		s, ok := r.queryState(ctx)
 		now := time.Now()
 
-		if ok && s.Born > born {
-			// It knows of no order that its last start was given.
-			born, ordered = s.Born, time.Time{}
+		if ok && s.Born > startTime {
+			// The engine restarted and no longer knows the orders given before.
+			startTime, orderedAt = s.Born, time.Time{}
 		}
 
 		switch {
 		case ok && s.Versions[n.Model] >= n.Version && !s.Busy:
-			event.Log(b.log, event.VersionLoaded, "model", n.Model, "version", s.Versions[n.Model], "after_ms", now.Sub(began).Milliseconds())
-			b.entries.Tell(ctx, b.address, n.Model, s.Versions[n.Model], true)
+			event.Log(r.log, event.VersionLoaded, "model", n.Model, "version", s.Versions[n.Model], "after_ms", now.Sub(started).Milliseconds())
+			r.entries.Tell(ctx, r.address, n.Model, s.Versions[n.Model], true)
 
 			return
-		case ok && !s.Busy && now.Sub(ordered) > orderAgain && b.may(now):
-			ordered = now
+		case ok && !s.Busy && now.Sub(orderedAt) > orderRetryInterval && r.mayOrder(now):
+			orderedAt = now
 
-			if b.order(ctx, self, n, s) == Refused {
-				// The engine was started anew, and the register still named its
-				// start before: the next look at the register knows better.
+			if r.order(ctx, self, n, s) == Refused {
+				// The engine restarted while the register still listed its previous
+				// start. The caller reads the register again on its next attempt.
 				return
 			}
 		}
 
-		pause.For(ctx, b.every)
+		pause.For(ctx, r.pollInterval)
 	}
 }
 
-// More than the slots that pass until an engine has a version, and than there are entries.
+// Bounds of the fencing number's parts: more than the ordering windows that pass before an
+// engine has a version, and more than there are entries.
 const (
-	fenceSlots  = 1000
-	fencePlaces = 1000
+	fenceWindows = 1000
+	fenceRanks   = 1000
 )
 
-// fence returns the fencing number of an order. It rises with the versions, and within one
-// version with the slots; two holders never use the same one.
-func (b *bringer) fence(version int64) int64 {
-	slot, place := min(b.slot, fenceSlots-1), min(b.place, fencePlaces-1)
+// fence returns the fencing number of an order. It rises with the version, and within a
+// version with the ordering window; below fenceWindows and fenceRanks, two holders never
+// use the same number.
+func (r *reloader) fence(version int64) int64 {
+	window, rank := min(r.window, fenceWindows-1), min(r.rank, fenceRanks-1)
 
-	return (version*fenceSlots+int64(slot))*fencePlaces + int64(place)
+	return (version*fenceWindows+int64(window))*fenceRanks + int64(rank)
 }
 
-// may reports whether the engine may still be ordered.
-func (b *bringer) may(now time.Time) bool { return b.until.IsZero() || now.Before(b.until) }
+// mayOrder reports whether the ordering window is still open.
+func (r *reloader) mayOrder(now time.Time) bool {
+	return r.orderUntil.IsZero() || now.Before(r.orderUntil)
+}
 
-func (b *bringer) order(ctx context.Context, self string, n Named, s State) Reply {
+func (r *reloader) order(ctx context.Context, self string, n Named, s State) Reply {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
-	fence := b.fence(n.Version)
+	fence := r.fence(n.Version)
 
-	reply, err := b.engine.Order(c, b.address, Order{
-		Target: self, Model: n.Model, Version: n.Version, Holder: b.holder, Fence: fence, Expected: s.Orders,
+	reply, err := r.engine.Order(c, r.address, Order{
+		Target: self, Model: n.Model, Version: n.Version, Holder: r.holder, Fence: fence, Expected: s.Orders,
 	})
 
 	fields := []any{"model", n.Model, "version", n.Version, "fence", fence, "expected", s.Orders, "status", reply.String(), "running", s.Running, "waiting", s.Waiting}
 	if err != nil {
-		event.Fail(b.log, err, event.VersionOrdered, fields...)
+		event.Fail(r.log, err, event.VersionOrdered, fields...)
 
 		return reply
 	}
 
-	event.Log(b.log, event.VersionOrdered, fields...)
+	event.Log(r.log, event.VersionOrdered, fields...)
 
 	return reply
 }
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,20 +1,19 @@
-// Package loader brings the engine beside a side process to the weight version
-// that operators named.
+// Package loader loads the weight version that operators published into the engine
+// beside a side process.
 //
 // # Model
 //
-// Each side process orders its own engine alone, so an engine has one holder by
-// construction and nobody has to be elected. The fencing number of an order rises
-// with the version that it names: versions only rise, so an order that comes late is
-// always the one with the lower number. An order also names how many orders the
-// engine had taken before, so that one which is carried out seconds late, after
-// another, is dropped.
+// Each side process orders only its own engine, so an engine has one holder by
+// construction and no leader election is needed. The fencing number of an order rises
+// with the version that it names: versions only rise, so a delayed order always has
+// the lower number. An order also states how many orders the engine must have accepted
+// before, so that an order that arrives seconds late, after another one, is rejected.
 //
-// Engines take turns (TakeTurn): each process works its engine's turn out from
-// the register. Before the order, the entries are told, so that they send their
-// requests elsewhere; afterwards they are told of the new version.
+// Engines load in rollout slots (AssignSlot): each process computes the slot of its
+// engine from the register. Before the order the load is announced to the entries, so
+// that they send their requests to other engines; afterwards the new version is.
 //
-// A Standby, in each entry, orders those engines that have no loader.
+// A Standby, in each entry, orders the engines that have no loader.
 package loader
 
 import (
@@ -28,52 +27,57 @@
 	"boragehub/pause"
 )
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
-	// Versions are its weight versions by model.
+	// Versions are the loaded weight versions by model.
 	Versions map[string]int64
-	// Busy says that an order is being carried out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
-	// Orders is how many orders it has taken since its start.
+	// Orders is the number of orders accepted since the engine's start.
 	Orders int64
-	// Running and Waiting are its requests.
+	// Running and Waiting are the numbers of running and queued requests.
 	Running, Waiting int
-	// Born is when it was started, in ms of its clock; zero when it doesn't tell.
+	// Born is the start time in milliseconds of the engine's clock; zero when the
+	// engine doesn't report it.
 	Born int64
 }
 
 // Order is an order to load a weight version.
 type Order struct {
-	// Target is the id of the engine's start that it is for; empty for any.
+	// Target is the target id, which identifies one start of the engine; an engine with
+	// another id refuses the order. Empty for any start.
 	Target string
-	// Model and Version say what to load.
+	// Model and Version name the weights to load.
 	Model   string
 	Version int64
-	// Holder names this process's VM.
+	// Holder is the VM of the process that sends the order.
 	Holder string
-	// Fence is the fencing number.
+	// Fence is the fencing number; an engine that checks it rejects an order below
+	// the highest number seen.
 	Fence int64
-	// Expected is how many orders the engine is to have taken before.
+	// Expected is the number of orders that the engine must have accepted before.
 	Expected int64
 }
 
-// Reply is what an engine answers to an order.
+// Reply is an engine's reply to an order.
 type Reply uint8
 
-// The replies.
+// The values of Reply.
 const (
-	// NoReply means that none came: the order may have been taken, or may be
-	// taken later.
+	// NoReply means that no reply was received: the order may have been accepted,
+	// or may be accepted later.
 	NoReply Reply = iota
-	// Accepted means that it is being carried out.
+	// Accepted means that the order is being carried out.
 	Accepted
-	// Holds means that the engine has the version already.
+	// Holds means that the version is already loaded.
 	Holds
-	// Busy means that another order is being carried out, or was taken since.
+	// Busy means that another order is being carried out, or that the number of
+	// accepted orders isn't the expected one.
 	Busy
-	// Fenced means that a higher fencing number was seen.
+	// Fenced means that the engine has seen a higher fencing number.
 	Fenced
-	// Refused means that the order is wrong.
+	// Refused means that the order is invalid, for example for another start of
+	// the engine.
 	Refused
 )
 
@@ -82,86 +86,88 @@
 	return [...]string{"no_reply", "accepted", "holds", "busy", "fenced", "refused"}[r]
 }
 
-// Engine calls the engine beside this process.
+// Engine calls engines by address.
 type Engine interface {
-	// State asks for its state.
+	// State returns the state of the engine at an address.
 	State(ctx context.Context, address string) (State, error)
-	// Order gives it an order.
+	// Order sends an order to the engine at an address.
 	Order(ctx context.Context, address string, o Order) (Reply, error)
 }
 
-// Register finds the engine and its siblings.
+// Register looks engines up in the register.
 type Register interface {
-	// Siblings returns the id of the engine at an address and the engines of its
-	// service that don't leave, itself included, with their version of a model.
+	// Siblings returns the target id of the engine at an address and the engines of its
+	// service that aren't draining, itself included, with their version of a model.
 	Siblings(ctx context.Context, address, model string) (self string, all []Sibling, err error)
 }
 
-// Entries are told what the engine is about to do.
+// Entries announces loads to all entries.
 type Entries interface {
-	// Tell tells all entries that the engine at an address is about to load a
-	// version, or has it.
+	// Tell announces that the engine at an address is about to load a version, or,
+	// with loaded set, that it has loaded it.
 	Tell(ctx context.Context, address, model string, version int64, loaded bool)
 }
 
-// Config is what a Loader works with.
+// Config configures a Loader.
 type Config struct {
-	// Address is the engine's.
+	// Address is the address of the engine.
 	Address string
-	// Holder is this process's VM.
+	// Holder is the VM of this process.
 	Holder string
-	// Turn says how engines take turns.
+	// Turn configures the rollout slots.
 	Turn TurnConfig
-	// Engine, Register and Entries are whom it speaks with.
+	// Engine, Register and Entries are the interfaces to the other processes.
 	Engine   Engine
 	Register Register
 	Entries  Entries
-	// Log gets a line for each step.
+	// Log receives an event for each step.
 	Log logr.Logger
 }
 
 // Timing of the loop.
 const (
-	// idleEvery is the pause between two looks at an engine that has what it
-	// should. They are free and find an engine that was started anew.
-	idleEvery = time.Second
-	// loadEvery is the pause between two looks at an engine that loads.
-	loadEvery = 50 * time.Millisecond
-	// registerTimeout bounds the look into the register.
+	// idlePollInterval is the time between two state queries while nothing is to be
+	// loaded. The queries cost nothing and detect an engine that restarted.
+	idlePollInterval = time.Second
+	// loadPollInterval is the time between two state queries while the engine loads.
+	loadPollInterval = 50 * time.Millisecond
+	// registerTimeout is the timeout of a read of the register.
 	registerTimeout = 800 * time.Millisecond
 )
 
-// namedRing is how many versions may be named while this process does something else.
-const namedRing = 64
+// updateQueueSize is the number of published versions that are queued while a load is
+// under way; beyond it Name blocks.
+const updateQueueSize = 64
 
-// Named is a weight version that operators named.
+// Named is a weight version that operators published.
 type Named struct {
-	// Model is the model's name.
+	// Model is the name of the model.
 	Model string
-	// Version is the version.
+	// Version is the weight version; versions of a model only rise.
 	Version int64
-	// Before says that it was named before this process started, nobody knows when.
+	// Before is set if the version was published before this process started, at
+	// an unknown time.
 	Before bool
 }
 
-// Loader brings one engine to the versions that are named. Use New.
+// Loader loads published versions into one engine. Use New.
 type Loader struct {
-	cfg    Config
-	wanted map[string]Named
-	news   chan Named
-	silent bool
-	turn   atomic.Pointer[time.Time] // when the engine's turn to load is; nil for none
+	cfg          Config
+	desired      map[string]Named
+	updates      chan Named
+	unresponsive bool
+	slotStart    atomic.Pointer[time.Time] // start of the engine's rollout slot; nil for none
 }
 
-// New returns a Loader that Run starts.
+// New returns a Loader; Run starts it.
 func New(cfg Config) *Loader {
-	return &Loader{cfg: cfg, wanted: make(map[string]Named), news: make(chan Named, namedRing)}
+	return &Loader{cfg: cfg, desired: make(map[string]Named), updates: make(chan Named, updateQueueSize)}
 }
 
-// LoadIn returns how long it is until the engine is ordered to load a version, zero
-// while it loads; ok is false when it isn't to.
+// LoadIn returns the time until the engine is ordered to load a version, zero while it
+// loads; ok is false when no load is planned.
 func (l *Loader) LoadIn(now time.Time) (in time.Duration, ok bool) {
-	at := l.turn.Load()
+	at := l.slotStart.Load()
 	if at == nil {
 		return 0, false
 	}
@@ -169,56 +175,56 @@
 	return max(at.Sub(now), 0), true
 }
 
-// Name takes that operators named a version.
-func (l *Loader) Name(n Named) { l.news <- n }
+// Name queues a version that operators published for loading.
+func (l *Loader) Name(n Named) { l.updates <- n }
 
-// Run works until ctx ends.
+// Run loads queued versions until ctx ends.
 func (l *Loader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.wait(ctx)
 
-		for model, n := range l.wanted {
+		for model, n := range l.desired {
 			s, ok := l.state(ctx)
 			if ok && s.Versions[model] > 0 && s.Versions[model] < n.Version {
-				l.bring(ctx, n)
+				l.reload(ctx, n)
 			}
 		}
 	}
 }
 
-// wait waits for a version to be named, or for the next look.
+// wait waits for a published version, or for idlePollInterval.
 func (l *Loader) wait(ctx context.Context) {
-	t := time.NewTimer(idleEvery)
+	t := time.NewTimer(idlePollInterval)
 	defer t.Stop()
 
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case n := <-l.news:
-		l.want(n)
+	case n := <-l.updates:
+		l.raiseDesired(n)
 	}
 
-	l.takeNews()
+	l.drainUpdates()
 }
 
-func (l *Loader) takeNews() {
+func (l *Loader) drainUpdates() {
 	for {
 		select {
-		case n := <-l.news:
-			l.want(n)
+		case n := <-l.updates:
+			l.raiseDesired(n)
 		default:
 			return
 		}
 	}
 }
 
-func (l *Loader) want(n Named) {
-	if n.Version > l.wanted[n.Model].Version {
-		l.wanted[n.Model] = n
+func (l *Loader) raiseDesired(n Named) {
+	if n.Version > l.desired[n.Model].Version {
+		l.desired[n.Model] = n
 	}
 }
 
-// state asks the engine and logs when it falls silent and answers again.
+// state queries the engine and logs when it stops answering and when it answers again.
 func (l *Loader) state(ctx context.Context) (State, bool) {
 	s, err := askState(ctx, l.cfg.Engine, l.cfg.Address)
 	if err != nil && ctx.Err() != nil {
@@ -226,19 +232,19 @@
 	}
 
 	switch {
-	case err != nil && !l.silent:
+	case err != nil && !l.unresponsive:
 		event.Fail(l.cfg.Log, err, event.EngineSilent, "address", l.cfg.Address)
-	case err == nil && l.silent:
+	case err == nil && l.unresponsive:
 		event.Log(l.cfg.Log, event.EngineAnswers, "address", l.cfg.Address, "versions", s.Versions)
 	}
 
-	l.silent = err != nil
+	l.unresponsive = err != nil
 
 	return s, err == nil
 }
 
-// bring waits for the engine's turn and loads.
-func (l *Loader) bring(ctx context.Context, n Named) {
+// reload waits for the engine's rollout slot and loads the newest published version.
+func (l *Loader) reload(ctx context.Context, n Named) {
 	c, cancel := context.WithTimeout(ctx, registerTimeout)
 	self, siblings, err := l.cfg.Register.Siblings(c, l.cfg.Address, n.Model)
 
@@ -250,27 +256,27 @@
 
 	cfg := l.cfg.Turn
 	if n.Before {
-		cfg = cfg.hurried()
+		cfg = cfg.expedited()
 	}
 
-	turn := TakeTurn(cfg, self, n.Version, siblings)
-	event.Log(l.cfg.Log, event.TurnPlanned, "model", n.Model, "version", n.Version, "rank", turn.Rank, "of", turn.Of, "wait_ms", turn.Wait.Milliseconds())
+	slot := AssignSlot(cfg, self, n.Version, siblings)
+	event.Log(l.cfg.Log, event.TurnPlanned, "model", n.Model, "version", n.Version, "rank", slot.Rank, "of", slot.Of, "wait_ms", slot.Wait.Milliseconds())
 
-	at := time.Now().Add(turn.Wait)
-	l.turn.Store(&at)
+	at := time.Now().Add(slot.Wait)
+	l.slotStart.Store(&at)
 
-	defer l.turn.Store(nil)
+	defer l.slotStart.Store(nil)
 
-	if !pause.For(ctx, max(turn.Wait, time.Millisecond)) {
+	if !pause.For(ctx, max(slot.Wait, time.Millisecond)) {
 		return
 	}
 
-	l.takeNews()
-	n = l.wanted[n.Model]
+	l.drainUpdates()
+	n = l.desired[n.Model]
 
-	b := bringer{
+	r := reloader{
 		engine: l.cfg.Engine, entries: l.cfg.Entries, address: l.cfg.Address, holder: l.cfg.Holder,
-		every: loadEvery, state: l.state, log: l.cfg.Log,
+		pollInterval: loadPollInterval, queryState: l.state, log: l.cfg.Log,
 	}
-	b.bring(ctx, self, n)
+	r.reload(ctx, self, n)
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -21,35 +21,35 @@
 	return all
 }
 
-// All engines that load at once would leave none that serves, and they would slow
-// each other down. Each process works its turn out alone, so the turns have to fit
-// together without anybody leading.
+// Guards against too many engines loading at once, which would slow each other down and
+// leave too few serving. Each process computes its slot alone, without a leader, so the
+// slots of all processes must fit together.
 func TestTurnsFitTogether(t *testing.T) {
 	tests := []struct {
-		engines, together int
+		engines, concurrent int
 	}{
 		{12, 2}, {18, 3}, {45, 9}, {55, 11}, {3, 1}, {1, 1},
 	}
 
 	for _, tt := range tests {
 		all := siblings(tt.engines, 1)
-		at := map[time.Duration]int{}
+		loadsAt := map[time.Duration]int{}
 		last := time.Duration(0)
 
 		for _, s := range all {
-			turn := TakeTurn(TurnConfig{}, s.ID, 2, all)
-			at[turn.Wait]++
-			last = max(last, turn.Wait)
+			slot := AssignSlot(TurnConfig{}, s.ID, 2, all)
+			loadsAt[slot.Wait]++
+			last = max(last, slot.Wait)
 		}
 
-		for wait, n := range at {
-			if n > tt.together {
-				t.Errorf("%d engines: got %d at %v, want %d at most", tt.engines, n, wait, tt.together)
+		for wait, n := range loadsAt {
+			if n > tt.concurrent {
+				t.Errorf("%d engines: got %d loads at %v, want %d at most", tt.engines, n, wait, tt.concurrent)
 			}
 		}
 
-		if most := 8*time.Second - loadTime; last > most {
-			t.Errorf("%d engines: got the last one at %v, want %v at most", tt.engines, last, most)
+		if latest := 8*time.Second - expectedLoadTime; last > latest {
+			t.Errorf("%d engines: got the last slot at %v, want %v at most", tt.engines, last, latest)
 		}
 	}
 }
@@ -58,98 +58,99 @@
 	all := siblings(12, 2)
 	all[3].Version, all[7].Version = 1, 1
 
-	turn := TakeTurn(TurnConfig{}, all[3].ID, 2, all)
-	if turn.Of != 2 || turn.Wait != TakeTurn(TurnConfig{}, all[7].ID, 2, all).Wait {
-		t.Errorf("got %+v, want the two of them at once", turn)
+	slot := AssignSlot(TurnConfig{}, all[3].ID, 2, all)
+	if slot.Of != 2 || slot.Wait != AssignSlot(TurnConfig{}, all[7].ID, 2, all).Wait {
+		t.Errorf("got %+v, want both engines in the same slot", slot)
 	}
 }
 
-// fakeEngine is an engine that takes orders as real ones do.
+// fakeEngine is an engine that accepts and rejects orders as real ones do.
 type fakeEngine struct {
-	mu       sync.Mutex
-	version  int64
-	busy     bool
-	orders   int64
-	came     []Order // all that reached it
-	taken    []Order
-	late     int // orders that get no answer and are carried out later
-	refuse   int // orders that are for another start
-	loadTime time.Duration
-	born     int64
-	start    int  // counts its starts
-	back     bool // it was brought to an older version than it had
+	mu         sync.Mutex
+	version    int64
+	busy       bool
+	orders     int64
+	received   []Order // accepted or not
+	accepted   []Order
+	delayed    int // number of next orders that get no reply and are processed 4 s later
+	refusals   int // number of next orders that are refused as for another start
+	loadTime   time.Duration
+	startTime  int64
+	starts     int  // number of restarts
+	downgraded bool // an older version than the current one was loaded
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
 func (e *fakeEngine) State(context.Context, string) (State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return State{Versions: map[string]int64{"m": e.version}, Busy: e.busy, Orders: e.orders, Born: e.born}, nil
+	return State{Versions: map[string]int64{"m": e.version}, Busy: e.busy, Orders: e.orders, Born: e.startTime}, nil
 }
 
 func (e *fakeEngine) Order(ctx context.Context, _ string, o Order) (Reply, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.came = append(e.came, o)
+	e.received = append(e.received, o)
 
-	if e.refuse > 0 {
-		e.refuse--
+	if e.refusals > 0 {
+		e.refusals--
 
-		return Refused, errNoAnswer
+		return Refused, errNoReply
 	}
 
-	if e.late > 0 {
-		e.late--
+	if e.delayed > 0 {
+		e.delayed--
 
-		start := e.start
+		start := e.starts
 
 		time.AfterFunc(4*time.Second, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 
-			// An order names the start that it is for and doesn't outlive it.
-			if e.start == start {
-				e.take(o)
+			// An order is valid only for the start that it names.
+			if e.starts == start {
+				e.accept(o)
 			}
 		})
 
-		return NoReply, errNoAnswer
+		return NoReply, errNoReply
 	}
 
-	return e.take(o), nil
+	return e.accept(o), nil
 }
 
-// take carries an order out if it is still the one expected. The caller holds mu.
-func (e *fakeEngine) take(o Order) Reply {
+// accept carries out an order if the engine is idle and the number of accepted orders is
+// the expected one. The caller holds mu.
+func (e *fakeEngine) accept(o Order) Reply {
 	if e.busy || o.Expected != e.orders {
 		return Busy
 	}
 
 	e.orders++
 	e.busy = true
-	e.taken = append(e.taken, o)
+	e.accepted = append(e.accepted, o)
 
-	start := e.start
+	start := e.starts
 
 	time.AfterFunc(e.loadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 
-		if e.start != start {
+		if e.starts != start {
 			return
 		}
 
-		e.back = e.back || o.Version < e.version
+		e.downgraded = e.downgraded || o.Version < e.version
 		e.busy, e.version = false, o.Version
 	})
 
 	return Accepted
 }
 
-// fakeRegister knows one engine.
+// fakeRegister lists one engine.
 type fakeRegister struct{ engine *fakeEngine }
 
 func (r fakeRegister) Siblings(context.Context, string, string) (string, []Sibling, error) {
@@ -159,25 +160,25 @@
 	return "engine-0", []Sibling{{ID: "engine-0", Version: r.engine.version}}, nil
 }
 
-// fakeEntries keeps what entries are told.
+// fakeEntries records announcements.
 type fakeEntries struct {
-	mu   sync.Mutex
-	told []string
+	mu            sync.Mutex
+	announcements []string
 }
 
 func (e *fakeEntries) Tell(_ context.Context, _, _ string, version int64, loaded bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.told = append(e.told, fmt.Sprintf("%d %v", version, loaded))
+	e.announcements = append(e.announcements, fmt.Sprintf("%d %v", version, loaded))
 }
 
-// crashAt is when play has its engine crash, where it does: within the load of a
-// version that was named after a second.
+// crashAt is when runLoader calls its crash functions: during the load of a version that
+// was published after 1 s.
 const crashAt = 2800 * time.Millisecond
 
-// play runs a loader for so long, with versions named at times.
-func play(t *testing.T, engine *fakeEngine, d time.Duration, names map[time.Duration]int64, crash ...func()) *fakeEntries {
+// runLoader runs a loader for d, with versions published at the given times.
+func runLoader(t *testing.T, engine *fakeEngine, d time.Duration, versions map[time.Duration]int64, crash ...func()) *fakeEntries {
 	t.Helper()
 
 	entries := &fakeEntries{}
@@ -185,13 +186,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 
-		var running sync.WaitGroup
+		var wg sync.WaitGroup
 
 		l := New(Config{Address: "a", Holder: "vm-1", Engine: engine, Register: fakeRegister{engine}, Entries: entries, Log: logr.Discard()})
 
-		running.Go(func() { l.Run(ctx) })
+		wg.Go(func() { l.Run(ctx) })
 
-		for at, v := range names {
+		for at, v := range versions {
 			time.AfterFunc(at, func() { l.Name(Named{Model: "m", Version: v}) })
 		}
 
@@ -201,8 +202,8 @@
 
 		time.Sleep(d)
 		cancel()
-		running.Wait()
-		time.Sleep(10 * time.Second) // what was put off is over
+		wg.Wait()
+		time.Sleep(10 * time.Second) // until delayed orders and loads are over
 	})
 
 	return entries
@@ -210,91 +211,91 @@
 
 func TestLoaderBringsTheVersionAndTellsEntriesBefore(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond}
-	entries := play(t, engine, 6*time.Second, map[time.Duration]int64{time.Second: 2})
+	entries := runLoader(t, engine, 6*time.Second, map[time.Duration]int64{time.Second: 2})
 
-	if engine.version != 2 || len(engine.taken) != 1 {
-		t.Fatalf("got version %d after %d orders, want 2 after 1", engine.version, len(engine.taken))
+	if engine.version != 2 || len(engine.accepted) != 1 {
+		t.Fatalf("got version %d after %d orders, want 2 after 1", engine.version, len(engine.accepted))
 	}
 
-	if o := engine.taken[0]; o.Holder != "vm-1" || o.Fence != 2*fenceSlots*fencePlaces || o.Expected != 0 || o.Target != "engine-0" {
-		t.Errorf("got order %+v", o)
+	if o := engine.accepted[0]; o.Holder != "vm-1" || o.Fence != 2*fenceWindows*fenceRanks || o.Expected != 0 || o.Target != "engine-0" {
+		t.Errorf("got order %+v, want holder vm-1, target engine-0, no orders expected and the fence of version 2", o)
 	}
 
-	if got, want := fmt.Sprint(entries.told), "[2 false 2 true]"; got != want {
-		t.Errorf("got entries told %s, want %s", got, want)
+	if got, want := fmt.Sprint(entries.announcements), "[2 false 2 true]"; got != want {
+		t.Errorf("got announcements %s, want %s", got, want)
 	}
 }
 
-// An order gets no answer and is carried out seconds later, when a newer version
-// was loaded by another one. Taken then, it would bring the old weights back, and
-// requests would be answered on them for good.
+// Guards against a downgrade by a delayed order: it gets no reply and arrives seconds
+// later, after another order has loaded a newer version. If it were accepted, the engine
+// would serve the old weights from then on.
 func TestLateOrderDoesNotBringOldWeightsBack(t *testing.T) {
-	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond, late: 1}
-	play(t, engine, 15*time.Second, map[time.Duration]int64{time.Second: 2, 4 * time.Second: 3})
+	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond, delayed: 1}
+	runLoader(t, engine, 15*time.Second, map[time.Duration]int64{time.Second: 2, 4 * time.Second: 3})
 
 	if engine.version != 3 {
 		t.Errorf("got version %d, want 3", engine.version)
 	}
 
-	for i := 1; i < len(engine.taken); i++ {
-		if engine.taken[i].Version < engine.taken[i-1].Version || engine.taken[i].Fence < engine.taken[i-1].Fence {
-			t.Errorf("got %+v after %+v, want versions and fences to rise", engine.taken[i], engine.taken[i-1])
+	for i := 1; i < len(engine.accepted); i++ {
+		if engine.accepted[i].Version < engine.accepted[i-1].Version || engine.accepted[i].Fence < engine.accepted[i-1].Fence {
+			t.Errorf("got %+v after %+v, want versions and fences to rise", engine.accepted[i], engine.accepted[i-1])
 		}
 	}
 }
 
-// An engine crashes while it loads and is started anew under its id, with the weights
-// and the counts that it had at first. An order of before is lost; waited for as usual,
-// it keeps the engine on replaced weights for longer than operators allow.
+// An engine crashes while it loads and restarts under the same id, with its initial weights
+// and order count. The order is lost; waiting for it until the retry interval ends would
+// keep the engine on the old weights for longer than operators allow.
 func TestEngineStartedAnewWhileItLoadsIsOrderedAgain(t *testing.T) {
-	engine := &fakeEngine{version: 1, born: 1000, loadTime: 5 * time.Second}
+	engine := &fakeEngine{version: 1, startTime: 1000, loadTime: 5 * time.Second}
 
 	crash := func() {
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 
-		engine.busy, engine.orders, engine.born, engine.loadTime = false, 0, 2000, 300*time.Millisecond
-		engine.start++
+		engine.busy, engine.orders, engine.startTime, engine.loadTime = false, 0, 2000, 300*time.Millisecond
+		engine.starts++
 	}
 
-	play(t, engine, 3900*time.Millisecond, map[time.Duration]int64{time.Second: 2}, crash)
+	runLoader(t, engine, 3900*time.Millisecond, map[time.Duration]int64{time.Second: 2}, crash)
 
-	if engine.version != 2 || len(engine.taken) != 2 || engine.taken[1].Expected != 0 {
-		t.Errorf("got version %d after %+v, want 2 after a second order that expects none before", engine.version, engine.taken)
+	if engine.version != 2 || len(engine.accepted) != 2 || engine.accepted[1].Expected != 0 {
+		t.Errorf("got version %d after %+v, want 2 after a second order that expects no earlier ones", engine.version, engine.accepted)
 	}
 }
 
-// A side process is started anew together with its engine. The register still names
-// the engine's start before, which the engine refuses orders for.
+// A side process restarts together with its engine. The register still lists the engine's
+// previous start, and the engine refuses orders for that one.
 func TestOrderForAnEarlierStartIsGivenAgain(t *testing.T) {
-	engine := &fakeEngine{version: 1, loadTime: 300 * time.Millisecond, refuse: 1}
-	play(t, engine, 5*time.Second, map[time.Duration]int64{time.Millisecond: 2})
+	engine := &fakeEngine{version: 1, loadTime: 300 * time.Millisecond, refusals: 1}
+	runLoader(t, engine, 5*time.Second, map[time.Duration]int64{time.Millisecond: 2})
 
 	if engine.version != 2 {
 		t.Errorf("got version %d, want 2", engine.version)
 	}
 }
 
-// All side processes were killed after new weights were named. What time is left
-// nobody knows, so the turns follow each other quickly.
+// All side processes were killed after new weights were published. The time left is
+// unknown, so the slots follow each other quickly.
 func TestVersionNamedBeforeTheStartIsHurried(t *testing.T) {
 	all := siblings(55, 1)
 	last := time.Duration(0)
 
 	for _, s := range all {
-		last = max(last, TakeTurn(TurnConfig{Within: 10 * time.Second}.hurried(), s.ID, 2, all).Wait)
+		last = max(last, AssignSlot(TurnConfig{Within: 10 * time.Second}.expedited(), s.ID, 2, all).Wait)
 	}
 
-	if want := hurriedTime - loadTime + time.Millisecond; last > want {
-		t.Errorf("got the last turn after %v, want %v at most", last, want)
+	if want := expeditedDuration - expectedLoadTime + time.Millisecond; last > want {
+		t.Errorf("got the last slot after %v, want %v at most", last, want)
 	}
 }
 
 func TestVersionThatFollowsAtOnceSkipsTheOneBefore(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond}
-	play(t, engine, 8*time.Second, map[time.Duration]int64{time.Second: 2, 1500 * time.Millisecond: 3})
+	runLoader(t, engine, 8*time.Second, map[time.Duration]int64{time.Second: 2, 1500 * time.Millisecond: 3})
 
-	if engine.version != 3 || len(engine.taken) != 1 {
-		t.Errorf("got version %d after %d orders, want 3 after 1", engine.version, len(engine.taken))
+	if engine.version != 3 || len(engine.accepted) != 1 {
+		t.Errorf("got version %d after %d orders, want 3 after 1", engine.version, len(engine.accepted))
 	}
 }
--- a/loader/standby.go
+++ b/loader/standby.go
@@ -11,157 +11,163 @@
 	"boragehub/roster"
 )
 
-// An engine without a loader beside it keeps its weights when operators name newer ones.
-// One notices that its requests go to the other engines, and that where there are no
-// loaders at all every caller is refused once the old weights may no longer be used.
+// An engine without a loader beside it keeps its weights when operators publish newer ones.
+// Its requests then go to the other engines, and where there are no loaders at all every
+// caller is refused once the old weights may no longer be used.
 //
-// So entries order the engines whose loader was never heard, though it was listened for.
-// Who does follows from a hash over the entries alive: each has a slot of time after the
-// engine's turn, in which it may order and the others don't. An engine with a loader that is
-// dead or stands still is left to it: it may be back at any moment, and not all engines
-// check who orders them.
+// Entries therefore order the engines whose loader was never seen, although its load reports
+// were asked for. Which entry does follows from a hash over the live entries: each has an
+// ordering window after the engine's rollout slot, in which it may order and the others may
+// not. An engine whose loader is dead or paused is left to that loader: it may be back at any
+// moment, and not all engines check the holder of an order.
 
-// Fleet knows the engines; *roster.Roster is one.
+// Fleet lists the engines; *roster.Roster implements it.
 type Fleet interface {
-	// Holdings returns the engines that have a version of a model and don't leave.
+	// Holdings returns the engines that have a version of a model and aren't draining.
 	Holdings(now time.Time, model string) []roster.Holding
 }
 
-// Ring ranks the entries alive.
+// Ring ranks the live entries.
 type Ring interface {
-	// Rank returns this entry's position in the rendezvous order of a key, from zero.
+	// Rank returns this entry's position, from zero, in the rendezvous hashing order
+	// of a key.
 	Rank(now time.Time, key string) int
-	// Size returns how many there are, this one included.
+	// Size returns the number of live entries, this one included.
 	Size(now time.Time) int
 }
 
-// StandbyConfig is what a Standby works with.
+// StandbyConfig configures a Standby.
 type StandbyConfig struct {
-	// Holder is this process's VM.
+	// Holder is the VM of this process.
 	Holder string
-	// Turn says how engines take turns, as at their loaders.
+	// Turn configures the rollout slots; it must equal that of the loaders.
 	Turn TurnConfig
-	// Engine, Entries, Fleet and Ring are whom it speaks with.
+	// Engine, Entries, Fleet and Ring are the interfaces to the other processes.
 	Engine  Engine
 	Entries Entries
 	Fleet   Fleet
 	Ring    Ring
-	// News returns when this process surely knew the newest version.
+	// News returns the latest time at which this process certainly knew the newest
+	// version.
 	News func() time.Time
-	// Log gets a line for each step.
+	// Log receives an event for each step.
 	Log logr.Logger
 }
 
 // Timing of a Standby.
 const (
-	// newsMost is the age up to which what is known of versions is gone by. The first engines
-	// are ordered later than that after a version was named, so whoever orders knows of it.
-	newsMost = 1100 * time.Millisecond
-	// standbyEvery is the pause between two looks at what is due.
-	standbyEvery = 250 * time.Millisecond
-	// slotTime is the time from one entry's slot to the next one's, slotOrders the part of it
-	// in which the entry may order. Who has ordered an engine is taken to hold it for three
-	// seconds, and entries learn of a version up to a second after each other.
-	slotTime   = 6 * time.Second
-	slotOrders = 2 * time.Second
-	// standbyLoadEvery is the pause between two looks at an engine that loads; they cross
-	// data centres.
-	standbyLoadEvery = 200 * time.Millisecond
+	// maxVersionsAge is the greatest staleness of the known versions at which engines are
+	// ordered. The first slot starts later than that after a version is published, so an
+	// entry that orders knows of it.
+	maxVersionsAge = 1100 * time.Millisecond
+	// standbyPollInterval is the time between two checks for due engines.
+	standbyPollInterval = 250 * time.Millisecond
+	// windowInterval is the time from the start of one entry's ordering window to the start
+	// of the next one's, windowLength the part of it in which the entry may order. The sender
+	// of an order counts as the engine's holder for three seconds, and entries learn of a
+	// version up to a second apart.
+	windowInterval = 6 * time.Second
+	windowLength   = 2 * time.Second
+	// standbyLoadPollInterval is the time between two state queries while an engine loads;
+	// longer than at a loader, as the queries cross data centres.
+	standbyLoadPollInterval = 200 * time.Millisecond
 )
 
 // Standby orders engines that have no loader. Use NewStandby.
 type Standby struct {
-	cfg  StandbyConfig
-	news chan Named
+	cfg     StandbyConfig
+	updates chan Named
 
-	mu    sync.Mutex
-	plans map[string]*plan    // by model
-	under map[string]struct{} // engines that are being brought to a version
+	mu         sync.Mutex
+	rollouts   map[string]*rollout // by model
+	inProgress map[string]struct{} // engines that this process is reloading, by id
 }
 
-// plan is when engines are to load a version.
-type plan struct {
-	named Named
-	at    time.Time            // when it was named, as far as known here
-	turns map[string]time.Time // by engine
+// rollout is the schedule by which the engines load a version of a model.
+type rollout struct {
+	desired    Named
+	learnedAt  time.Time            // when this process learnt of the version
+	slotStarts map[string]time.Time // by engine
 }
 
-// NewStandby returns a Standby that Run starts.
+// NewStandby returns a Standby; Run starts it.
 func NewStandby(cfg StandbyConfig) *Standby {
 	return &Standby{
-		cfg: cfg, news: make(chan Named, namedRing), plans: make(map[string]*plan), under: make(map[string]struct{}),
+		cfg: cfg, updates: make(chan Named, updateQueueSize), rollouts: make(map[string]*rollout), inProgress: make(map[string]struct{}),
 	}
 }
 
-// Name takes that operators named a version.
-func (s *Standby) Name(n Named) { s.news <- n }
+// Name queues a version that operators published.
+func (s *Standby) Name(n Named) { s.updates <- n }
 
-// Run works until ctx ends.
+// Run orders due engines until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 
-	t := time.NewTicker(standbyEvery)
+	t := time.NewTicker(standbyPollInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-s.news:
-			s.want(time.Now(), n)
+		case n := <-s.updates:
+			s.planRollout(time.Now(), n)
 		case <-t.C:
 		}
 
 		for _, j := range s.due(time.Now()) {
-			all.Go(func() {
-				s.bring(ctx, j)
-				s.done(j)
+			wg.Go(func() {
+				s.reload(ctx, j)
+				s.finish(j)
 			})
 		}
 	}
 }
 
-// want plans the turns of a version.
-func (s *Standby) want(now time.Time, n Named) {
+// planRollout starts the rollout of a version, unless one of it or of a newer version
+// has started.
+func (s *Standby) planRollout(now time.Time, n Named) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if p, ok := s.plans[n.Model]; ok && p.named.Version >= n.Version {
+	if r, ok := s.rollouts[n.Model]; ok && r.desired.Version >= n.Version {
 		return
 	}
 
-	s.plans[n.Model] = &plan{named: n, at: now, turns: make(map[string]time.Time)}
+	s.rollouts[n.Model] = &rollout{desired: n, learnedAt: now, slotStarts: make(map[string]time.Time)}
 }
 
-// slotAt returns the slot at a time after an engine's turn, and until when its entry may
-// order; ok is false outside of that time.
-func slotAt(now, turn time.Time) (slot int, until time.Time, ok bool) {
-	after := now.Sub(turn)
+// windowAt returns the ordering window that covers now, counted from the start of the
+// engine's rollout slot, and when its entry must stop ordering; ok is false outside of
+// windows.
+func windowAt(now, slotStart time.Time) (window int, until time.Time, ok bool) {
+	after := now.Sub(slotStart)
 	if after < 0 {
 		return 0, time.Time{}, false
 	}
 
-	slot = int(after / slotTime)
-	until = turn.Add(time.Duration(slot)*slotTime + slotOrders)
+	window = int(after / windowInterval)
+	until = slotStart.Add(time.Duration(window)*windowInterval + windowLength)
 
-	return slot, until, now.Before(until)
+	return window, until, now.Before(until)
 }
 
-// job is an engine that is to be brought to a version.
+// job is an engine that is due to load a version.
 type job struct {
-	engine roster.Holding
-	named  Named
-	slot   int
-	place  int       // of this process among the entries
-	until  time.Time // when the slot's time for orders is over
+	engine     roster.Holding
+	desired    Named
+	window     int
+	rank       int       // of this process among the entries, for this engine
+	orderUntil time.Time // end of the window
 }
 
-// due returns the engines that this process is to order now, and counts them as being
-// brought.
+// due returns the engines that this process has to order now, and marks them as in
+// progress.
 func (s *Standby) due(now time.Time) []job {
-	// One that is cut off from news would order an older version after a newer one.
-	if now.Sub(s.cfg.News()) > newsMost {
+	// With stale versions this process might order an older version after a newer one.
+	if now.Sub(s.cfg.News()) > maxVersionsAge {
 		return nil
 	}
 
@@ -170,44 +176,44 @@
 
 	var jobs []job
 
-	for model, p := range s.plans {
+	for model, r := range s.rollouts {
 		engines := s.cfg.Fleet.Holdings(now, model)
-		p.take(now, s.cfg.Turn, engines)
+		r.schedule(now, s.cfg.Turn, engines)
 
 		for _, e := range engines {
-			if _, busy := s.under[e.ID]; busy || !e.Alone || e.Loading || e.Version >= p.named.Version {
+			if _, busy := s.inProgress[e.ID]; busy || !e.Alone || e.Loading || e.Version >= r.desired.Version {
 				continue
 			}
 
-			slot, until, ok := slotAt(now, p.turns[e.ID])
-			place := s.cfg.Ring.Rank(now, e.ID)
+			window, until, ok := windowAt(now, r.slotStarts[e.ID])
+			rank := s.cfg.Ring.Rank(now, e.ID)
 
-			if !ok || slot%s.cfg.Ring.Size(now) != place {
+			if !ok || window%s.cfg.Ring.Size(now) != rank {
 				continue
 			}
 
-			s.under[e.ID] = struct{}{}
-			jobs = append(jobs, job{e, p.named, slot, place, until})
+			s.inProgress[e.ID] = struct{}{}
+			jobs = append(jobs, job{e, r.desired, window, rank, until})
 		}
 	}
 
 	return jobs
 }
 
-// take plans the turns of engines without a loader that have none yet. Those that are known
-// when the version is named have the turns that loaders work out for theirs; others come
-// as soon after each other as may be.
-func (p *plan) take(now time.Time, cfg TurnConfig, engines []roster.Holding) {
-	from := p.at
+// schedule assigns slots to engines without a loader that have none yet. The engines that
+// are known when the version is published get the slots that loaders compute for theirs;
+// those seen later get expedited slots.
+func (r *rollout) schedule(now time.Time, cfg TurnConfig, engines []roster.Holding) {
+	from := r.learnedAt
 
-	if p.named.Before || len(p.turns) > 0 {
-		cfg, from = cfg.hurried(), now
+	if r.desired.Before || len(r.slotStarts) > 0 {
+		cfg, from = cfg.expedited(), now
 	}
 
 	var all []Sibling
 
 	for _, e := range engines {
-		if _, ok := p.turns[e.ID]; ok || !e.Alone || e.Version >= p.named.Version {
+		if _, ok := r.slotStarts[e.ID]; ok || !e.Alone || e.Version >= r.desired.Version {
 			continue
 		}
 
@@ -215,7 +221,7 @@
 			all = siblingsOf(engines)
 		}
 
-		p.turns[e.ID] = from.Add(TakeTurn(cfg, e.ID, p.named.Version, all).Wait)
+		r.slotStarts[e.ID] = from.Add(AssignSlot(cfg, e.ID, r.desired.Version, all).Wait)
 	}
 }
 
@@ -228,17 +234,18 @@
 	return all
 }
 
-// done ends a try. The engine may be tried again, if it still lacks the version.
-func (s *Standby) done(j job) {
+// finish ends an attempt. The engine may be ordered again if it still lacks the version.
+func (s *Standby) finish(j job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	delete(s.under, j.engine.ID)
+	delete(s.inProgress, j.engine.ID)
 }
 
-// bring asks the engine first, which knows best, and orders it if it lacks the version.
-func (s *Standby) bring(ctx context.Context, j job) {
-	e, n := j.engine, j.named
+// reload queries the engine, whose state is more recent than the roster's, and orders it
+// if it lacks the version.
+func (s *Standby) reload(ctx context.Context, j job) {
+	e, n := j.engine, j.desired
 
 	state, err := askState(ctx, s.cfg.Engine, e.Address)
 	if err != nil {
@@ -256,15 +263,15 @@
 		return
 	}
 
-	event.Log(s.cfg.Log, event.StandbyOrders, "target", e.ID, "model", n.Model, "version", n.Version, "has", state.Versions[n.Model], "slot", j.slot)
+	event.Log(s.cfg.Log, event.StandbyOrders, "target", e.ID, "model", n.Model, "version", n.Version, "has", state.Versions[n.Model], "slot", j.window)
 
-	b := bringer{
-		engine: s.cfg.Engine, entries: s.cfg.Entries, address: e.Address, holder: s.cfg.Holder, every: standbyLoadEvery, slot: j.slot + 1, place: j.place, until: j.until, log: s.cfg.Log,
-		state: func(ctx context.Context) (State, bool) {
+	r := reloader{
+		engine: s.cfg.Engine, entries: s.cfg.Entries, address: e.Address, holder: s.cfg.Holder, pollInterval: standbyLoadPollInterval, window: j.window + 1, rank: j.rank, orderUntil: j.orderUntil, log: s.cfg.Log,
+		queryState: func(ctx context.Context) (State, bool) {
 			state, err := askState(ctx, s.cfg.Engine, e.Address)
 
 			return state, err == nil
 		},
 	}
-	b.bring(ctx, e.ID, n)
+	r.reload(ctx, e.ID, n)
 }
--- a/loader/standby_test.go
+++ b/loader/standby_test.go
@@ -15,17 +15,17 @@
 	"boragehub/roster"
 )
 
-// fakeFleet is engines of one model at addresses that are their ids.
+// fakeFleet is a set of engines of one model, whose addresses equal their ids.
 type fakeFleet struct {
-	mu      sync.Mutex
-	engines map[string]*fakeEngine
-	guarded map[string]bool // which have a loader
-	hidden  map[string]bool // what entries don't know of
-	cut     map[place]bool  // entries that have no news
+	mu          sync.Mutex
+	engines     map[string]*fakeEngine
+	hasLoader   map[string]bool    // by engine id
+	unlisted    map[string]bool    // engines that entries don't know of
+	partitioned map[fixedRank]bool // entries that can't learn of versions
 }
 
 func newFakeFleet(n int) *fakeFleet {
-	f := &fakeFleet{engines: make(map[string]*fakeEngine), guarded: make(map[string]bool), hidden: make(map[string]bool), cut: make(map[place]bool)}
+	f := &fakeFleet{engines: make(map[string]*fakeEngine), hasLoader: make(map[string]bool), unlisted: make(map[string]bool), partitioned: make(map[fixedRank]bool)}
 	for i := range n {
 		f.engines[fmt.Sprintf("engine-%d", i)] = &fakeEngine{version: 1, loadTime: 500 * time.Millisecond}
 	}
@@ -40,32 +40,32 @@
 	var all []roster.Holding
 
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; !f.hidden[id] {
-			all = append(all, roster.Holding{ID: id, Address: id, Version: e.has(), Alone: !f.guarded[id]})
+		if e := f.engines[id]; !f.unlisted[id] {
+			all = append(all, roster.Holding{ID: id, Address: id, Version: e.loadedVersion(), Alone: !f.hasLoader[id]})
 		}
 	}
 
 	return all
 }
 
-// news returns when an entry knew the newest version.
-func (f *fakeFleet) news(p place) time.Time {
+// versionsSyncedAt returns when an entry last knew the newest version.
+func (f *fakeFleet) versionsSyncedAt(p fixedRank) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.cut[p] {
+	if f.partitioned[p] {
 		return time.Time{}
 	}
 
 	return time.Now()
 }
 
-// setCut cuts an entry off from news, or ends that.
-func (f *fakeFleet) setCut(p place, cut bool) {
+// setPartitioned cuts an entry off from published versions, or reconnects it.
+func (f *fakeFleet) setPartitioned(p fixedRank, partitioned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.cut[p] = cut
+	f.partitioned[p] = partitioned
 }
 
 func (f *fakeFleet) State(ctx context.Context, address string) (State, error) {
@@ -76,50 +76,50 @@
 	return f.engines[address].Order(ctx, address, o)
 }
 
-// has returns the version that it has.
-func (e *fakeEngine) has() int64 {
+// loadedVersion returns the loaded version.
+func (e *fakeEngine) loadedVersion() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
 	return e.version
 }
 
-// ordered returns the versions that it was ordered to load.
-func (e *fakeEngine) ordered() []int64 {
+// acceptedVersions returns the versions of the accepted orders.
+func (e *fakeEngine) acceptedVersions() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
 	var all []int64
-	for _, o := range e.taken {
+	for _, o := range e.accepted {
 		all = append(all, o.Version)
 	}
 
 	return all
 }
 
-// orderedBy returns who ordered it.
-func (e *fakeEngine) orderedBy() []string {
+// acceptedHolders returns the holders of the accepted orders.
+func (e *fakeEngine) acceptedHolders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
 	var all []string
-	for _, o := range e.taken {
+	for _, o := range e.accepted {
 		all = append(all, o.Holder)
 	}
 
 	return all
 }
 
-// place is an entry's place in the order for every engine.
-type place int
+// fixedRank is a Ring in which an entry has the same rank for every engine.
+type fixedRank int
 
-func (p place) Rank(time.Time, string) int { return int(p) }
+func (p fixedRank) Rank(time.Time, string) int { return int(p) }
 
 // Size returns the number of entries in these tests.
-func (place) Size(time.Time) int { return 3 }
+func (fixedRank) Size(time.Time) int { return 3 }
 
-// playFleet has things happen to engines on virtual time; do starts them and waits.
-func playFleet(t *testing.T, n int, do func(ctx context.Context, f *fakeFleet)) {
+// runFleet calls do with a fleet of n engines in virtual time.
+func runFleet(t *testing.T, n int, do func(ctx context.Context, f *fakeFleet)) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
@@ -130,10 +130,10 @@
 	})
 }
 
-// standby starts an entry that stands by; stop ends it.
-func (f *fakeFleet) standby(ctx context.Context, p place) *Standby {
+// startStandby starts the Standby of an entry; it runs until ctx ends.
+func (f *fakeFleet) startStandby(ctx context.Context, p fixedRank) *Standby {
 	s := NewStandby(StandbyConfig{
-		Holder: fmt.Sprintf("entry-%d", p), Engine: f, Entries: &fakeEntries{}, Fleet: f, Ring: p, News: func() time.Time { return f.news(p) }, Log: logr.Discard(),
+		Holder: fmt.Sprintf("entry-%d", p), Engine: f, Entries: &fakeEntries{}, Fleet: f, Ring: p, News: func() time.Time { return f.versionsSyncedAt(p) }, Log: logr.Discard(),
 	})
 
 	go s.Run(ctx)
@@ -141,79 +141,80 @@
 	return s
 }
 
-// Operators name new weights, and no engine has a loader. Without anybody who stands in for
-// them the engines keep the old ones, and when these may no longer be used every caller is
-// refused.
+// Operators publish new weights, and no engine has a loader. Without a Standby the engines
+// would keep the old weights, and every caller would be refused once these may no longer be
+// used.
 func TestEnginesWithoutLoadersAreBroughtToTheVersion(t *testing.T) {
 	const engines = 12
 
-	playFleet(t, engines, func(ctx context.Context, f *fakeFleet) {
+	runFleet(t, engines, func(ctx context.Context, f *fakeFleet) {
 		for p := range 3 {
-			f.standby(ctx, place(p)).Name(Named{Model: "m", Version: 2})
+			f.startStandby(ctx, fixedRank(p)).Name(Named{Model: "m", Version: 2})
 		}
 
 		time.Sleep(8 * time.Second)
 
 		for id, e := range f.engines {
-			if got := e.has(); got != 2 {
+			if got := e.loadedVersion(); got != 2 {
 				t.Errorf("%s: got version %d after 8 s, want 2", id, got)
 			}
 
-			if got := len(e.ordered()); got != 1 {
-				t.Errorf("%s: got %d orders carried out, want 1", id, got)
+			if got := len(e.acceptedVersions()); got != 1 {
+				t.Errorf("%s: got %d orders accepted, want 1", id, got)
 			}
 		}
 	})
 }
 
-// An engine has a loader. Two who order the same engine within seconds are two holders, and
-// not every engine checks which of them is the later one.
+// Guards against a Standby that orders an engine with a loader: two processes that order an
+// engine within seconds are two holders, and not every engine checks the fencing number.
 func TestStandbyKeepsOutOfWhatLoadersDo(t *testing.T) {
-	playFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
+	runFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
 		l := New(Config{Address: "engine-0", Holder: "vm", Engine: f, Register: fakeRegister{f.engines["engine-0"]}, Entries: &fakeEntries{}, Log: logr.Discard()})
 		go l.Run(ctx)
 
-		s := f.standby(ctx, 0)
+		s := f.startStandby(ctx, 0)
 
 		l.Name(Named{Model: "m", Version: 2})
 		s.Name(Named{Model: "m", Version: 2})
 		time.Sleep(10 * time.Second)
 
-		if taken := f.engines["engine-0"].orderedBy(); len(taken) != 1 || taken[0] != "vm" {
-			t.Errorf("got orders of %v, want one of the loader", taken)
+		if accepted := f.engines["engine-0"].acceptedHolders(); len(accepted) != 1 || accepted[0] != "vm" {
+			t.Errorf("got orders by %v, want one by the loader", accepted)
 		}
 	})
 }
 
-// The entry that comes first for all engines is dead, and not yet known to be.
+// The entry with the first ordering window is dead but still counted as live. The next
+// entry must order the engine in its own window.
 func TestNextEntryFollows(t *testing.T) {
-	playFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
-		f.standby(ctx, 1).Name(Named{Model: "m", Version: 2})
-		time.Sleep(slotTime + 3*time.Second)
+	runFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
+		f.startStandby(ctx, 1).Name(Named{Model: "m", Version: 2})
+		time.Sleep(windowInterval + 3*time.Second)
 
-		if got := f.engines["engine-0"].has(); got != 2 {
+		if got := f.engines["engine-0"].loadedVersion(); got != 2 {
 			t.Errorf("got version %d, want 2", got)
 		}
 	})
 }
 
-// An entry starts while an old version is long since named and one engine is listed only
-// later. Nobody tells the entry again.
+// An entry starts long after a version was published, and one engine is listed only later.
+// The version isn't published to the entry again.
 func TestEngineThatIsKnownLateIsBroughtToTheVersion(t *testing.T) {
-	playFleet(t, 2, func(ctx context.Context, f *fakeFleet) {
-		f.hidden["engine-1"] = true
+	runFleet(t, 2, func(ctx context.Context, f *fakeFleet) {
+		f.unlisted["engine-1"] = true
 
-		f.standby(ctx, 0).Name(Named{Model: "m", Version: 2, Before: true})
+		f.startStandby(ctx, 0).Name(Named{Model: "m", Version: 2, Before: true})
 		time.Sleep(3 * time.Second)
 
 		f.mu.Lock()
-		f.hidden["engine-1"] = false
+		f.unlisted["engine-1"] = false
 		f.mu.Unlock()
 
 		time.Sleep(3 * time.Second)
 
 		for id, e := range f.engines {
-			if got := e.has(); got != 2 {
+			if got := e.loadedVersion(); got != 2 {
 				t.Errorf("%s: got version %d, want 2", id, got)
 			}
 		}
--- a/loader/stateful_test.go
+++ b/loader/stateful_test.go
@@ -11,67 +11,67 @@
 	"pgregory.net/rapid"
 )
 
-// settledAfter is when, after the last thing that happens, every engine has what it should:
-// its last turn, an order that is lost and one that is carried out late.
-const settledAfter = 2 * time.Minute
-
-// history is what happens to the engines of one model.
-type history struct {
-	engines []engineHistory
-	entries int
-	named   []naming
+// settleTime is the time after the last event within which every engine must have the newest
+// version: its last slot, an order that is lost and one that is carried out late.
+const settleTime = 2 * time.Minute
+
+// scenario is a sequence of events for the engines of one model.
+type scenario struct {
+	engines      []engineScenario
+	entries      int
+	publications []publication
 }
 
-// engineHistory is one engine's: whether it has a loader, and how many of its first orders
-// get no answer and are carried out seconds late.
-type engineHistory struct {
-	loader bool
-	late   int
+// engineScenario describes one engine: whether it has a loader, and how many of its first
+// orders get no reply and are carried out seconds late.
+type engineScenario struct {
+	loader  bool
+	delayed int
 }
 
-// naming is one version that operators name.
-type naming struct {
-	hears  []bool // which of the entries hear of it, but for the last one, which always does
-	before bool
-	pause  time.Duration // until the next thing
-	again  int           // the engine that starts again then, if there is one with that number
+// publication is one version that operators publish.
+type publication struct {
+	receivedBy  []bool // by receiver, loaders first; the loaders and the last entry always receive it
+	beforeStart bool
+	pause       time.Duration // until the restart and the next publication
+	restart     int           // number of the engine that restarts after the pause, if it exists
 }
 
-// mostHearing is as many as there may be loaders and entries in a history.
-const mostHearing = 7
+// maxReceivers is the greatest number of loaders and entries in a scenario.
+const maxReceivers = 7
 
-func drawHistory(r *rapid.T) history {
-	h := history{entries: rapid.IntRange(1, 3).Draw(r, "entries")}
+func drawScenario(r *rapid.T) scenario {
+	s := scenario{entries: rapid.IntRange(1, 3).Draw(r, "entries")}
 
 	for range rapid.IntRange(1, 4).Draw(r, "engines") {
-		h.engines = append(h.engines, engineHistory{rapid.Bool().Draw(r, "loader"), rapid.IntRange(0, 2).Draw(r, "late")})
+		s.engines = append(s.engines, engineScenario{rapid.Bool().Draw(r, "loader"), rapid.IntRange(0, 2).Draw(r, "late")})
 	}
 
 	for range rapid.IntRange(1, 3).Draw(r, "versions") {
-		h.named = append(h.named, naming{
-			hears:  rapid.SliceOfN(rapid.Bool(), mostHearing, mostHearing).Draw(r, "hears"),
-			before: rapid.Bool().Draw(r, "before"),
-			pause:  time.Duration(rapid.IntRange(0, 6000).Draw(r, "pause")) * time.Millisecond,
-			again:  rapid.IntRange(0, 8).Draw(r, "again"),
+		s.publications = append(s.publications, publication{
+			receivedBy:  rapid.SliceOfN(rapid.Bool(), maxReceivers, maxReceivers).Draw(r, "hears"),
+			beforeStart: rapid.Bool().Draw(r, "before"),
+			pause:       time.Duration(rapid.IntRange(0, 6000).Draw(r, "pause")) * time.Millisecond,
+			restart:     rapid.IntRange(0, 8).Draw(r, "again"),
 		})
 	}
 
-	return h
+	return s
 }
 
-// Loaders order their engines, and entries those without one; entries may be cut off from
-// news, orders are carried out seconds late or not answered, engines start again, and versions
-// are named one upon the other. No engine may ever be brought to an older version than it
-// had, two holders may not use one fencing number or a lower one after a higher, and
-// each engine has the newest version in the end, if whoever may order it knows of it.
+// Loaders order their engines, and entries those without one, while entries are cut off from
+// published versions, orders are delayed or get no reply, engines restart, and versions follow
+// each other quickly. No engine may ever load an older version than it had, two holders may
+// not use the same fencing number, nor may a lower number follow a higher one, and each engine
+// must have the newest version in the end, if the process that may order it knows of it.
 func TestOrdersOfManyBringEveryEngineForward(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := drawHistory(r)
+		s := drawScenario(r)
 
 		var problems []string
 
-		// Draws and failures of rapid have no place in the bubble of the clock.
-		synctest.Test(t, func(t *testing.T) { problems = h.play(t) })
+		// rapid must draw values and report failures outside of the synctest bubble.
+		synctest.Test(t, func(t *testing.T) { problems = s.run(t) })
 
 		for _, p := range problems {
 			r.Error(p)
@@ -79,66 +79,66 @@
 	})
 }
 
-func (h history) play(t *testing.T) (problems []string) {
+func (s scenario) run(t *testing.T) (problems []string) {
 	t.Helper()
 
 	ctx, cancel := context.WithCancel(t.Context())
-	f := newFakeFleet(len(h.engines))
+	f := newFakeFleet(len(s.engines))
 
-	var tell []func(Named)
+	var receivers []func(Named)
 
-	for i, x := range h.engines {
+	for i, x := range s.engines {
 		id := fmt.Sprintf("engine-%d", i)
-		f.engines[id].late = x.late
+		f.engines[id].delayed = x.delayed
 
 		if x.loader {
-			f.guarded[id] = true
+			f.hasLoader[id] = true
 
-			l := New(Config{Address: id, Holder: "vm " + id, Engine: f, Register: oneOf{f, id}, Entries: &fakeEntries{}, Log: logr.Discard()})
+			l := New(Config{Address: id, Holder: "vm " + id, Engine: f, Register: engineRegister{f, id}, Entries: &fakeEntries{}, Log: logr.Discard()})
 			go l.Run(ctx)
 
-			tell = append(tell, l.Name)
+			receivers = append(receivers, l.Name)
 		}
 	}
 
-	loaders := len(tell)
+	loaders := len(receivers)
 
-	for p := range h.entries {
-		tell = append(tell, f.standby(ctx, place(h.entries-1-p)).Name)
+	for p := range s.entries {
+		receivers = append(receivers, f.startStandby(ctx, fixedRank(s.entries-1-p)).Name)
 	}
 
-	for v, n := range h.named {
-		for i, name := range tell {
-			hears := n.hears[i] || i < loaders || i == len(tell)-1
+	for v, n := range s.publications {
+		for i, publish := range receivers {
+			receives := n.receivedBy[i] || i < loaders || i == len(receivers)-1
 			if i >= loaders {
-				f.setCut(place(h.entries-1-(i-loaders)), !hears)
+				f.setPartitioned(fixedRank(s.entries-1-(i-loaders)), !receives)
 			}
 
-			if hears {
-				name(Named{Model: "m", Version: int64(v + 2), Before: n.before})
+			if receives {
+				publish(Named{Model: "m", Version: int64(v + 2), Before: n.beforeStart})
 			}
 		}
 
 		time.Sleep(n.pause)
 
-		if e, ok := f.engines[fmt.Sprintf("engine-%d", n.again)]; ok {
-			e.again()
+		if e, ok := f.engines[fmt.Sprintf("engine-%d", n.restart)]; ok {
+			e.restart()
 		}
 	}
 
-	time.Sleep(settledAfter)
+	time.Sleep(settleTime)
 
 	for id, e := range f.engines {
-		if got, want := e.has(), int64(len(h.named)+1); got != want {
+		if got, want := e.loadedVersion(), int64(len(s.publications)+1); got != want {
 			problems = append(problems, fmt.Sprintf("%s: got version %d, want %d", id, got, want))
 		}
 
-		if p := e.disorder(); p != "" {
+		if p := e.fenceViolation(); p != "" {
 			problems = append(problems, id+": "+p)
 		}
 
-		if e.wentBack() {
-			problems = append(problems, fmt.Sprintf("%s: got orders %v carried out, want none for an older version than it had", id, e.ordered()))
+		if e.wasDowngraded() {
+			problems = append(problems, fmt.Sprintf("%s: got orders for versions %v accepted, want none for an older version than the loaded one", id, e.acceptedVersions()))
 		}
 	}
 
@@ -148,23 +148,24 @@
 	return problems
 }
 
-// wentBack reports whether it was brought to an older version than it had.
-func (e *fakeEngine) wentBack() bool {
+// wasDowngraded reports whether an older version than the current one was loaded.
+func (e *fakeEngine) wasDowngraded() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return e.back
+	return e.downgraded
 }
 
-// disorder tells what is wrong with the fencing numbers of the orders that came, if anything is.
-func (e *fakeEngine) disorder() string {
+// fenceViolation describes the first violation of the order of fencing numbers among the
+// received orders; empty for none.
+func (e *fakeEngine) fenceViolation() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	for i, o := range e.came {
-		for _, before := range e.came[:i] {
-			if before.Fence > o.Fence || before.Fence == o.Fence && before.Holder != o.Holder {
-				return fmt.Sprintf("%s ordered with %d after %s with %d", o.Holder, o.Fence, before.Holder, before.Fence)
+	for i, o := range e.received {
+		for _, earlier := range e.received[:i] {
+			if earlier.Fence > o.Fence || earlier.Fence == o.Fence && earlier.Holder != o.Holder {
+				return fmt.Sprintf("got an order by %s with fence %d after one by %s with fence %d, want rising fences", o.Holder, o.Fence, earlier.Holder, earlier.Fence)
 			}
 		}
 	}
@@ -172,27 +173,27 @@
 	return ""
 }
 
-// oneOf is the register of a fleet, for one engine's loader.
-type oneOf struct {
+// engineRegister is the Register of one engine's loader.
+type engineRegister struct {
 	fleet *fakeFleet
 	id    string
 }
 
-func (o oneOf) Siblings(context.Context, string, string) (string, []Sibling, error) {
+func (o engineRegister) Siblings(context.Context, string, string) (string, []Sibling, error) {
 	var all []Sibling
 	for id, e := range o.fleet.engines {
-		all = append(all, Sibling{ID: id, Version: e.has()})
+		all = append(all, Sibling{ID: id, Version: e.loadedVersion()})
 	}
 
 	return o.id, all, nil
 }
 
-// again has the engine start again under its id, with the version that it had.
-func (e *fakeEngine) again() {
+// restart restarts the engine under the same id and with the same version.
+func (e *fakeEngine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.start++
-	e.born++
+	e.starts++
+	e.startTime++
 	e.busy, e.orders = false, 0
 }
--- a/loader/turn.go
+++ b/loader/turn.go
@@ -7,45 +7,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sibling is an engine of the same service.
+// Sibling is an engine of the same service, as listed in the register.
 type Sibling struct {
-	// ID is the id of its present start.
+	// ID is the target id of the engine's current start.
 	ID string
-	// Version is its weight version.
+	// Version is the loaded weight version.
 	Version int64
 }
 
-// TurnConfig says how engines take turns. Zero values get a default.
+// TurnConfig configures the rollout slots. Zero values get a default.
 type TurnConfig struct {
-	// Together is the part of the engines that load at once: 0.2 when zero. More
-	// would slow each other down and leave too few that serve.
-	Together float64
-	// First is when the first turn starts: 1.2 s when zero. Until 1.5 s after a
-	// version was named answers on the one before are as good, and contexts are
-	// warm only there.
-	First time.Duration
-	// Each is the most time from the start of one turn to the next: 1.1 s when
-	// zero. All contexts are read anew for new weights; taken faster, the engines
-	// can't keep up with that.
-	Each time.Duration
-	// Within is the time in which all engines have to have the version: 8 s when zero.
+	// MaxLoadingShare is the share of the engines that load at once: 0.2 when zero.
+	// More concurrent loads would slow each other down and leave too few engines
+	// serving.
+	MaxLoadingShare float64
+	// InitialDelay is the time until the first slot: 1.2 s when zero. Until 1.5 s
+	// after a version is published, answers with the previous one are equally
+	// valid, and contexts are cached only for that one.
+	InitialDelay time.Duration
+	// MaxInterval is the longest time from the start of one slot to the next: 1.1 s
+	// when zero. Every context has to be prefilled again for new weights; at shorter
+	// intervals the engines can't keep up with that work.
+	MaxInterval time.Duration
+	// Within is the time within which all engines must have the version: 8 s when zero.
 	Within time.Duration
 }
 
-// loadTime is what a load takes with the runs before it, at most in usual times.
-const loadTime = 1500 * time.Millisecond
+// expectedLoadTime is the usual upper bound of a load's duration, including the requests
+// that run to their end before it.
+const expectedLoadTime = 1500 * time.Millisecond
 
 func (c TurnConfig) withDefaults() TurnConfig {
-	if c.Together <= 0 {
-		c.Together = 0.2
+	if c.MaxLoadingShare <= 0 {
+		c.MaxLoadingShare = 0.2
 	}
 
-	if c.First <= 0 {
-		c.First = 1200 * time.Millisecond
+	if c.InitialDelay <= 0 {
+		c.InitialDelay = 1200 * time.Millisecond
 	}
 
-	if c.Each <= 0 {
-		c.Each = 1100 * time.Millisecond
+	if c.MaxInterval <= 0 {
+		c.MaxInterval = 1100 * time.Millisecond
 	}
 
 	if c.Within <= 0 {
@@ -55,79 +57,81 @@
 	return c
 }
 
-// hurriedTime is the time in which all engines have to have a version that was
-// named before their loaders started.
-const hurriedTime = 3 * time.Second
+// expeditedDuration is the time within which all engines must have a version that was
+// published before their loaders started.
+const expeditedDuration = 3 * time.Second
 
-// hurried returns turns for a version that was named nobody knows how long ago: at
-// once, and soon after each other.
-func (c TurnConfig) hurried() TurnConfig {
-	c.First = time.Millisecond
-	c.Within = hurriedTime
+// expedited returns the configuration for a version that was published at an unknown
+// time: the slots start at once and follow each other quickly.
+func (c TurnConfig) expedited() TurnConfig {
+	c.InitialDelay = time.Millisecond
+	c.Within = expeditedDuration
 
 	return c
 }
 
-// each returns the time from one turn to the next.
-func (c TurnConfig) each(turns int) time.Duration {
-	if turns < 2 {
-		return c.Each
+// interval returns the time from the start of one slot to the next.
+func (c TurnConfig) interval(slots int) time.Duration {
+	if slots < 2 {
+		return c.MaxInterval
 	}
 
-	return max(min(c.Each, (c.Within-c.First-loadTime)/time.Duration(turns-1)), 0)
+	return max(min(c.MaxInterval, (c.Within-c.InitialDelay-expectedLoadTime)/time.Duration(slots-1)), 0)
 }
 
-// Turn is when an engine loads a version.
-type Turn struct {
-	// Rank is the engine's place among those that have yet to load, Of their number.
+// RolloutSlot is the time at which an engine loads a version. Several engines share a slot.
+type RolloutSlot struct {
+	// Rank is the engine's position, from zero, among the engines that lack the
+	// version, and Of is their number.
 	Rank, Of int
-	// Wait is how long it waits.
+	// Wait is the time until the slot starts.
 	Wait time.Duration
 }
 
-// TakeTurn returns when the engine self loads a version. Each side process works
-// it out for its own engine from the same list, in an order by hash that mixes
-// data centres, so that no process has to lead.
-func TakeTurn(cfg TurnConfig, self string, version int64, siblings []Sibling) Turn {
+// AssignSlot returns the slot in which the engine self loads a version; an engine that
+// isn't among the siblings gets the first slot. Each side process computes it for its
+// own engine from the same list, in an order by hash that mixes data centres, so no
+// leader is needed.
+func AssignSlot(cfg TurnConfig, self string, version int64, siblings []Sibling) RolloutSlot {
 	cfg = cfg.withDefaults()
 
-	var due []string
+	var pending []string
 
 	for _, s := range siblings {
 		if s.Version < version {
-			due = append(due, s.ID)
+			pending = append(pending, s.ID)
 		}
 	}
 
-	sort.Slice(due, func(i, j int) bool {
-		a, b := xxhash.Sum64String(due[i]), xxhash.Sum64String(due[j])
+	sort.Slice(pending, func(i, j int) bool {
+		a, b := xxhash.Sum64String(pending[i]), xxhash.Sum64String(pending[j])
 		if a != b {
 			return a < b
 		}
 
-		return due[i] < due[j]
+		return pending[i] < pending[j]
 	})
 
-	due = spread(due)
+	pending = spread(pending)
 
-	together := max(int(cfg.Together*float64(len(siblings))), 1)
-	t := Turn{Of: len(due)}
+	concurrent := max(int(cfg.MaxLoadingShare*float64(len(siblings))), 1)
+	slot := RolloutSlot{Of: len(pending)}
 
-	for i, id := range due {
+	for i, id := range pending {
 		if id == self {
-			t.Rank = i
+			slot.Rank = i
 		}
 	}
 
-	turns := (t.Of + together - 1) / together
-	t.Wait = cfg.First + time.Duration(t.Rank/together)*cfg.each(turns)
+	slots := (slot.Of + concurrent - 1) / concurrent
+	slot.Wait = cfg.InitialDelay + time.Duration(slot.Rank/concurrent)*cfg.interval(slots)
 
-	return t
+	return slot
 }
 
-// spread reorders engines so that each turn takes some from all over the order, so
-// that nothing else that goes by the same order, as a hash of the id may, loses
-// neighbours together.
+// spread interleaves the two halves of the order, so that engines next to each other
+// in it don't load in the same slot. Something else may use the same order, for example
+// by a hash of the id, and would lose neighbouring engines at the same time.
 func spread(ids []string) []string {
 	half := (len(ids) + 1) / 2
 	out := make([]string, 0, len(ids))
