--- a/weights/bench_test.go
+++ b/weights/bench_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// sizes are engines and models: today's larger site, ten times as many, and two
-// years on.
+// sizes are the larger site of today, ten times as many engines, and the size expected
+// in two years.
 var sizes = []struct{ engines, models int }{{18, 1}, {180, 4}, {1700, 35}}
 
-func filled(engines, models int) (*Inventory, []Wanted) {
-	b := NewInventory(InventoryConfig{})
+func filledInventory(engines, models int) (*Inventory, []Wanted) {
+	inventory := NewInventory(InventoryConfig{})
 
 	var wanted []Wanted
 	for i := range models {
@@ -19,16 +19,16 @@
 	}
 
 	for i := range engines {
-		b.Hear(epoch, Report{
+		inventory.Hear(epoch, Report{
 			VM: fmt.Sprintf("engine-%04d", i), DataCentre: fmt.Sprintf("dc-%02d", i%11), Model: fmt.Sprint(i % models),
 			Boot: "1", Sequence: 1, Version: "v1", Fence: 1, StateAge: time.Hour,
 		})
 	}
 
-	return b, wanted
+	return inventory, wanted
 }
 
-func each(b *testing.B, f func(b *testing.B, engines, models int)) {
+func forEachSize(b *testing.B, f func(b *testing.B, engines, models int)) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("engines=%d/models=%d", s.engines, s.models), func(b *testing.B) {
 			b.ReportAllocs()
@@ -38,9 +38,9 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	each(b, func(b *testing.B, engines, models int) {
-		board, wanted := filled(engines, models)
-		v := board.View(epoch, wanted, 1, epoch)
+	forEachSize(b, func(b *testing.B, engines, models int) {
+		inventory, wanted := filledInventory(engines, models)
+		v := inventory.View(epoch, wanted, 1, epoch)
 
 		for b.Loop() {
 			Plan(epoch, Config{}, v)
@@ -49,11 +49,11 @@
 }
 
 func BenchmarkView(b *testing.B) {
-	each(b, func(b *testing.B, engines, models int) {
-		board, wanted := filled(engines, models)
+	forEachSize(b, func(b *testing.B, engines, models int) {
+		inventory, wanted := filledInventory(engines, models)
 
 		for b.Loop() {
-			board.View(epoch, wanted, 1, epoch)
+			inventory.View(epoch, wanted, 1, epoch)
 		}
 	})
 }
--- a/weights/inventory.go
+++ b/weights/inventory.go
@@ -8,214 +8,221 @@
 	"boragehub/failure"
 )
 
-// Report is what a side process says of its engine. Times are ages by its own
-// clock, so that clocks which are apart don't matter.
+// Report is what a side process reports about its engine. Times are sent as ages
+// measured by its own clock, so that clock skew between VMs doesn't matter.
 type Report struct {
-	// VM, DataCentre and Model say which.
+	// VM, DataCentre and Model identify the engine.
 	VM, DataCentre, Model string
-	// Boot is the engine's boot id; Sequence rises with each report of one side process.
+	// Boot is the engine's boot id; Sequence rises with each report of one side
+	// process; zero exempts a report from the check for staleness.
 	Boot     string
 	Sequence uint64
-	// Version, Adapters, Role and State are what it has.
+	// Version, Adapters, Role and State are the engine's current ones.
 	Version  string
 	Adapters []string
 	Role     string
 	State    State
-	// StateAge is how long it has been in State.
+	// StateAge is the time since the engine reached State.
 	StateAge time.Duration
-	// Running is how many requests it runs.
+	// Running is the number of requests in flight on the engine.
 	Running int
 	// FailedVersion is the version whose load failed last, empty for none, and
-	// FailedAge how long ago.
+	// FailedAge is the time since then.
 	FailedVersion string
 	FailedAge     time.Duration
 	// Fence is the highest fencing number that the side process has seen, and
-	// Accepted the number of the last order that it accepted under it.
+	// Accepted is the number of the last order that it accepted under that fence.
 	Fence, Accepted uint64
 }
 
-// InventoryConfig configures a Inventory. Zero values get a default.
+// InventoryConfig configures an Inventory. Zero values get a default.
 type InventoryConfig struct {
-	// LostAfter is the silence after which an engine counts as lost. 45 s when zero.
+	// LostAfter is the time without a report after which an engine counts as lost.
+	// 45 s when zero.
 	LostAfter time.Duration
-	// ForgetAfter is the silence after which it is forgotten, and a load that it
-	// may be running with it. 10 min when zero.
+	// ForgetAfter is the time without a report after which an engine is removed,
+	// together with a load that it may be running. 10 min when zero.
 	ForgetAfter time.Duration
-	// SoundAfter is how long an engine must serve with a version that it was
-	// ordered to load before its death isn't put down to it. 60 s when zero.
-	SoundAfter time.Duration
+	// CrashWindow is how long an engine must serve with a version that it was
+	// ordered to load before a crash is no longer attributed to that version. 60 s
+	// when zero.
+	CrashWindow time.Duration
 }
 
-// Inventory keeps what engines said and which orders were given to them. Use
-// NewInventory. Its methods may be called from many goroutines.
+// Inventory keeps the last reports of engines and the orders sent to them. Use
+// NewInventory. Its methods are safe for concurrent use.
 type Inventory struct {
 	cfg InventoryConfig
 
 	mu      sync.Mutex
-	engines map[string]*post
+	engines map[string]*engineRecord
 	number  uint64 // of the last order
 }
 
-// post is one engine on the board.
-type post struct {
-	engine   Engine
-	order    Order // the last one given, which Engine.Ordered is about
-	boot     string
-	former   [4]string // boots before it, newest first
-	sequence uint64
-	heard    time.Time
-	died     string // version that was new when the last boot ended, until the next is ready
-	broken   string // version that it died of
-	brokenAt time.Time
+// engineRecord is the state of one engine in an Inventory.
+type engineRecord struct {
+	engine         Engine
+	order          Order // the last one sent; engine.Ordered refers to it
+	boot           string
+	previousBoots  [4]string // boots before boot, newest first
+	sequence       uint64
+	lastSeen       time.Time
+	suspectVersion string // version loaded shortly before the last boot ended; cleared when the next is ready
+	crashVersion   string // version that the engine crashed on
+	crashedAt      time.Time
 }
 
 // NewInventory returns an empty Inventory.
 func NewInventory(cfg InventoryConfig) *Inventory {
-	cfg.LostAfter = or(cfg.LostAfter, 45*time.Second)
-	cfg.ForgetAfter = or(cfg.ForgetAfter, 10*time.Minute)
-	cfg.SoundAfter = or(cfg.SoundAfter, time.Minute)
+	cfg.LostAfter = orDefault(cfg.LostAfter, 45*time.Second)
+	cfg.ForgetAfter = orDefault(cfg.ForgetAfter, 10*time.Minute)
+	cfg.CrashWindow = orDefault(cfg.CrashWindow, time.Minute)
 
-	return &Inventory{cfg: cfg, engines: map[string]*post{}}
+	return &Inventory{cfg: cfg, engines: map[string]*engineRecord{}}
 }
 
-// Hear takes a report; one that was overtaken is ignored.
-func (b *Inventory) Hear(now time.Time, r Report) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Hear records a report, unless it is stale.
+func (i *Inventory) Hear(now time.Time, r Report) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 
-	p, ok := b.engines[r.VM]
+	rec, ok := i.engines[r.VM]
 	if !ok {
-		p = &post{}
-		b.engines[r.VM] = p
+		rec = &engineRecord{}
+		i.engines[r.VM] = rec
 	}
 
-	if ok && p.overtaken(r) {
+	if ok && rec.stale(r) {
 		return
 	}
 
-	if ok && r.Boot != p.boot {
-		p.rebooted(now, b.cfg.SoundAfter)
+	if ok && r.Boot != rec.boot {
+		rec.recordReboot(now, i.cfg.CrashWindow)
 	}
 
-	// A report that left before the order came in must not clear it, or the
-	// engine would be ordered twice; one that names the order shows its load too.
-	ordered := p.engine.Ordered
-	if r.Boot != p.boot || (r.Fence == p.order.Fence && r.Accepted >= p.order.Number) {
+	// A report that was sent before the order arrived must not clear the order, or
+	// the engine would be ordered twice. A report that confirms the order's number
+	// also shows its load.
+	ordered := rec.engine.Ordered
+	if r.Boot != rec.boot || (r.Fence == rec.order.Fence && r.Accepted >= rec.order.Number) {
 		ordered = time.Time{}
 	}
 
-	p.boot = r.Boot
-	p.sequence = r.Sequence
-	p.heard = now
-	p.engine = Engine{
+	rec.boot = r.Boot
+	rec.sequence = r.Sequence
+	rec.lastSeen = now
+	rec.engine = Engine{
 		VM: r.VM, DataCentre: r.DataCentre, Model: r.Model, Version: r.Version, Adapters: r.Adapters, Role: r.Role,
 		State: r.State, Since: now.Add(-r.StateAge), Running: r.Running, FailedVersion: r.FailedVersion, Fence: r.Fence, Ordered: ordered,
 	}
 
 	if r.FailedVersion != "" {
-		p.engine.FailedAt = now.Add(-r.FailedAge)
+		rec.engine.FailedAt = now.Add(-r.FailedAge)
 	}
 
-	p.judge(now, r)
+	rec.attributeCrash(now, r)
 }
 
-// overtaken reports whether something newer than r was heard.
-func (p *post) overtaken(r Report) bool {
-	if r.Boot == p.boot {
-		return r.Sequence != 0 && r.Sequence <= p.sequence
+// stale reports whether a newer report than r was recorded.
+func (e *engineRecord) stale(r Report) bool {
+	if r.Boot == e.boot {
+		return r.Sequence != 0 && r.Sequence <= e.sequence
 	}
 
-	return slices.Contains(p.former[:], r.Boot)
+	return slices.Contains(e.previousBoots[:], r.Boot)
 }
 
-// rebooted notes that the last boot ended, and the version that was new then.
-func (p *post) rebooted(now time.Time, soundAfter time.Duration) {
-	copy(p.former[1:], p.former[:])
-	p.former[0] = p.boot
+// recordReboot records the end of the last boot, and the ordered version if the engine
+// was loading it or had served with it for less than crashWindow.
+func (e *engineRecord) recordReboot(now time.Time, crashWindow time.Duration) {
+	copy(e.previousBoots[1:], e.previousBoots[:])
+	e.previousBoots[0] = e.boot
 
-	if p.order.Kind != LoadWeights {
+	if e.order.Kind != LoadWeights {
 		return
 	}
 
-	served := p.engine.State == Ready && p.engine.Version == p.order.Version
-	if p.engine.State == Loading || (served && now.Sub(p.engine.Since) < soundAfter) {
-		p.died = p.order.Version
+	served := e.engine.State == Ready && e.engine.Version == e.order.Version
+	if e.engine.State == Loading || (served && now.Sub(e.engine.Since) < crashWindow) {
+		e.suspectVersion = e.order.Version
 	}
 }
 
-// judge decides what the end of the last boot means. Weights that load and then
-// crash the engine report no failed load; without this the roll would take out
-// one engine after the other, and the first again and again. An engine that has
-// the version still wasn't ended by it: its side process was started anew.
-func (p *post) judge(now time.Time, r Report) {
-	if p.died != "" && r.State == Ready {
-		if r.Version != p.died {
-			p.broken, p.brokenAt = p.died, now
+// attributeCrash decides whether suspectVersion ended the last boot. Weights that load and
+// then crash the engine cause no report of a failed load; without this check the rollout
+// would take out one engine after the other, and the first one repeatedly. If the engine
+// still has the version, only its side process restarted.
+func (e *engineRecord) attributeCrash(now time.Time, r Report) {
+	if e.suspectVersion != "" && r.State == Ready {
+		if r.Version != e.suspectVersion {
+			e.crashVersion, e.crashedAt = e.suspectVersion, now
 		}
 
-		p.died = ""
+		e.suspectVersion = ""
 	}
 
-	if p.broken != "" && p.engine.FailedVersion == "" {
-		p.engine.FailedVersion, p.engine.FailedAt = p.broken, p.brokenAt
+	if e.crashVersion != "" && e.engine.FailedVersion == "" {
+		e.engine.FailedVersion, e.engine.FailedAt = e.crashVersion, e.crashedAt
 	}
 }
 
-// Ordered records that an order is being sent. Whether it arrives is not known
-// until the engine answers for it, so it counts as a load from here on.
-func (b *Inventory) Ordered(now time.Time, o Order) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Ordered records that an order is being sent. It is unknown whether the order arrives
+// until a report confirms it, so it counts as a load from now on; an
+// announcement of a fence never does.
+func (i *Inventory) Ordered(now time.Time, o Order) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 
-	b.number = max(b.number, o.Number)
+	i.number = max(i.number, o.Number)
 
-	if p, ok := b.engines[o.VM]; ok && o.Kind != AnnounceFence {
-		p.engine.Ordered = now
-		p.order = o
+	if rec, ok := i.engines[o.VM]; ok && o.Kind != AnnounceFence {
+		rec.engine.Ordered = now
+		rec.order = o
 	}
 }
 
-// Answered records what became of an order. Only a refusal that is certain takes
-// it back; a lost answer leaves it counting. An acceptance changes nothing: what
-// the engine then does comes with its next report.
-func (b *Inventory) Answered(_ time.Time, o Order, err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Answered records the result of sending an order. Only an error which says that the
+// order has certainly not run releases it; after a lost reply it still counts as a load.
+// An acceptance (nil) changes nothing: the load shows in the next report.
+func (i *Inventory) Answered(_ time.Time, o Order, err error) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 
-	p, ok := b.engines[o.VM]
-	if !ok || err == nil || p.order != o {
+	rec, ok := i.engines[o.VM]
+	if !ok || err == nil || rec.order != o {
 		return
 	}
 
 	if failure.KindOf(err).Answer().Ran == failure.NotRun {
-		p.engine.Ordered = time.Time{}
+		rec.engine.Ordered = time.Time{}
 	}
 }
 
-// Forget drops an engine that the VM list dropped.
-func (b *Inventory) Forget(vm string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Forget removes an engine that is no longer in the VM list.
+func (i *Inventory) Forget(vm string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 
-	delete(b.engines, vm)
+	delete(i.engines, vm)
 }
 
-// View returns what Plan looks at, in no order.
-func (b *Inventory) View(now time.Time, wanted []Wanted, fence uint64, since time.Time) View {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// View returns the input of Plan, with the engines in no particular order. It removes
+// engines without a report for ForgetAfter.
+func (i *Inventory) View(now time.Time, wanted []Wanted, fence uint64, since time.Time) View {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 
-	v := View{Wanted: wanted, Fence: fence, Number: b.number, Since: since, Engines: make([]Engine, 0, len(b.engines))}
+	v := View{Wanted: wanted, Fence: fence, Number: i.number, Since: since, Engines: make([]Engine, 0, len(i.engines))}
 
-	for vm, p := range b.engines {
-		silence := now.Sub(p.heard)
-		if silence > b.cfg.ForgetAfter {
-			delete(b.engines, vm)
+	for vm, rec := range i.engines {
+		age := now.Sub(rec.lastSeen)
+		if age > i.cfg.ForgetAfter {
+			delete(i.engines, vm)
 			continue
 		}
 
-		e := p.engine
-		e.Lost = silence > b.cfg.LostAfter
+		e := rec.engine
+		e.Lost = age > i.cfg.LostAfter
 		v.Engines = append(v.Engines, e)
 	}
 
--- a/weights/order.go
+++ b/weights/order.go
@@ -1,51 +1,57 @@
 package weights
 
-// Kind is what an order asks for, in the words of the engines' protocol.
+// Kind is the kind of an order, as named in the engines' protocol.
 type Kind string
 
-// The kinds.
+// The kinds of orders.
 const (
 	// LoadWeights loads a weight version.
 	LoadWeights Kind = "load_weights"
 	// LoadAdapter loads an adapter.
 	LoadAdapter Kind = "load_adapter"
-	// SetRole changes the role.
+	// SetRole changes the engine's role.
 	SetRole Kind = "set_role"
-	// AnnounceFence asks the side process to remember the fencing number, and
-	// nothing of the engine.
+	// AnnounceFence makes the side process record the fencing number; it has no
+	// effect on the engine.
 	AnnounceFence Kind = "announce_fence"
 )
 
-// Order is one order to an engine, through its side process.
+// Order is an order to an engine, sent to its side process.
 type Order struct {
 	// VM is the engine's VM.
 	VM string
-	// Fence is the fencing number, and Number counts the orders given under it.
+	// Fence is the fencing number of the leader's lease, and Number is the number of
+	// the order, which rises with each order of a leader.
 	Fence, Number uint64
-	// Kind says which of the fields below count.
+	// Kind determines which of the fields below are used.
 	Kind Kind
-	// Model, Version, Adapter and Role are what to load or to be.
+	// Model, Version, Adapter and Role name what to load or the role to take.
 	Model, Version, Adapter, Role string
 }
 
-// Halt is why a model's roll does not go on.
+// Halt is the reason why a model's rollout doesn't proceed.
 type Halt uint8
 
-// The halts.
+// The values of Halt. If several hold engines of a model back, Plan reports the highest.
 const (
-	// NoHalt means that the roll goes on or is done.
+	// NoHalt means that the rollout proceeds or is done.
 	NoHalt Halt = iota
-	// Settling means that the fencing number is not confirmed everywhere yet.
+	// Settling means that the fencing number isn't confirmed yet by every engine of
+	// a data centre.
 	Settling
-	// Trying means that the first engine's trial is not over.
+	// Trying means that the canary engine is loading the version or has not yet
+	// served with it for Config.CanaryPeriod.
 	Trying
-	// TooFewReady means that no engine can be spared.
+	// TooFewReady means that a load would leave fewer ready engines than
+	// Wanted.MinReady.
 	TooFewReady
-	// LoadsFull means that as many loads run as may.
+	// LoadsFull means that the maximum number of concurrent loads is running.
 	LoadsFull
-	// VersionFailed means that the version's loads failed, and there is no fallback.
+	// VersionFailed means that loads of the version failed on too many engines, and
+	// there is no fallback.
 	VersionFailed
-	// EnginesLost means that the engines left to do are not heard, or failed just now.
+	// EnginesLost means that remaining engines are lost, or that their last load
+	// failed less than Config.RetryAfter ago.
 	EnginesLost
 )
 
@@ -54,25 +60,26 @@
 	return [...]string{"none", "settling", "trying", "too_few_ready", "loads_full", "version_failed", "engines_lost"}[min(h, EnginesLost)]
 }
 
-// Progress is how far one model's roll is.
+// Progress is the progress of one model's rollout.
 type Progress struct {
-	// Model is the model.
+	// Model is the name of the model.
 	Model string
-	// Version is the version aimed at: the wanted one, or its fallback.
+	// Version is the version being rolled out: the wanted one, or its fallback.
 	Version string
-	// FellBack says that the wanted version failed and Version is the fallback.
+	// FellBack is set if the wanted version failed and Version is the fallback.
 	FellBack bool
-	// Done, Loading, Left and Ready count engines: with the version, loading
-	// anything, still to do, and ready with any version.
+	// Done, Loading, Left and Ready are numbers of engines: with the version, with a
+	// load of any kind, without the version, and ready with any version. Draining
+	// engines aren't counted.
 	Done, Loading, Left, Ready int
-	// Halt is why nothing was ordered though something is left.
+	// Halt is the reason why no load was ordered although engines are left.
 	Halt Halt
 }
 
 // Result is what Plan returns.
 type Result struct {
-	// Orders are to be given now.
+	// Orders are the orders to send now, in this order.
 	Orders []Order
-	// Progress is by model, in the order of View.Wanted.
+	// Progress has one element for each model, in the order of View.Wanted.
 	Progress []Progress
 }
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -3,37 +3,38 @@
 //
 // # Model
 //
-// Plan compares what is wanted of a model with what the engines say they have
-// and returns the orders to give now. It remembers nothing: what is under way
-// is read from the engines, so a new leader goes on where the last one stopped,
-// and the same view always gives the same orders.
+// Plan compares the desired state of each model with the state that its engines
+// report and returns the orders to send now. It is stateless: loads in progress
+// are read from the engines, so a new leader continues where the previous one
+// stopped, and the same view always gives the same orders.
 //
-// Loads slow each other and the weight store is rate-limited, so at most
-// Config.Loads run at once in a data centre. A load takes its engine out, so an
-// engine is ordered only while the others that are ready are as many as wanted.
-// A roll tries one engine first, waits, and goes on; when loads of the version
-// fail on too many engines it stops, and with a Fallback the engines go back.
+// Concurrent loads slow each other down and the weight store is rate-limited, so
+// at most Config.Loads run at once in a data centre. An engine doesn't serve while
+// it loads, so a ready one is ordered to load only if Wanted.MinReady others stay ready.
+// A rollout starts with one canary engine and continues after Config.CanaryPeriod.
+// When the version fails on Config.FailureThreshold engines the rollout stops, or,
+// with a Wanted.Fallback, that version is rolled out instead.
 //
 // # Orders and fences
 //
-// Orders bear the fencing number of the leader's lease. A new leader first
+// Orders carry the fencing number of the leader's lease. A new leader first
 // announces its number to every side process (AnnounceFence) and orders nothing
-// in a data centre until each engine heard there has confirmed it: an order of
-// the old leader that is still under way is refused from then on, and one that
-// came before shows in the same report as a load. Engines that aren't heard are
-// waited for during Config.Settle and then left out.
+// in a data centre until every engine there that isn't lost has confirmed it: from
+// then on an order of the previous leader that is still in flight is refused, and
+// one that arrived before shows as a load in the confirming report. Lost engines
+// are waited for during Config.SettleTimeout and then ignored.
 //
-// A Inventory keeps what the engines said and which orders were given, and makes the
-// View.
+// An Inventory keeps the reports of the engines and the orders sent to them, and
+// builds the View.
 //
 // # Example
 //
-//	b := weights.NewInventory(weights.InventoryConfig{})
-//	b.Hear(now, report)
-//	r := weights.Plan(now, cfg, b.View(now, wanted, lease.Offset, lease.At))
+//	inventory := weights.NewInventory(weights.InventoryConfig{})
+//	inventory.Hear(now, report)
+//	r := weights.Plan(now, cfg, inventory.View(now, wanted, lease.Offset, lease.At))
 //	for _, o := range r.Orders {
-//		b.Ordered(now, o)
-//		b.Answered(now, o, send(o))
+//		inventory.Ordered(now, o)
+//		inventory.Answered(now, o, send(o))
 //	}
 package weights
 
@@ -43,15 +44,15 @@
 	"time"
 )
 
-// Plan returns the orders to give at now.
+// Plan returns the orders to send at now, and the progress of each wanted model.
 func Plan(now time.Time, cfg Config, v View) Result {
-	p := &planner{now: now, cfg: cfg.withDefaults(), view: v, loads: map[string]int{}, closed: map[string]bool{}}
+	p := &planner{now: now, cfg: cfg.withDefaults(), view: v, loads: map[string]int{}, unconfirmed: map[string]bool{}}
 
 	engines := slices.Clone(v.Engines)
 	slices.SortFunc(engines, byModel)
 
 	for _, e := range engines {
-		p.count(e)
+		p.observe(e)
 	}
 
 	var r Result
@@ -64,7 +65,7 @@
 			last++
 		}
 
-		r.Progress = append(r.Progress, p.model(w, engines[first:last]))
+		r.Progress = append(r.Progress, p.planModel(w, engines[first:last]))
 	}
 
 	r.Orders = p.orders
@@ -74,18 +75,19 @@
 
 func byModel(a, b Engine) int { return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.VM, b.VM)) }
 
-// planner is the work of one Plan.
+// planner is the state of one call of Plan.
 type planner struct {
-	now    time.Time
-	cfg    Config
-	view   View
-	loads  map[string]int  // by data centre, those ordered now included
-	closed map[string]bool // data centres where the fence isn't confirmed
-	orders []Order
+	now         time.Time
+	cfg         Config
+	view        View
+	loads       map[string]int  // by data centre, including loads ordered by this plan
+	unconfirmed map[string]bool // data centres where the fence isn't confirmed yet
+	orders      []Order
 }
 
-// count takes e into its data centre's loads, and announces the fence to it.
-func (p *planner) count(e Engine) {
+// observe counts the load of e, if any, in its data centre, and announces the fence to e
+// if it hasn't confirmed it.
+func (p *planner) observe(e Engine) {
 	if p.busy(e) {
 		p.loads[e.DataCentre]++
 	}
@@ -94,79 +96,79 @@
 		return
 	}
 
-	if !e.Lost || p.now.Sub(p.view.Since) < p.cfg.Settle {
-		p.closed[e.DataCentre] = true
+	if !e.Lost || p.now.Sub(p.view.Since) < p.cfg.SettleTimeout {
+		p.unconfirmed[e.DataCentre] = true
 	}
 
-	p.add(e, Order{Kind: AnnounceFence})
+	p.appendOrder(e, Order{Kind: AnnounceFence})
 }
 
-// busy reports whether e loads, or was ordered to and may not show it yet. An
-// engine that fell silent while loading may still be loading.
+// busy reports whether e is loading, or was ordered to load and may not report it yet. A
+// lost engine that last reported a load may still be loading.
 func (p *planner) busy(e Engine) bool {
-	return e.State == Loading || p.pending(e)
+	return e.State == Loading || p.orderPending(e)
 }
 
-func (p *planner) pending(e Engine) bool {
-	return !e.Ordered.IsZero() && p.now.Sub(e.Ordered) < p.cfg.OrderPatience
+func (p *planner) orderPending(e Engine) bool {
+	return !e.Ordered.IsZero() && p.now.Sub(e.Ordered) < p.cfg.OrderTimeout
 }
 
-// room reports whether one more load may start in a data centre.
-func (p *planner) room(dataCentre string) bool {
-	most, ok := p.cfg.DataCentreLoads[dataCentre]
+// hasCapacity reports whether one more load may start in a data centre.
+func (p *planner) hasCapacity(dataCentre string) bool {
+	limit, ok := p.cfg.MaxLoadsByDataCentre[dataCentre]
 	if !ok {
-		most = p.cfg.Loads
+		limit = p.cfg.Loads
 	}
 
-	return p.loads[dataCentre] < most
+	return p.loads[dataCentre] < limit
 }
 
-// model plans one model.
-func (p *planner) model(w Wanted, engines []Engine) Progress {
-	version, failed := p.aim(w, engines)
-	g := Progress{Model: w.Model, Version: version, FellBack: version != w.Version}
+// planModel plans the orders for one model.
+func (p *planner) planModel(w Wanted, engines []Engine) Progress {
+	version, failed := p.chooseVersion(w, engines)
+	progress := Progress{Model: w.Model, Version: version, FellBack: version != w.Version}
 
-	var todo []Engine
+	var remaining []Engine
 
 	for _, e := range engines {
 		switch {
 		case e.State == Leaving:
 		case p.busy(e):
-			g.Loading++
+			progress.Loading++
 		case e.Version == version:
-			g.Done++
+			progress.Done++
 		default:
-			g.Left++
-			todo = append(todo, e)
+			progress.Left++
+			remaining = append(remaining, e)
 		}
 
 		if p.ready(e) {
-			g.Ready++
+			progress.Ready++
 		}
 	}
 
 	switch {
 	case failed:
-		g.Halt = VersionFailed
-	case len(todo) > 0:
-		g.Halt = p.roll(w, version, engines, todo, g.Ready)
+		progress.Halt = VersionFailed
+	case len(remaining) > 0:
+		progress.Halt = p.rollOut(w, version, engines, remaining, progress.Ready)
 	default:
-		p.rest(w, engines, g.Ready)
+		p.orderAdaptersAndRoles(w, engines, progress.Ready)
 	}
 
-	return g
+	return progress
 }
 
-// ready reports whether e serves and was not just ordered away.
+// ready reports whether e serves with some weights and has no pending order.
 func (p *planner) ready(e Engine) bool {
-	return e.State == Ready && !e.Lost && !p.pending(e) && e.Version != ""
+	return e.State == Ready && !e.Lost && !p.orderPending(e) && e.Version != ""
 }
 
-// aim returns the version to go to; failed says that there is none to go to. It
-// is worked out from what engines say, so that it doesn't change with the
-// leader; and a failed version is not tried again until operators publish
-// another one, so that it doesn't swing to and fro.
-func (p *planner) aim(w Wanted, engines []Engine) (version string, failed bool) {
+// chooseVersion returns the version to roll out; failed is set if the wanted version failed
+// and there is no fallback. The choice depends only on what engines report, so that it
+// doesn't change with the leader. A failed version isn't tried again until operators
+// publish another one, so that the rollout doesn't oscillate.
+func (p *planner) chooseVersion(w Wanted, engines []Engine) (version string, failed bool) {
 	n := 0
 
 	for _, e := range engines {
@@ -175,7 +177,7 @@
 		}
 	}
 
-	if n < p.cfg.Failures {
+	if n < p.cfg.FailureThreshold {
 		return w.Version, false
 	}
 
@@ -186,22 +188,23 @@
 	return w.Fallback, false
 }
 
-// roll orders loads of version as far as it may.
-func (p *planner) roll(w Wanted, version string, engines, todo []Engine, ready int) Halt {
-	trial, over := p.trial(version, engines)
-	p.sort(todo)
+// rollOut orders as many loads of version as the limits allow. It returns why none was
+// ordered, or NoHalt.
+func (p *planner) rollOut(w Wanted, version string, engines, remaining []Engine, ready int) Halt {
+	started, passed := p.canary(version, engines)
+	p.sortByCost(remaining)
 
 	halt := NoHalt
-	given := 0
+	issued := 0
 
-	for _, e := range todo {
-		why := p.mayLoad(w, e, ready)
-		if why == NoHalt && !over && (trial || given > 0) {
-			why = Trying
+	for _, e := range remaining {
+		reason := p.mayLoad(w, e, ready)
+		if reason == NoHalt && !passed && (started || issued > 0) {
+			reason = Trying
 		}
 
-		if why != NoHalt {
-			halt = max(halt, why)
+		if reason != NoHalt {
+			halt = max(halt, reason)
 			continue
 		}
 
@@ -209,21 +212,22 @@
 			ready--
 		}
 
-		given++
-		p.order(e, Order{Kind: LoadWeights, Version: version})
+		issued++
+		p.issue(e, Order{Kind: LoadWeights, Version: version})
 	}
 
-	if given > 0 {
+	if issued > 0 {
 		return NoHalt
 	}
 
 	return halt
 }
 
-// trial reports whether an engine already tries the version, or loads it, and
-// whether the trial is over, which it is as soon as one has served for Trial.
-// Engines without any weights need no trial: they have nothing to lose.
-func (p *planner) trial(version string, engines []Engine) (running, over bool) {
+// canary reports whether an engine of the model serves with the version or loads, and
+// whether the canary has passed, which it has as soon as one engine has served with the
+// version for CanaryPeriod. If no engine has another version no canary is needed: a load
+// takes no capacity from engines without weights.
+func (p *planner) canary(version string, engines []Engine) (started, passed bool) {
 	empty := true
 
 	for _, e := range engines {
@@ -232,27 +236,27 @@
 		}
 
 		if p.busy(e) {
-			running = true
+			started = true
 		}
 
 		if e.Version == version && p.ready(e) {
-			running = true
-			over = over || p.now.Sub(e.Since) >= p.cfg.Trial
+			started = true
+			passed = passed || p.now.Sub(e.Since) >= p.cfg.CanaryPeriod
 		}
 	}
 
-	return running, over || empty
+	return started, passed || empty
 }
 
-// sort puts first what costs least: engines without weights, then those that
-// run least.
-func (p *planner) sort(engines []Engine) {
+// sortByCost sorts engines by the cost of a load: first those without weights, then those
+// with the fewest running requests.
+func (p *planner) sortByCost(engines []Engine) {
 	slices.SortStableFunc(engines, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Running, b.Running), cmp.Compare(a.VM, b.VM))
+		return cmp.Or(cmp.Compare(loadCost(a), loadCost(b)), cmp.Compare(a.Running, b.Running), cmp.Compare(a.VM, b.VM))
 	})
 }
 
-func rank(e Engine) int {
+func loadCost(e Engine) int {
 	if e.Version == "" {
 		return 0
 	}
@@ -260,14 +264,14 @@
 	return 1
 }
 
-// mayLoad reports why e may not load now; NoHalt when it may.
+// mayLoad returns why e may not load now; NoHalt if it may.
 func (p *planner) mayLoad(w Wanted, e Engine, ready int) Halt {
 	switch {
 	case e.Lost || (!e.FailedAt.IsZero() && p.now.Sub(e.FailedAt) < p.cfg.RetryAfter):
 		return EnginesLost
-	case p.closed[e.DataCentre]:
+	case p.unconfirmed[e.DataCentre]:
 		return Settling
-	case !p.room(e.DataCentre):
+	case !p.hasCapacity(e.DataCentre):
 		return LoadsFull
 	case p.ready(e) && ready-1 < w.MinReady:
 		return TooFewReady
@@ -276,17 +280,17 @@
 	}
 }
 
-// order gives an order; every kind but SetRole takes part in the loads.
-func (p *planner) order(e Engine, o Order) {
-	p.add(e, o)
+// issue adds an order to the plan; all kinds except SetRole count as loads.
+func (p *planner) issue(e Engine, o Order) {
+	p.appendOrder(e, o)
 
 	if o.Kind != SetRole {
 		p.loads[e.DataCentre]++
 	}
 }
 
-// add completes an order.
-func (p *planner) add(e Engine, o Order) {
+// appendOrder fills in the order's engine, fence and number, and adds it to the plan.
+func (p *planner) appendOrder(e Engine, o Order) {
 	o.VM = e.VM
 	o.Model = e.Model
 	o.Fence = p.view.Fence
@@ -294,27 +298,28 @@
 	p.orders = append(p.orders, o)
 }
 
-// rest orders adapters and roles once all have the version.
-func (p *planner) rest(w Wanted, engines []Engine, ready int) {
-	given := len(p.orders)
+// orderAdaptersAndRoles orders adapters, and roles if no adapter is ordered, once no engine
+// lacks the version.
+func (p *planner) orderAdaptersAndRoles(w Wanted, engines []Engine, ready int) {
+	issued := len(p.orders)
 
 	for _, e := range engines {
-		adapter := missing(w.Adapters, e.Adapters)
+		adapter := firstMissing(w.Adapters, e.Adapters)
 		if adapter == "" || !p.ready(e) || p.mayLoad(w, e, ready) != NoHalt {
 			continue
 		}
 
 		ready--
-		p.order(e, Order{Kind: LoadAdapter, Version: e.Version, Adapter: adapter})
+		p.issue(e, Order{Kind: LoadAdapter, Version: e.Version, Adapter: adapter})
 	}
 
-	if len(p.orders) == given {
-		p.roles(w, engines)
+	if len(p.orders) == issued {
+		p.orderRoleChange(w, engines)
 	}
 }
 
-// missing returns the first adapter that is wanted and not there.
-func missing(wanted, have []string) string {
+// firstMissing returns the first wanted adapter that isn't loaded; empty for none.
+func firstMissing(wanted, have []string) string {
 	for _, a := range wanted {
 		if !slices.Contains(have, a) {
 			return a
--- a/weights/role.go
+++ b/weights/role.go
@@ -1,9 +1,9 @@
 package weights
 
-// roles orders one change of role for a model, if one is due. Engines keep the
-// role that they have as long as it isn't had by more than wanted, and those
-// that change are taken by name, so the plan doesn't swing.
-func (p *planner) roles(w Wanted, engines []Engine) {
+// orderRoleChange orders one role change for a model, if one is due. An engine keeps its
+// role unless more engines than wanted have it, and the engine to change is chosen in the
+// order of VM names, so that plans don't oscillate.
+func (p *planner) orderRoleChange(w Wanted, engines []Engine) {
 	wanted := map[string]int{}
 	for _, r := range w.Roles {
 		wanted[r.Role] += r.Count
@@ -12,8 +12,8 @@
 	var spare []Engine
 
 	for _, e := range engines {
-		// What an engine is about to be doesn't show while it changes. Were another
-		// one changed meanwhile, one of them would have to change back.
+		// The new role of an engine isn't visible while it changes. If another engine were
+		// ordered meanwhile, one of the two would have to change back.
 		if p.busy(e) {
 			return
 		}
@@ -23,21 +23,21 @@
 			continue
 		}
 
-		if p.ready(e) && !p.closed[e.DataCentre] {
+		if p.ready(e) && !p.unconfirmed[e.DataCentre] {
 			spare = append(spare, e)
 		}
 	}
 
 	for _, r := range w.Roles {
 		if wanted[r.Role] > 0 && len(spare) > 0 {
-			p.order(spare[0], Order{Kind: SetRole, Role: r.Role})
+			p.issue(spare[0], Order{Kind: SetRole, Role: r.Role})
 			return
 		}
 	}
 
 	for _, e := range spare {
 		if e.Role != "" {
-			p.order(e, Order{Kind: SetRole})
+			p.issue(e, Order{Kind: SetRole})
 			return
 		}
 	}
--- a/weights/view.go
+++ b/weights/view.go
@@ -4,37 +4,40 @@
 
 // Config configures Plan. Zero values get a default.
 type Config struct {
-	// Loads is how many loads may run at once in one data centre. 2 when zero.
+	// Loads is the maximum number of concurrent loads in one data centre. 2 when zero.
 	Loads int
-	// DataCentreLoads overrides Loads by data centre.
-	DataCentreLoads map[string]int
-	// Settle is how long a new leader waits for engines that aren't heard, before
-	// it orders in their data centre. It must be longer than an order can be under
-	// way. 10 s when zero.
-	Settle time.Duration
-	// OrderPatience is how long a given order counts as a load though the engine
-	// doesn't show it. 30 s when zero.
-	OrderPatience time.Duration
-	// Trial is how long the first engine of a version serves before the others follow. 10 s when zero.
-	Trial time.Duration
-	// Failures is on how many engines a version's load may fail before its roll stops. 2 when zero.
-	Failures int
-	// RetryAfter is how long an engine whose load failed is left alone. 30 s when zero.
+	// MaxLoadsByDataCentre overrides Loads for single data centres.
+	MaxLoadsByDataCentre map[string]int
+	// SettleTimeout is how long a new leader waits for lost engines to confirm its fence
+	// before it orders in their data centre. It must be longer than an order can be in
+	// flight. 10 s when zero.
+	SettleTimeout time.Duration
+	// OrderTimeout is how long an order counts as a load although the engine doesn't
+	// report it. 30 s when zero.
+	OrderTimeout time.Duration
+	// CanaryPeriod is how long the first engine with a version must serve before the
+	// others load it. 10 s when zero.
+	CanaryPeriod time.Duration
+	// FailureThreshold is the number of engines with a failed load of a version at which
+	// its rollout stops. 2 when zero.
+	FailureThreshold int
+	// RetryAfter is the time after a failed load during which its engine isn't ordered
+	// to load. 30 s when zero.
 	RetryAfter time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	c.Loads = or(c.Loads, 2)
-	c.Settle = or(c.Settle, 10*time.Second)
-	c.OrderPatience = or(c.OrderPatience, 30*time.Second)
-	c.Trial = or(c.Trial, 10*time.Second)
-	c.Failures = or(c.Failures, 2)
-	c.RetryAfter = or(c.RetryAfter, 30*time.Second)
+	c.Loads = orDefault(c.Loads, 2)
+	c.SettleTimeout = orDefault(c.SettleTimeout, 10*time.Second)
+	c.OrderTimeout = orDefault(c.OrderTimeout, 30*time.Second)
+	c.CanaryPeriod = orDefault(c.CanaryPeriod, 10*time.Second)
+	c.FailureThreshold = orDefault(c.FailureThreshold, 2)
+	c.RetryAfter = orDefault(c.RetryAfter, 30*time.Second)
 
 	return c
 }
 
-func or[T comparable](v, d T) T {
+func orDefault[T comparable](v, d T) T {
 	var zero T
 	if v == zero {
 		return d
@@ -43,16 +46,16 @@
 	return v
 }
 
-// State is what an engine says of itself. The zero State is Ready.
+// State is the state that an engine reports. The zero State is Ready.
 type State uint8
 
-// The states.
+// The values of State.
 const (
-	// Ready means that it serves, or would if it had weights.
+	// Ready means that the engine serves, or would if it had weights.
 	Ready State = iota
-	// Loading means that it loads.
+	// Loading means that the engine is loading.
 	Loading
-	// Leaving means that it drains for good.
+	// Leaving means that the engine drains and won't serve again.
 	Leaving
 )
 
@@ -61,71 +64,72 @@
 	return [...]string{"ready", "loading", "leaving"}[min(s, Leaving)]
 }
 
-// Engine is what one engine last said, and what was ordered of it.
+// Engine is the last reported state of one engine, and its pending order.
 type Engine struct {
-	// VM and DataCentre say which.
+	// VM and DataCentre identify the engine.
 	VM, DataCentre string
-	// Model is the model that it serves.
+	// Model is the model that the engine serves.
 	Model string
-	// Version is the weight version loaded; empty for none.
+	// Version is the loaded weight version; empty for none.
 	Version string
-	// Adapters are those loaded.
+	// Adapters are the loaded adapters.
 	Adapters []string
-	// Role is its role; empty for any work.
+	// Role is the engine's role; empty for any work.
 	Role string
-	// State is its state.
+	// State is the last reported state.
 	State State
-	// Since is when it reached State.
+	// Since is when the engine reached State.
 	Since time.Time
-	// Lost says that it was not heard lately.
+	// Lost is set if no report came for InventoryConfig.LostAfter.
 	Lost bool
-	// Running is how many requests it runs.
+	// Running is the number of requests in flight.
 	Running int
-	// FailedVersion is the version whose load failed last; FailedAt is when.
+	// FailedVersion is the version that failed last, in a load or by a crash, empty
+	// for none; FailedAt is when.
 	FailedVersion string
 	FailedAt      time.Time
-	// Fence is the highest fencing number that its side process has confirmed.
+	// Fence is the highest fencing number that the side process has confirmed.
 	Fence uint64
-	// Ordered is when it was last given an order that it has not answered for;
-	// zero for none.
+	// Ordered is when the last order was sent that no report has confirmed yet; zero
+	// for none.
 	Ordered time.Time
 }
 
-// Wanted is what operators published for one model.
+// Wanted is the desired state that operators published for one model.
 type Wanted struct {
-	// Model is the model.
+	// Model is the name of the model.
 	Model string
-	// Version is the version that all its engines shall have.
+	// Version is the version that all its engines must have.
 	Version string
-	// Fallback is the version to go back to when Version fails; empty to stop instead.
+	// Fallback is the version to load when Version fails; empty to stop instead.
 	Fallback string
-	// MinReady is how many engines must be ready at any time, whatever their
-	// version. A roll takes none out that is needed for it.
+	// MinReady is the number of engines that must be ready at any time, with any
+	// version. A rollout orders no load that would leave fewer.
 	MinReady int
-	// Adapters are those that each engine shall have.
+	// Adapters are the adapters that each engine must have.
 	Adapters []string
-	// Roles says how many engines shall have a role; the rest have none.
+	// Roles are the numbers of engines by role; the other engines have none.
 	Roles []RoleCount
 }
 
-// RoleCount is how many engines shall have a role.
+// RoleCount is the number of engines that must have a role.
 type RoleCount struct {
-	// Role is the role's name.
+	// Role is the name of the role.
 	Role string
 	// Count is the number of engines.
 	Count int
 }
 
-// View is all that Plan looks at.
+// View is the input of Plan.
 type View struct {
-	// Wanted is by model.
+	// Wanted has one element for each model.
 	Wanted []Wanted
-	// Engines are all engines, in any order.
+	// Engines are all known engines, in any order.
 	Engines []Engine
-	// Fence is the fencing number of the lease under which orders are given.
+	// Fence is the fencing number of the leader's lease.
 	Fence uint64
-	// Number is the number of the last order given.
+	// Number is the number of the last order sent.
 	Number uint64
-	// Since is when the lease was got.
+	// Since is when the lease was acquired.
 	Since time.Time
 }
