--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -9,8 +9,9 @@
 	"boragehub/socket"
 )
 
-// readBuffer is the size of a connection's read buffer: two network packets'
-// worth, since streams come in small pieces and there are hundreds of connections.
+// readBuffer is the size in bytes of a connection's read buffer. Two network packets fit
+// in; more isn't needed, as streams arrive in small pieces and there are hundreds of
+// connections.
 const readBuffer = 4 << 10
 
 // conn is one connection to a target.
@@ -18,7 +19,7 @@
 	address string
 	nc      net.Conn
 	br      *bufio.Reader
-	until   time.Time // when it is too old to be used again
+	expires time.Time // end of its idle time in the pool
 	reused  bool
 }
 
@@ -26,16 +27,15 @@
 	return &conn{address: address, nc: nc, br: bufio.NewReaderSize(nc, readBuffer)}
 }
 
-// close gives the connection up. The only error that Close can report is that
-// the connection was closed before, which is what is wanted.
+// close closes the connection. The only error that Close can return is that the
+// connection is closed already, which is the desired state.
 func (c *conn) close() {
 	//nolint:errcheck,gosec // see above
 	c.nc.Close()
 }
 
-// abort gives the connection up at once, bytes on their way included. An engine
-// that stands still would otherwise find the request when it goes on, seconds after
-// its caller left, and work on it for nobody.
+// abort resets the connection and discards unsent bytes. Otherwise a paused engine would
+// find the request when it resumes, seconds after its caller left, and process it in vain.
 func (c *conn) abort() {
 	if t, ok := c.nc.(*net.TCPConn); ok {
 		//nolint:errcheck,gosec // the connection may be closed already
@@ -45,9 +45,9 @@
 	c.close()
 }
 
-// quiet reports whether the connection is open with nothing to read: it looks
-// at the socket without taking bytes from it.
-func (c *conn) quiet() bool {
+// usable reports whether the connection is open with nothing to read. It peeks at the
+// socket and consumes no bytes.
+func (c *conn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -55,23 +55,24 @@
 	return socket.Peek(c.nc) == socket.Quiet
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall
+// doesn't define.
 const tcpUserTimeout = 18
 
-// boundUnacked bounds how long written bytes may stay unacknowledged. A target
-// that lost power or is cut off answers nothing, and a write to it would wait
-// for many minutes.
-func boundUnacked(d time.Duration) func(network, address string, c syscall.RawConn) error {
+// userTimeoutControl returns a net.Dialer.Control function that limits how long written
+// bytes may stay unacknowledged. A target that lost power or network sends nothing, and a
+// write to it would otherwise block for many minutes.
+func userTimeoutControl(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var sockErr error
 
 		err := c.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
 
-		return failed
+		return sockErr
 	}
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -10,42 +10,47 @@
 	"time"
 )
 
-// Bounds of reading answers.
+// Limits of an exchange.
 const (
-	// maxCrossed is how many answers of earlier requests are passed over on one
-	// connection before it is given up.
-	maxCrossed = 2
-	// maxDrained bounds the body of an answer that is passed over.
-	maxDrained = 1 << 20
-	// smallBody is what is written in one go with the head. A larger body is
-	// written beside reading, as a target may answer before it has read it.
-	smallBody = 8 << 10
-	// bodyGrace is how long a complete answer waits for the rest of its request
-	// to be written before the connection is given up instead of kept.
-	bodyGrace = 100 * time.Millisecond
-	// idleMargin is taken off the time for which a target says that it keeps a
-	// connection, as the next request has to arrive before it closes.
-	idleMargin = 500 * time.Millisecond
+	// maxResponses is the number of responses that are read for one request, including
+	// informational ones (1xx) and those to other requests, before the connection is
+	// closed.
+	maxResponses = 2
+	// maxDiscardedBody is the number of bytes that are read of the body of a response to
+	// another request.
+	maxDiscardedBody = 1 << 20
+	// maxInlineBody is the size in bytes up to which a body is written together with the
+	// head. A larger body is written concurrently with reading, as a target may respond
+	// before it has read the body.
+	maxInlineBody = 8 << 10
+	// bodyWriteTimeout is how long Close waits, after a complete response, for the rest
+	// of the request body to be written. After it the connection is closed instead of
+	// kept.
+	bodyWriteTimeout = 100 * time.Millisecond
+	// keepAliveMargin is subtracted from the idle timeout that a target announces, as
+	// the next request has to arrive before the target closes the connection.
+	keepAliveMargin = 500 * time.Millisecond
 )
 
-var errCrossed = errors.New("only answers of other requests came")
+var errMismatched = errors.New("received no response that belongs to the request")
 
-// Exchange is a request on its way with the head of its answer. Close must
-// follow.
+// Exchange is a request that was sent and whose response header was read. The caller must
+// call Close.
 type Exchange struct {
-	pool    *Pool
-	conn    *conn
-	resp    *http.Response
-	stop    func() bool
-	written chan error // nil when the request was written whole before reading
-	whole   bool
-	failed  bool
+	pool        *Pool
+	conn        *conn
+	resp        *http.Response
+	stopAbort   func() bool
+	bodyWritten chan error // result of writing the body; nil if it was written with the head
+	complete    bool
+	failed      bool
 }
 
-// Send writes a request and returns once the head of its answer was read. When
-// ctx ends, the connection is closed, which tells the target to stop.
+// Send writes a request and returns once the header of its response was read. When ctx
+// ends, the connection is closed, which tells the target to stop. Errors are of type
+// *Error.
 func (p *Pool) Send(ctx context.Context, r Request) (*Exchange, error) {
-	c := p.take(time.Now(), r.Address)
+	c := p.idleConn(time.Now(), r.Address)
 	if c == nil {
 		var err error
 
@@ -55,22 +60,22 @@
 		}
 	}
 
-	x := &Exchange{pool: p, conn: c, stop: context.AfterFunc(ctx, c.abort)}
+	x := &Exchange{pool: p, conn: c, stopAbort: context.AfterFunc(ctx, c.abort)}
 
-	// A context that ended before the first byte left: nothing was sent.
+	// The context ended before the first byte was written.
 	if err := ctx.Err(); err != nil {
 		x.abandon()
 
 		return nil, &Error{NotSent, stepWrite, err}
 	}
 
-	if err := x.write(r); err != nil {
+	if err := x.writeRequest(r); err != nil {
 		x.abandon()
 
 		return nil, &Error{MaybeSent, stepWrite, err}
 	}
 
-	resp, err := x.head(r) //nolint:bodyclose // Close gives up or keeps the connection itself
+	resp, err := x.readResponse(r) //nolint:bodyclose // Close closes or keeps the connection itself
 	if err != nil {
 		x.abandon()
 
@@ -82,9 +87,10 @@
 	return x, nil
 }
 
-// write sends head and body; a large body goes on beside.
-func (x *Exchange) write(r Request) error {
-	if len(r.Body) <= smallBody {
+// writeRequest writes the head and the body; a body above maxInlineBody is written by a
+// goroutine.
+func (x *Exchange) writeRequest(r Request) error {
+	if len(r.Body) <= maxInlineBody {
 		_, err := x.conn.nc.Write(append(r.Head, r.Body...))
 
 		return err
@@ -94,21 +100,22 @@
 		return err
 	}
 
-	x.written = make(chan error, 1)
+	x.bodyWritten = make(chan error, 1)
 
 	go func() {
 		_, err := x.conn.nc.Write(r.Body)
-		x.written <- err
+		x.bodyWritten <- err
 	}()
 
 	return nil
 }
 
-// head reads answers until one belongs to the request.
-func (x *Exchange) head(r Request) (*http.Response, error) {
+// readResponse reads response headers until one belongs to the request, at most
+// maxResponses.
+func (x *Exchange) readResponse(r Request) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 
-	for range maxCrossed {
+	for range maxResponses {
 		resp, err := http.ReadResponse(x.conn.br, req)
 		if err != nil {
 			return nil, err
@@ -127,41 +134,42 @@
 		}
 	}
 
-	return nil, errCrossed
+	return nil, errMismatched
 }
 
-// discard reads the body of an answer that belongs to another request. One
-// without a length has no end on a kept connection.
+// discard reads the body of a response to another request. After a close-delimited body
+// no further response can follow.
 func discard(resp *http.Response) error {
-	if unframed(resp) {
-		return errCrossed
+	if closeDelimited(resp) {
+		return errMismatched
 	}
 
-	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrained))
+	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBody))
 
 	return err
 }
 
-// unframed reports whether the body ends with its connection.
-func unframed(resp *http.Response) bool {
+// closeDelimited reports whether the body ends only when the connection is closed.
+func closeDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// Status returns the answer's status.
+// Status returns the response's status code.
 func (x *Exchange) Status() int { return x.resp.StatusCode }
 
-// Header returns the answer's headers.
+// Header returns the response's header.
 func (x *Exchange) Header() http.Header { return x.resp.Header }
 
-// Read reads the answer's body. It returns io.EOF only at the end of a complete
-// answer.
+// Read reads the response body. It returns io.EOF only at the end of a complete body, and
+// an *Error if the body is truncated. A close-delimited body counts as complete when the
+// connection is closed.
 func (x *Exchange) Read(b []byte) (int, error) {
 	n, err := x.resp.Body.Read(b)
 
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		x.whole = true
+		x.complete = true
 	default:
 		x.failed = true
 		err = &Error{MaybeSent, stepBody, err}
@@ -170,48 +178,47 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to its
-// end and nothing is left on it; otherwise it is closed, which makes the target
-// stop its work.
+// Close ends the exchange. The connection is kept if the response was read to its end and
+// no bytes follow it; otherwise it is closed, which tells the target to stop.
 func (x *Exchange) Close() {
-	if !x.stop() || !x.reusable() {
+	if !x.stopAbort() || !x.reusable() {
 		x.conn.close()
 
 		return
 	}
 
-	x.pool.keep(time.Now(), x.conn, keepAlive(x.resp.Header))
+	x.pool.put(time.Now(), x.conn, keepAliveTimeout(x.resp.Header))
 }
 
-// abandon closes the connection of an exchange that has no answer.
+// abandon closes the connection of an exchange without a response.
 func (x *Exchange) abandon() {
-	x.stop()
+	x.stopAbort()
 	x.conn.close()
 }
 
 func (x *Exchange) reusable() bool {
-	if !x.whole || x.failed || x.resp.Close || unframed(x.resp) || x.conn.br.Buffered() > 0 {
+	if !x.complete || x.failed || x.resp.Close || closeDelimited(x.resp) || x.conn.br.Buffered() > 0 {
 		return false
 	}
 
-	if x.written == nil {
+	if x.bodyWritten == nil {
 		return true
 	}
 
-	t := time.NewTimer(bodyGrace)
+	t := time.NewTimer(bodyWriteTimeout)
 	defer t.Stop()
 
 	select {
-	case err := <-x.written:
+	case err := <-x.bodyWritten:
 		return err == nil
 	case <-t.C:
 		return false
 	}
 }
 
-// keepAlive returns for how long a target keeps an unused connection, less a
-// margin; zero when it doesn't say.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout that a target announces in its Keep-Alive
+// header, less keepAliveMargin; zero if it announces none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -223,7 +230,7 @@
 			return 0
 		}
 
-		return max(time.Duration(s)*time.Second-idleMargin, time.Millisecond)
+		return max(time.Duration(s)*time.Second-keepAliveMargin, time.Millisecond)
 	}
 
 	return 0
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,18 +1,18 @@
-// Package upstream sends requests to targets over kept connections and knows of
-// each request whether it may have run.
+// Package upstream sends requests to targets over persistent connections and reports
+// for each failed request whether it may have run.
 //
 // # Model
 //
 // A Pool keeps the idle connections of each address. An Exchange is one request
-// on one connection: Send writes it and reads the head of the answer, Read gives
-// the body, Close ends it. Nothing is ever sent twice by this package. An error
-// says how far the request had come: until its first byte was written it has
-// certainly not run; afterwards nobody knows, unless the target says so itself.
+// on one connection: Send writes it and reads the response header, Read returns
+// the body, Close ends it. This package never retries a request. An Error reports
+// the Delivery of its request: before the first byte was written it has certainly
+// not run; afterwards this is unknown, unless the target reports it.
 //
-// A target may send an answer that belongs to an earlier request, or bytes after
-// an answer's end. So each answer is checked against the request by the caller's
-// Match function, and a connection is kept only after a complete answer with
-// nothing behind it.
+// A target may send a response that belongs to an earlier request, or bytes after
+// the end of a response. Each response is therefore checked by the caller's Match
+// function, and a connection is kept only after a complete response without
+// further bytes.
 //
 // # Example
 //
@@ -33,19 +33,19 @@
 	"time"
 )
 
-// Reached tells how far a request had come when it failed.
-type Reached uint8
+// Delivery reports how far a failed request was sent.
+type Delivery uint8
 
-// The values of Reached.
+// The values of Delivery.
 const (
-	// NotSent means that no byte left, so it has not run and never will.
-	NotSent Reached = iota
-	// MaybeSent means that some of it may have arrived, so it may have run.
+	// NotSent means that no byte was sent, so the request has not run and never will.
+	NotSent Delivery = iota
+	// MaybeSent means that bytes may have arrived, so the request may have run.
 	MaybeSent
 )
 
 // String returns the snake-case name of r.
-func (r Reached) String() string {
+func (r Delivery) String() string {
 	if r == NotSent {
 		return "not_sent"
 	}
@@ -55,9 +55,9 @@
 
 // Error is a failed exchange.
 type Error struct {
-	reached Reached
-	step    string
-	cause   error
+	delivery Delivery
+	step     string
+	cause    error
 }
 
 // Error returns the step that failed and the cause.
@@ -66,13 +66,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Reached returns how far the request had come.
-func (e *Error) Reached() Reached { return e.reached }
+// Delivery returns how far the request was sent.
+func (e *Error) Delivery() Delivery { return e.delivery }
 
-// Step names the step that failed: dial, write, head or body.
+// Step returns the name of the failed step: dial, write, head or body.
 func (e *Error) Step() string { return e.step }
 
-// Steps of an exchange, as errors name them.
+// Steps of an exchange, as named in errors.
 const (
 	stepDial  = "dial"
 	stepWrite = "write"
@@ -80,44 +80,45 @@
 	stepBody  = "body"
 )
 
-// ReachedOf returns how far the request of an error had come.
-func ReachedOf(err error) Reached {
+// ReachedOf returns the Delivery of an Error in err's chain, MaybeSent if there is none.
+func ReachedOf(err error) Delivery {
 	var e *Error
 	if errors.As(err, &e) {
-		return e.reached
+		return e.delivery
 	}
 
 	return MaybeSent
 }
 
-// Request is what is sent.
+// Request is a request to a target.
 type Request struct {
 	// Address is the target's IP and port.
 	Address string
-	// Method is needed to read the answer: some have no body.
+	// Method is the request's method. Whether the response has a body depends on it.
 	Method string
-	// Head is the request line and the headers with their last empty line.
+	// Head is the request line and the header, including the final empty line.
 	Head []byte
-	// Body is sent behind it.
+	// Body is sent after Head, as it is.
 	Body []byte
-	// Match reports whether an answer belongs to the request; nil takes any.
+	// Match reports whether a response belongs to the request; nil accepts any.
 	Match func(http.Header) bool
 }
 
-// Config bounds a Pool. Zero values get a default.
+// Config configures a Pool. Zero values get a default.
 type Config struct {
-	// DialTimeout is how long a connection may take to be established: 500 ms
-	// when zero. Data centres are a millisecond or two apart, and a packet that
-	// was lost is sent again within that time.
+	// DialTimeout is the timeout for establishing a connection: 500 ms when zero.
+	// Data centres are one or two milliseconds apart; the rest is meant to allow for
+	// the retransmission of a lost packet.
 	DialTimeout time.Duration
-	// IdleMost is how long a connection is kept unused when the target doesn't
-	// say: 4 s when zero, under the five seconds that servers usually allow.
-	IdleMost time.Duration
-	// IdlePerAddress bounds the unused connections of one address: 32 when zero.
-	IdlePerAddress int
-	// UnackedMost is how long written bytes may stay unacknowledged before the
-	// connection is taken as dead: 2 s when zero.
-	UnackedMost time.Duration
+	// IdleTimeout is how long an idle connection is kept if the target announces no
+	// timeout: 4 s when zero, below the 5 s that servers usually allow.
+	IdleTimeout time.Duration
+	// MaxIdlePerAddress is the maximum number of idle connections to one address: 32
+	// when zero.
+	MaxIdlePerAddress int
+	// UnackedTimeout is how long written bytes may stay unacknowledged before the
+	// connection fails: 2 s when zero.
+	UnackedTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -125,23 +126,23 @@
 		c.DialTimeout = 500 * time.Millisecond
 	}
 
-	if c.IdleMost <= 0 {
-		c.IdleMost = 4 * time.Second
+	if c.IdleTimeout <= 0 {
+		c.IdleTimeout = 4 * time.Second
 	}
 
-	if c.IdlePerAddress <= 0 {
-		c.IdlePerAddress = 32
+	if c.MaxIdlePerAddress <= 0 {
+		c.MaxIdlePerAddress = 32
 	}
 
-	if c.UnackedMost <= 0 {
-		c.UnackedMost = 2 * time.Second
+	if c.UnackedTimeout <= 0 {
+		c.UnackedTimeout = 2 * time.Second
 	}
 
 	return c
 }
 
-// Pool keeps connections. Use NewPool; its methods may be called from many
-// goroutines.
+// Pool keeps idle connections by address. Use NewPool; its methods are safe for
+// concurrent use.
 type Pool struct {
 	cfg    Config
 	dialer net.Dialer
@@ -157,12 +158,12 @@
 
 	return &Pool{
 		cfg:    cfg,
-		dialer: net.Dialer{Timeout: cfg.DialTimeout, Control: boundUnacked(cfg.UnackedMost), KeepAlive: -1},
+		dialer: net.Dialer{Timeout: cfg.DialTimeout, Control: userTimeoutControl(cfg.UnackedTimeout), KeepAlive: -1},
 		idle:   make(map[string][]*conn),
 	}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of attempts to open a connection.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,17 +171,17 @@
 	return p.dials
 }
 
-// Sweep closes the connections that were unused for too long.
+// Sweep closes the connections whose idle time is over.
 func (p *Pool) Sweep(now time.Time) {
-	var old []*conn
+	var expired []*conn
 
 	p.mu.Lock()
 	for address, conns := range p.idle {
 		kept := conns[:0]
 
 		for _, c := range conns {
-			if now.After(c.until) {
-				old = append(old, c)
+			if now.After(c.expires) {
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -194,14 +195,14 @@
 	}
 	p.mu.Unlock()
 
-	for _, c := range old {
+	for _, c := range expired {
 		c.close()
 	}
 }
 
-// take returns a kept connection, the one used last first, so that a pool that
-// was large in a burst shrinks again.
-func (p *Pool) take(now time.Time, address string) *conn {
+// idleConn returns a usable idle connection, nil for none. It takes the most recently used
+// one first, so that a pool that grew in a burst shrinks again.
+func (p *Pool) idleConn(now time.Time, address string) *conn {
 	for {
 		p.mu.Lock()
 
@@ -216,9 +217,9 @@
 		p.idle[address] = conns[:len(conns)-1]
 		p.mu.Unlock()
 
-		// A connection that the target closed meanwhile, or on which bytes wait
-		// that no request asked for, would lose or cross the next answer.
-		if now.Before(c.until) && c.quiet() {
+		// On a connection that the target closed the next response would be lost; with
+		// unread bytes of an earlier request it could be taken for another one.
+		if now.Before(c.expires) && c.usable() {
 			return c
 		}
 
@@ -226,18 +227,18 @@
 	}
 }
 
-// keep takes a connection back after a complete answer.
-func (p *Pool) keep(now time.Time, c *conn, most time.Duration) {
-	if most <= 0 {
-		most = p.cfg.IdleMost
+// put returns a connection to the pool after a complete response.
+func (p *Pool) put(now time.Time, c *conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = p.cfg.IdleTimeout
 	}
 
-	c.until = now.Add(most)
+	c.expires = now.Add(idleTimeout)
 	c.reused = true
 
 	p.mu.Lock()
 
-	full := len(p.idle[c.address]) >= p.cfg.IdlePerAddress
+	full := len(p.idle[c.address]) >= p.cfg.MaxIdlePerAddress
 	if !full {
 		p.idle[c.address] = append(p.idle[c.address], c)
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -12,11 +12,12 @@
 	"time"
 )
 
-// script is what a fake target does on one connection.
-type script func(c net.Conn, br *bufio.Reader)
+// connHandler serves one connection of a fake target.
+type connHandler func(c net.Conn, br *bufio.Reader)
 
-// target serves each connection by the next script, the last one for all others.
-func target(t *testing.T, scripts ...script) string {
+// newTarget starts a target that serves each connection by the next handler, and by the last
+// one once there is no next. It returns the target's address.
+func newTarget(t *testing.T, scripts ...connHandler) string {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,12 +34,12 @@
 				return
 			}
 
-			s := scripts[min(i, len(scripts)-1)]
+			serve := scripts[min(i, len(scripts)-1)]
 
 			go func() {
 				defer func() { _ = c.Close() }()
 
-				s(c, bufio.NewReader(c))
+				serve(c, bufio.NewReader(c))
 			}()
 		}
 	}()
@@ -58,24 +59,25 @@
 	return r, body, err
 }
 
-// answerEach answers each request with texts, in order, the last one for all others.
-func answerEach(texts ...string) script {
+// respondEach responds to the requests of a connection with the responses in order, and with
+// the last one once there is no next.
+func respondEach(responses ...string) connHandler {
 	return func(c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
 			if _, _, err := readRequest(br); err != nil {
 				return
 			}
 
-			if _, err := io.WriteString(c, texts[min(i, len(texts)-1)]); err != nil {
+			if _, err := io.WriteString(c, responses[min(i, len(responses)-1)]); err != nil {
 				return
 			}
 		}
 	}
 }
 
-const answerOne = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 
-func get(address, id string) Request {
+func getRequest(address, id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet,
 		Head:  []byte("GET / HTTP/1.1\r\nHost: a\r\nX-Id: " + id + "\r\n\r\n"),
@@ -83,8 +85,8 @@
 	}
 }
 
-// exchange sends a request and returns the body of its answer.
-func exchange(p *Pool, r Request) (string, error) {
+// roundTrip sends a request and returns the body of its response.
+func roundTrip(p *Pool, r Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 
@@ -101,24 +103,24 @@
 
 func TestConnectionIsKeptOnlyAfterACleanAnswer(t *testing.T) {
 	tests := []struct {
-		name  string
-		text  string
-		dials uint64
+		name     string
+		response string
+		dials    uint64
 	}{
-		{"complete", answerOne, 1},
+		{"complete", okResponse, 1},
 		{"chunked", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1},
 		{"closing", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2},
-		{"bytes behind it", answerOne + "HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 2\r\n\r\nno", 2},
-		{"keeps connections for a second", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok", 1},
+		{"bytes after the response", okResponse + "HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 2\r\n\r\nno", 2},
+		{"keep-alive timeout of 1 s", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok", 1},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := NewPool(Config{})
-			a := target(t, answerEach(tt.text))
+			a := newTarget(t, respondEach(tt.response))
 
 			for range 2 {
-				got, err := exchange(p, get(a, "1"))
+				got, err := roundTrip(p, getRequest(a, "1"))
 				if err != nil || got != "ok" {
 					t.Fatalf("got %q %v, want ok", got, err)
 				}
@@ -131,25 +133,25 @@
 	}
 }
 
-// An answer to an earlier request arrives late, where the next one is expected.
-// Passed on, a caller would see somebody else's booking.
+// A response to an earlier request arrives late, in place of the next response. If it were
+// returned, a caller would see the booking of another one.
 func TestAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
-	late := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
-	a := target(t, answerEach(late+answerOne))
+	mismatched := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
+	a := newTarget(t, respondEach(mismatched+okResponse))
 
-	got, err := exchange(NewPool(Config{}), get(a, "1"))
+	got, err := roundTrip(NewPool(Config{}), getRequest(a, "1"))
 	if err != nil || got != "ok" {
 		t.Errorf("got %q %v, want ok", got, err)
 	}
 }
 
 func TestOnlyAnswersOfOthersIsAnError(t *testing.T) {
-	other := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
-	a := target(t, answerEach(other+other+other))
+	mismatched := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
+	a := newTarget(t, respondEach(mismatched+mismatched+mismatched))
 
-	_, err := exchange(NewPool(Config{}), get(a, "1"))
-	if !errors.Is(err, errCrossed) {
-		t.Errorf("got %v, want %v", err, errCrossed)
+	_, err := roundTrip(NewPool(Config{}), getRequest(a, "1"))
+	if !errors.Is(err, errMismatched) {
+		t.Errorf("got %v, want %v", err, errMismatched)
 	}
 
 	if got := ReachedOf(err); got != MaybeSent {
@@ -157,125 +159,125 @@
 	}
 }
 
-// A target that dies or breaks off must never pass for one that answered whole, and
-// it must be known whether the request may have run there.
+// A truncated response must never count as a complete one, and the error must report whether
+// the request may have run.
 func TestFailuresTellHowFarTheRequestCame(t *testing.T) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	closed := nobody.Addr().String()
-	_ = nobody.Close()
+	closed := unused.Addr().String()
+	_ = unused.Close()
 
 	tests := []struct {
 		name    string
 		address string
-		want    Reached
+		want    Delivery
 		step    string
 	}{
-		{"nobody listens", closed, NotSent, stepDial},
-		{"closes without an answer", target(t, func(_ net.Conn, br *bufio.Reader) { _, _, _ = readRequest(br) }), MaybeSent, stepHead},
-		{"breaks off in the head", target(t, func(c net.Conn, br *bufio.Reader) {
+		{"no listener", closed, NotSent, stepDial},
+		{"closes without a response", newTarget(t, func(_ net.Conn, br *bufio.Reader) { _, _, _ = readRequest(br) }), MaybeSent, stepHead},
+		{"closes in the header", newTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _, _ = readRequest(br)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id")
 		}), MaybeSent, stepHead},
-		{"breaks off in the body", target(t, func(c net.Conn, br *bufio.Reader) {
+		{"closes in the body", newTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _, _ = readRequest(br)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 20\r\n\r\nhalf")
 		}), MaybeSent, stepBody},
-		{"breaks off between chunks", target(t, func(c net.Conn, br *bufio.Reader) {
+		{"closes between chunks", newTarget(t, func(c net.Conn, br *bufio.Reader) {
 			_, _, _ = readRequest(br)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		}), MaybeSent, stepBody},
-		{"no HTTP", target(t, answerEach("hello\r\n\r\n")), MaybeSent, stepHead},
+		{"not HTTP", newTarget(t, respondEach("hello\r\n\r\n")), MaybeSent, stepHead},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := exchange(NewPool(Config{}), get(tt.address, "1"))
+			_, err := roundTrip(NewPool(Config{}), getRequest(tt.address, "1"))
 
 			var e *Error
 			if !errors.As(err, &e) {
 				t.Fatalf("got %v, want an *Error", err)
 			}
 
-			if e.Reached() != tt.want || e.Step() != tt.step {
-				t.Errorf("got %v at %s, want %v at %s", e.Reached(), e.Step(), tt.want, tt.step)
+			if e.Delivery() != tt.want || e.Step() != tt.step {
+				t.Errorf("got %v at %s, want %v at %s", e.Delivery(), e.Step(), tt.want, tt.step)
 			}
 		})
 	}
 }
 
-// A context that ended before the first byte left must not count as sent: a
-// booking that certainly did not run may be tried again elsewhere.
+// A request whose context ended before the first byte was written must not count as sent: a
+// booking that certainly did not run may be retried on another target.
 func TestEndedBeforeSendingIsNotSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := NewPool(Config{})
-	a := target(t, answerEach(answerOne))
+	a := newTarget(t, respondEach(okResponse))
 
-	if _, err := exchange(p, get(a, "1")); err != nil {
+	if _, err := roundTrip(p, getRequest(a, "1")); err != nil {
 		t.Fatal(err)
 	}
 
 	cancel()
 
-	_, err := p.Send(ctx, get(a, "1"))
+	_, err := p.Send(ctx, getRequest(a, "1"))
 	if got := ReachedOf(err); err == nil || got != NotSent {
 		t.Errorf("got %v %v, want %v", got, err, NotSent)
 	}
 }
 
-// A target closes a kept connection while nobody uses it. The next request must
-// not be sent on it: it would break, and nobody knows whether it ran.
+// A target closes an idle connection. The next request must not be sent on it: it would
+// fail, and it would be unknown whether it ran.
 func TestConnectionClosedByTheTargetIsNotUsedAgain(t *testing.T) {
 	closed := make(chan struct{})
 	once := func(c net.Conn, br *bufio.Reader) {
 		_, _, _ = readRequest(br)
-		_, _ = io.WriteString(c, answerOne)
+		_, _ = io.WriteString(c, okResponse)
 		_ = c.Close()
 		close(closed)
 	}
-	a := target(t, once, answerEach(answerOne))
+	a := newTarget(t, once, respondEach(okResponse))
 	p := NewPool(Config{})
 
-	if _, err := exchange(p, get(a, "1")); err != nil {
+	if _, err := roundTrip(p, getRequest(a, "1")); err != nil {
 		t.Fatal(err)
 	}
 
 	<-closed
 
-	// The close crosses a loopback; the pool sees it as soon as it has arrived.
+	// The pool detects the close once it has arrived over the loopback interface.
 	for range 100 {
-		if got, err := exchange(p, get(a, "1")); err != nil || got != "ok" {
+		if got, err := roundTrip(p, getRequest(a, "1")); err != nil || got != "ok" {
 			t.Fatalf("got %q %v, want ok", got, err)
 		}
 	}
 }
 
-// A target may reject a long request before it has read it. The rest of the body
-// must not be taken for the next request.
+// A target may reject a long request before it has read the body. The rest of the body must
+// not be taken for the next request on the connection.
 func TestEarlyAnswerDoesNotMixTheBodyIntoTheNextRequest(t *testing.T) {
 	early := func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
 
-		_, _ = io.WriteString(c, answerOne)
-		time.Sleep(3 * bodyGrace)
+		_, _ = io.WriteString(c, okResponse)
+		time.Sleep(3 * bodyWriteTimeout)
 	}
-	a := target(t, early, answerEach(answerOne))
+	a := newTarget(t, early, respondEach(okResponse))
 	p := NewPool(Config{})
-	long := get(a, "1")
+	long := getRequest(a, "1")
 	long.Method = http.MethodPost
 	long.Body = []byte(strings.Repeat("GET /smuggled HTTP/1.1\r\n\r\n", 1<<18))
 	long.Head = []byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 6815744\r\n\r\n")
 
-	if got, err := exchange(p, long); err != nil || got != "ok" {
+	if got, err := roundTrip(p, long); err != nil || got != "ok" {
 		t.Fatalf("got %q %v, want ok", got, err)
 	}
 
-	if got, err := exchange(p, get(a, "1")); err != nil || got != "ok" {
+	if got, err := roundTrip(p, getRequest(a, "1")); err != nil || got != "ok" {
 		t.Errorf("got %q %v, want ok", got, err)
 	}
 
@@ -284,8 +286,8 @@
 	}
 }
 
-// A caller leaves while its target works. The connection is closed, which is what
-// tells the target to stop.
+// A caller leaves while its target processes the request. The connection must be closed,
+// which tells the target to stop.
 func TestCancelClosesTheConnection(t *testing.T) {
 	stopped := make(chan struct{})
 	hang := func(_ net.Conn, br *bufio.Reader) {
@@ -297,9 +299,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
 
-	_, err := NewPool(Config{}).Send(ctx, get(target(t, hang), "1"))
+	_, err := NewPool(Config{}).Send(ctx, getRequest(newTarget(t, hang), "1"))
 	if err == nil {
-		t.Fatal("got an answer, want none")
+		t.Fatal("got a response, want an error")
 	}
 
 	select {
@@ -322,17 +324,17 @@
 	}
 
 	for _, tt := range tests {
-		if got := keepAlive(http.Header{"Keep-Alive": {tt.text}}); got != tt.want {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {tt.text}}); got != tt.want {
 			t.Errorf("%q: got %v, want %v", tt.text, got, tt.want)
 		}
 	}
 }
 
 func TestSweepForgetsOldConnections(t *testing.T) {
-	p := NewPool(Config{IdleMost: time.Minute})
-	a := target(t, answerEach(answerOne))
+	p := NewPool(Config{IdleTimeout: time.Minute})
+	a := newTarget(t, respondEach(okResponse))
 
-	if _, err := exchange(p, get(a, "1")); err != nil {
+	if _, err := roundTrip(p, getRequest(a, "1")); err != nil {
 		t.Fatal(err)
 	}
 
