--- a/loader/loader.go
+++ b/loader/loader.go
@@ -10,8 +10,8 @@
 // before, so that an order that arrives seconds late, after another one, is rejected.
 //
 // Engines load in rollout slots (AssignSlot): each process computes the slot of its
-// engine from the register. Before the order the load is announced to the entries, so
-// that they send their requests to other engines; afterwards the new version is.
+// engine from the register. The load is announced to the entries before the order, so
+// that they send their requests to other engines, and the new version after the load.
 //
 // A Standby, in each entry, orders the engines that have no loader.
 package loader
--- a/loader/standby_test.go
+++ b/loader/standby_test.go
@@ -113,7 +113,7 @@
 // fixedRank is a Ring in which an entry has the same rank for every engine.
 type fixedRank int
 
-func (p fixedRank) Rank(time.Time, string) int { return int(p) }
+func (r fixedRank) Rank(time.Time, string) int { return int(r) }
 
 // Size returns the number of entries in these tests.
 func (fixedRank) Size(time.Time) int { return 3 }
--- a/loader/stateful_test.go
+++ b/loader/stateful_test.go
@@ -179,13 +179,13 @@
 	id    string
 }
 
-func (o engineRegister) Siblings(context.Context, string, string) (string, []Sibling, error) {
+func (r engineRegister) Siblings(context.Context, string, string) (string, []Sibling, error) {
 	var all []Sibling
-	for id, e := range o.fleet.engines {
+	for id, e := range r.fleet.engines {
 		all = append(all, Sibling{ID: id, Version: e.loadedVersion()})
 	}
 
-	return o.id, all, nil
+	return r.id, all, nil
 }
 
 // restart restarts the engine under the same id and with the same version.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -44,9 +44,9 @@
 	MaybeSent
 )
 
-// String returns the snake-case name of r.
-func (r Delivery) String() string {
-	if r == NotSent {
+// String returns the snake-case name of d.
+func (d Delivery) String() string {
+	if d == NotSent {
 		return "not_sent"
 	}
 
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 
 // newTarget starts a target that serves each connection by the next handler, and by the last
 // one once there is no next. It returns the target's address.
-func newTarget(t *testing.T, scripts ...connHandler) string {
+func newTarget(t *testing.T, handlers ...connHandler) string {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 				return
 			}
 
-			serve := scripts[min(i, len(scripts)-1)]
+			serve := handlers[min(i, len(handlers)-1)]
 
 			go func() {
 				defer func() { _ = c.Close() }()
--- a/weights/inventory.go
+++ b/weights/inventory.go
@@ -167,8 +167,8 @@
 }
 
 // Ordered records that an order is being sent. It is unknown whether the order arrives
-// until a report confirms it, so it counts as a load from now on; an
-// announcement of a fence never does.
+// until a report confirms it, so it counts as a load from now on; an announcement of a
+// fence never does.
 func (i *Inventory) Ordered(now time.Time, o Order) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -165,9 +165,10 @@
 }
 
 // chooseVersion returns the version to roll out; failed is set if the wanted version failed
-// and there is no fallback. The choice depends only on what engines report, so that it
-// doesn't change with the leader. A failed version isn't tried again until operators
-// publish another one, so that the rollout doesn't oscillate.
+// and there is no fallback. Failed loads are read from the engines' reports, so that the
+// choice doesn't change with the leader; crashes that an Inventory attributes to a version
+// are known only to the leader that saw them. A failed version isn't tried again until
+// operators publish another one, so that the rollout doesn't oscillate.
 func (p *planner) chooseVersion(w Wanted, engines []Engine) (version string, failed bool) {
 	n := 0
 
