--- a/claim/candidate.go
+++ b/claim/candidate.go
@@ -8,17 +8,19 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Candidates is how many processes stand by for a shard.
-const Candidates = 3
+// CandidatesPerShard is how many processes are candidates for a shard. They
+// follow its stream.
+const CandidatesPerShard = 3
 
-// Ranked returns, for each shard of a service, the VMs that are candidates for
-// its home, the first one first. All who know the same list get the same order.
+// RankCandidates returns, for each shard of a service, the VMs whose processes
+// may take it over, in order of preference. All processes with the same list
+// get the same order.
 //
-// The order is that of rendezvous hashing, but that no VM is the first for more
-// than its part of the shards, rounded up: with few shards on few VMs, hashing
-// alone may give one VM none and another a third of all runs. (go-rendezvous
-// gives only the first node and knows no bound.)
-func Ranked(service string, shards int, f Fleet) [][]string {
+// The order is that of rendezvous hashing, except that no VM is first for more
+// than its equal share of the shards, rounded up: with few shards on few VMs,
+// hashing alone may give one VM none and another a third of all runs.
+// (go-rendezvous returns only the first node and supports no bound.)
+func RankCandidates(service string, shards int, f Fleet) [][]string {
 	var vms []string
 
 	for _, vm := range f.VMs {
@@ -32,23 +34,23 @@
 		return ranked
 	}
 
-	part := (shards + len(vms) - 1) / len(vms)
-	first := map[string]int{}
+	maxFirst := (shards + len(vms) - 1) / len(vms)
+	firstCount := map[string]int{}
 
 	for n := range ranked {
-		order := byScore(service, n, vms)
-		i := slices.IndexFunc(order, func(vm string) bool { return first[vm] < part })
+		order := rendezvousOrder(service, n, vms)
+		i := slices.IndexFunc(order, func(vm string) bool { return firstCount[vm] < maxFirst })
 		top := order[i]
-		first[top]++
+		firstCount[top]++
 		order = slices.Insert(slices.Delete(order, i, i+1), 0, top)
-		ranked[n] = order[:min(Candidates, len(order))]
+		ranked[n] = order[:min(CandidatesPerShard, len(order))]
 	}
 
 	return ranked
 }
 
-// byScore returns vms in the order of their scores for a shard.
-func byScore(service string, shard int, vms []string) []string {
+// rendezvousOrder returns vms by descending score for a shard.
+func rendezvousOrder(service string, shard int, vms []string) []string {
 	key := service + "/" + strconv.Itoa(shard) + "/"
 	scores := make(map[string]uint64, len(vms))
 
@@ -64,12 +66,12 @@
 	return order
 }
 
-// Rank returns the place of a VM in a shard's candidates, from 0; Candidates when
-// it is none of them.
-func Rank(candidates []string, vm string) int {
+// CandidateRank returns the position of a VM among a shard's candidates, from
+// 0; CandidatesPerShard if it is not one of them.
+func CandidateRank(candidates []string, vm string) int {
 	i := slices.Index(candidates, vm)
 	if i < 0 {
-		return Candidates
+		return CandidatesPerShard
 	}
 
 	return i
--- a/claim/candidate_test.go
+++ b/claim/candidate_test.go
@@ -16,12 +16,12 @@
 		}
 
 		first := map[string]int{}
-		ranked := Ranked("booking-api", c.shards, f)
+		ranked := RankCandidates("booking-api", c.shards, f)
 
 		for n, candidates := range ranked {
 			first[candidates[0]]++
 
-			if got, want := len(candidates), min(Candidates, c.vms); got != want {
+			if got, want := len(candidates), min(CandidatesPerShard, c.vms); got != want {
 				t.Errorf("%+v shard %d: got %d candidates, want %d", c, n, got, want)
 			}
 		}
@@ -34,8 +34,8 @@
 
 		slices.Reverse(f.VMs)
 
-		if got := Ranked("booking-api", c.shards, f); !slices.EqualFunc(got, ranked, slices.Equal) {
-			t.Errorf("%+v: got another order for the same VMs listed otherwise, want the same", c)
+		if got := RankCandidates("booking-api", c.shards, f); !slices.EqualFunc(got, ranked, slices.Equal) {
+			t.Errorf("%+v: got another order for the same VMs in another order, want the same", c)
 		}
 	}
 }
--- a/claim/coordinator.go
+++ b/claim/coordinator.go
@@ -10,437 +10,454 @@
 )
 
 const (
-	// DefaultPatience is how long a claim waits to be read back before the log
-	// counts as silent.
-	DefaultPatience = time.Second
-	// DefaultMaxPause is how long a process may stand still and still trust what
-	// it knew before.
+	// DefaultReadBackTimeout is how long a claim waits to be read back before the
+	// log counts as unresponsive.
+	DefaultReadBackTimeout = time.Second
+	// DefaultMaxPause is the longest pause of a process after which it still
+	// trusts its earlier state.
 	DefaultMaxPause = 5 * time.Second
-	// DefaultMaxLocal bounds the runs that the log does not hold yet.
-	DefaultMaxLocal = 1 << 16
-	// DefaultMaxBody bounds the body of an outcome that is recorded.
-	DefaultMaxBody = 16 << 10
-	// DefaultRetention is for how long the log is taken to keep records.
-	DefaultRetention = 24 * time.Hour
-	// ListLag bounds how late the platform's list tells of a VM that was dropped.
-	ListLag = 30 * time.Second
-	// silence is how long without an answer to a read makes the log silent. It is
-	// above the poll's wait of a shard's reader.
-	silence = 3 * time.Second
-	// refusedAfter is when to come back to a shard that changes its home.
-	refusedAfter = time.Second
-	// outageAfter is when to come back in an outage of the log.
-	outageAfter = 10 * time.Second
+	// DefaultMaxPending limits the runs that are not yet complete in the log.
+	DefaultMaxPending = 1 << 16
+	// DefaultMaxBodyBytes limits the body of a recorded outcome.
+	DefaultMaxBodyBytes = 16 << 10
+	// DefaultLogRetention is how long the log is assumed to keep records.
+	DefaultLogRetention = 24 * time.Hour
+	// MaxListLag is the longest delay until the platform's list shows that a VM
+	// was removed.
+	MaxListLag = 30 * time.Second
+	// logTimeout is the time without a read to the end of the log after which the
+	// log counts as unresponsive. It is above pollWait, for which a read waits for
+	// a record.
+	logTimeout = 3 * time.Second
+	// retryAfter is the Retry-After for a key that is running and for a shard
+	// whose owner is changing.
+	retryAfter = time.Second
+	// outageRetryAfter is the Retry-After during an outage of the log.
+	outageRetryAfter = 10 * time.Second
 )
 
-// CoordinatorConfig says who decides about a shard and by which limits.
+// CoordinatorConfig configures a Coordinator.
 type CoordinatorConfig struct {
-	// VM and Incarnation are the process's; Incarnation rises with each start on
-	// the VM.
+	// VM and Incarnation identify the process; Incarnation rises with each start
+	// of a process on the VM.
 	VM          string
 	Incarnation uint64
-	// Ledger is what all who read the shard agree on.
-	Ledger LedgerConfig
-	// RefuseInOutage refuses while the log is silent, instead of running before
-	// claims are written.
+	// State must be the same in all processes that read the shard.
+	State StateConfig
+	// RefuseInOutage refuses requests while the log is unresponsive, instead of
+	// running them before their claims are written.
 	RefuseInOutage bool
-	// Patience is how long a claim waits to be read back; zero is DefaultPatience.
-	Patience time.Duration
-	// MaxPause is how long the process may stand still; zero is DefaultMaxPause.
+	// ReadBackTimeout is how long a claim waits to be read back; zero means
+	// DefaultReadBackTimeout.
+	ReadBackTimeout time.Duration
+	// MaxPause is the longest pause of the process after which it still trusts
+	// its earlier state; zero means DefaultMaxPause.
 	MaxPause time.Duration
-	// Retention is for how long the log keeps records at the least; zero is
-	// DefaultRetention.
-	Retention time.Duration
-	// MaxLocal bounds the runs that the log does not hold yet; zero is DefaultMaxLocal.
-	MaxLocal int
-	// MaxBody bounds the body of a recorded outcome; zero is DefaultMaxBody.
-	MaxBody int
+	// LogRetention is how long the log keeps records at least; zero means
+	// DefaultLogRetention.
+	LogRetention time.Duration
+	// MaxPending limits the runs that are not yet complete in the log; zero means
+	// DefaultMaxPending.
+	MaxPending int
+	// MaxBodyBytes limits the body of a recorded outcome; zero means
+	// DefaultMaxBodyBytes.
+	MaxBodyBytes int
 }
 
 func (c CoordinatorConfig) withDefaults() CoordinatorConfig {
-	c.Patience = positive(c.Patience, DefaultPatience)
-	c.MaxPause = positive(c.MaxPause, DefaultMaxPause)
-	c.Retention = positive(c.Retention, DefaultRetention)
-	c.MaxLocal = positive(c.MaxLocal, DefaultMaxLocal)
-	c.MaxBody = positive(c.MaxBody, DefaultMaxBody)
+	c.ReadBackTimeout = orDefault(c.ReadBackTimeout, DefaultReadBackTimeout)
+	c.MaxPause = orDefault(c.MaxPause, DefaultMaxPause)
+	c.LogRetention = orDefault(c.LogRetention, DefaultLogRetention)
+	c.MaxPending = orDefault(c.MaxPending, DefaultMaxPending)
+	c.MaxBodyBytes = orDefault(c.MaxBodyBytes, DefaultMaxBodyBytes)
 
 	return c
 }
 
-func positive[T int | time.Duration](v, otherwise T) T {
+func orDefault[T int | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
 	}
 
-	return otherwise
+	return fallback
 }
 
-// phase is how far a run has come in the process that claimed it.
+// phase is the progress of a run in the process that claimed it.
 type phase uint8
 
 const (
-	// waiting has its claim on the way to the log.
-	waiting phase = iota
-	// running may be carried out, or is.
-	running
-	// settled has its outcome on the way to the log.
-	settled
-	// withdrawn has its withdrawal on the way to the log.
-	withdrawn
-	// lost may have been carried out; nobody will learn what it brought.
-	lost
+	// phaseWaiting means that the claim is on its way to the log and the run may
+	// not start yet.
+	phaseWaiting phase = iota
+	// phaseRunning means that the run may start or has started.
+	phaseRunning
+	// phaseCompleted means that the outcome is known; its record may be on its
+	// way to the log.
+	phaseCompleted
+	// phaseWithdrawn means that the run won't happen; the withdrawal is on its way
+	// to the log.
+	phaseWithdrawn
+	// phaseUnknown means that the run may have happened and its outcome will never
+	// be known.
+	phaseUnknown
 )
 
 // Run is one claim of a key by this process.
 type Run struct {
-	id          ID
-	nonce       uint64
-	term        uint64
-	fingerprint uint64
-	phase       phase
-	asked       time.Time
-	logLess     bool
-	read        bool     // the claim was read back
-	freed       []uint64 // the withdrawn runs of this key that this one follows
-	outcome     *Outcome
-	err         error         // why it may not run
-	done        chan struct{} // closed when waiting ends
+	keyID         KeyID
+	runID         uint64
+	term          uint64
+	fingerprint   uint64
+	phase         phase
+	claimedAt     time.Time
+	unlogged      bool
+	readBack      bool     // the claim was read from the log
+	withdrawnRuns []uint64 // earlier, withdrawn runs of this key in this process
+	outcome       *Outcome
+	err           error         // why it may not run
+	decided       chan struct{} // closed when phaseWaiting ends
 }
 
-// Coordinator decides about the keys of one shard in one process. It reads the shard's
-// records, and what it wants to write lies in its outbox. It does no I/O and
-// keeps no clock. Use NewCoordinator.
+// Coordinator decides about the keys of one shard in one process. It is fed
+// with the shard's records and collects the records to write in its outbox. It
+// does no I/O, reads no clock and is not safe for concurrent use. Use
+// NewCoordinator.
 type Coordinator struct {
-	cfg    CoordinatorConfig
-	ledger *Ledger
-	local  map[ID]*Run
-	outbox []record
-	unread []*Run // runs whose claim is on the way to the log, oldest first
-	queue  []*Run // runs that wait for that, oldest first
-
-	stopping bool      // the shard is given back for good
-	yielding bool      // the shard is given back for another to take
-	asked    uint64    // the term for which a release is on its way
-	behind   bool      // records are missing that the log holds
-	first    uint64    // the oldest offset that the log keeps
-	ticked   time.Time // when the process last ran
-	synced   time.Time // when the records read were last known to be all
-	frozen   time.Time // since when this process may have missed a change
-	paused   time.Time // when it was last noticed that the process had stood still
-	unlisted bool      // the platform's list doesn't have the VM
+	cfg       CoordinatorConfig
+	state     *State
+	pending   map[KeyID]*Run
+	outbox    []record
+	unread    []*Run // runs whose claim was not read back yet, oldest first
+	waitQueue []*Run // runs that wait for their claim to be read back, oldest first
+
+	stopping      bool      // the process gives the shard up for good
+	yielding      bool      // the process gives the shard up for another one to take over
+	releaseTerm   uint64    // the term for which a release was written
+	behind        bool      // the log holds records that were not read
+	oldestOffset  uint64    // the oldest offset that the log keeps
+	lastTick      time.Time // when detectPause last ran
+	syncedAt      time.Time // when the end of the log was last reached
+	unsyncedPause time.Time // when a pause was detected; zero once the log was read to its end after it
+	lastPause     time.Time // when a pause was last detected
+	unlisted      bool      // the platform's list doesn't have the VM
 }
 
-// NewCoordinator returns a Coordinator that has read nothing.
+// NewCoordinator returns a Coordinator that has read no record.
 func NewCoordinator(cfg CoordinatorConfig) *Coordinator {
-	return &Coordinator{cfg: cfg.withDefaults(), ledger: NewLedger(cfg.Ledger), local: map[ID]*Run{}, behind: true, first: 1}
+	return &Coordinator{cfg: cfg.withDefaults(), state: NewState(cfg.State), pending: map[KeyID]*Run{}, behind: true, oldestOffset: 1}
 }
 
-// Ledger returns what the records say.
-func (c *Coordinator) Ledger() *Ledger { return c.ledger }
+// State returns the state that follows from the records read.
+func (c *Coordinator) State() *State { return c.state }
 
-// Home tells whether this process is the home of the shard by what it has read.
-func (c *Coordinator) Home() bool { return c.mine(c.ledger.Holder()) }
+// IsOwner reports whether this process owns the shard according to the records
+// read.
+func (c *Coordinator) IsOwner() bool { return c.isOwner(c.state.Owner()) }
 
-func (c *Coordinator) mine(h Holder) bool {
-	return h.Serves() && h.VM == c.cfg.VM && h.Incarnation == c.cfg.Incarnation
+func (c *Coordinator) isOwner(o Owner) bool {
+	return o.Active() && o.VM == c.cfg.VM && o.Incarnation == c.cfg.Incarnation
 }
 
-// Claim decides about a request. Without an error, the run that it returns is
-// one to wait for, one that may be carried out, or one whose outcome is known.
+// Claim decides about a request. Without an error, the returned Run is either
+// waiting for its claim to be read back, or may start, or has a known outcome.
 func (c *Coordinator) Claim(now time.Time, q Request) (*Run, error) {
-	c.watch(now)
+	c.detectPause(now)
 
-	if !c.Home() || c.draining() || c.behind {
-		return nil, failure.New(failure.NotReady, "this process is not the home of the key").After(refusedAfter)
+	if !c.IsOwner() || c.draining() || c.behind {
+		return nil, failure.New(failure.NotReady, "this process does not own the shard of the key").After(retryAfter)
 	}
 
-	id, fingerprint := NewID(q.Organisation, q.Key), digest(q.Fingerprint)
+	id, fingerprint := NewKeyID(q.Organisation, q.Key), fingerprintHash(q.Fingerprint)
 
-	if r := c.local[id]; r != nil && r.phase != withdrawn {
-		return c.again(r, fingerprint)
+	if r := c.pending[id]; r != nil && r.phase != phaseWithdrawn {
+		return c.answerDuplicate(r, fingerprint)
 	}
 
-	issued, _ := Issued(q.Key)
-	if r, err := c.ask(now, Key{ID: id, Issued: issued}, fingerprint); r != nil || err != nil {
+	issued, _ := IssueTime(q.Key)
+	if r, err := c.answerFromState(now, Key{ID: id, Issued: issued}, fingerprint); r != nil || err != nil {
 		return r, err
 	}
 
-	silent := c.silent(now)
+	unresponsive := c.logUnresponsive(now)
 
 	switch {
-	case silent && !c.trusted(now):
-		return nil, c.refusal(now)
-	case len(c.local) >= c.cfg.MaxLocal:
-		return nil, failure.New(failure.QueueFull, "too many claims wait for the log").After(outageAfter)
+	case unresponsive && !c.mayRunUnlogged(now):
+		return nil, c.outageError(now)
+	case len(c.pending) >= c.cfg.MaxPending:
+		return nil, failure.New(failure.QueueFull, "too many claims wait for the log").After(outageRetryAfter)
 	}
 
-	return c.open(now, id, fingerprint, issued, silent), nil
+	return c.startRun(now, id, fingerprint, issued, unresponsive), nil
 }
 
-// again answers for a key that this process has claimed before.
-func (c *Coordinator) again(r *Run, fingerprint uint64) (*Run, error) {
+// answerDuplicate answers a request whose key this process has claimed before.
+func (c *Coordinator) answerDuplicate(r *Run, fingerprint uint64) (*Run, error) {
 	switch {
 	case r.fingerprint != fingerprint:
 		return nil, failure.New(failure.KeyReused, "the key was used for another request")
-	case r.phase == settled:
+	case r.phase == phaseCompleted:
 		return r, nil
-	case r.phase == lost:
-		return nil, unknown()
+	case r.phase == phaseUnknown:
+		return nil, outcomeUnknown()
 	default:
-		return nil, failure.New(failure.KeyBusy, "the request with this key is running").After(refusedAfter)
+		return nil, failure.New(failure.KeyBusy, "the request with this key is running").After(retryAfter)
 	}
 }
 
-// ask answers for a key by the records; neither a run nor an error says that
-// the key is free.
-func (c *Coordinator) ask(now time.Time, k Key, fingerprint uint64) (*Run, error) {
-	standing := c.ledger.Ask(now, k)
-	e := c.ledger.entries[k.ID]
+// answerFromState answers a request from the records read. If it returns
+// neither a run nor an error, the key is free.
+func (c *Coordinator) answerFromState(now time.Time, k Key, fingerprint uint64) (*Run, error) {
+	status := c.state.Lookup(now, k)
+	e := c.state.entries[k.ID]
 
-	if standing == Open && c.withdrawing(k.ID, e) {
+	if status == KeyClaimed && c.withdrawalPending(k.ID, e) {
 		return nil, nil
 	}
 
-	if (standing == Open || standing == Settled) && e.fingerprint != fingerprint {
+	if (status == KeyClaimed || status == KeyCompleted) && e.fingerprint != fingerprint {
 		return nil, failure.New(failure.KeyReused, "the key was used for another request")
 	}
 
-	switch standing {
-	case Settled:
-		return &Run{id: k.ID, phase: settled, outcome: e.outcome}, nil
-	case Open, Uncertain:
-		return nil, unknown()
-	case Expired:
-		return nil, failure.New(failure.KeyExpired, "the key is older than keys are remembered")
-	case Ahead:
-		return nil, failure.New(failure.BadRequest, "the key's issue time lies ahead")
+	switch status {
+	case KeyCompleted:
+		return &Run{keyID: k.ID, phase: phaseCompleted, outcome: e.outcome}, nil
+	case KeyClaimed, KeyUncertain:
+		return nil, outcomeUnknown()
+	case KeyExpired:
+		return nil, failure.New(failure.KeyExpired, "the key was issued too long ago")
+	case KeyFromFuture:
+		return nil, failure.New(failure.BadRequest, "the key's issue time is in the future")
 	default:
 		return nil, nil
 	}
 }
 
-func unknown() error {
-	return failure.New(failure.OutcomeUnknown, "the request may have run and is not run again")
+func outcomeUnknown() error {
+	return failure.New(failure.OutcomeUnknown, "the request may have run and will not be run again")
 }
 
-// withdrawing tells whether the withdrawal of what holds a key is on its way. The
-// key is free then before the log says so: a claim that follows gets into the
-// log behind the withdrawal.
-func (c *Coordinator) withdrawing(id ID, e entry) bool {
-	r := c.local[id]
+// withdrawalPending reports whether the withdrawal of the run that holds a key
+// is on its way. The key counts as free before the log holds the withdrawal,
+// since a new claim is written after it.
+func (c *Coordinator) withdrawalPending(id KeyID, e entry) bool {
+	r := c.pending[id]
 
-	return r != nil && (r.phase == withdrawn && r.nonce == e.run || slices.Contains(r.freed, e.run))
+	return r != nil && (r.phase == phaseWithdrawn && r.runID == e.runID || slices.Contains(r.withdrawnRuns, e.runID))
 }
 
-// open starts a run. In an outage it may be carried out at once.
-func (c *Coordinator) open(now time.Time, id ID, fingerprint uint64, issued time.Time, silent bool) *Run {
+// startRun claims a key for a new run. In an outage of the log the run may
+// start at once.
+func (c *Coordinator) startRun(now time.Time, id KeyID, fingerprint uint64, issued time.Time, unresponsive bool) *Run {
 	r := &Run{
-		id: id, nonce: rand.Uint64(), term: c.ledger.Holder().Term, fingerprint: fingerprint,
-		asked: now, done: make(chan struct{}),
+		keyID: id, runID: rand.Uint64(), term: c.state.Owner().Term, fingerprint: fingerprint,
+		claimedAt: now, decided: make(chan struct{}),
 	}
 
-	if w := c.local[id]; w != nil {
-		r.freed = append(w.freed, w.nonce)
+	if w := c.pending[id]; w != nil {
+		r.withdrawnRuns = append(w.withdrawnRuns, w.runID)
 	}
 
-	c.local[id] = r
+	c.pending[id] = r
 	c.unread = append(c.unread, r)
-	c.write(record{
-		Kind: kindClaim, Term: r.term, ID: id, Run: r.nonce,
-		Fingerprint: fingerprint, IssuedMS: millis(issued),
+	c.enqueue(record{
+		Kind: kindClaim, Term: r.term, KeyID: id, RunID: r.runID,
+		Fingerprint: fingerprint, IssuedMS: unixMillis(issued),
 	})
 
-	if silent {
-		r.logLess = true
-		r.proceed()
+	if unresponsive {
+		r.unlogged = true
+		r.allow()
 
 		return r
 	}
 
-	c.queue = append(c.queue, r)
+	c.waitQueue = append(c.waitQueue, r)
 
 	return r
 }
 
-// proceed lets a run be carried out.
-func (r *Run) proceed() {
-	r.phase = running
-	close(r.done)
+// allow lets a run start.
+func (r *Run) allow() {
+	r.phase = phaseRunning
+	close(r.decided)
 }
 
-// refuse ends a run that was not carried out.
-func (r *Run) refuse(err error) {
+// reject ends a run that has not started.
+func (r *Run) reject(err error) {
 	r.err = err
-	r.phase = withdrawn
-	close(r.done)
+	r.phase = phaseWithdrawn
+	close(r.decided)
 }
 
-func (c *Coordinator) write(r record) { c.outbox = append(c.outbox, r) }
+func (c *Coordinator) enqueue(r record) { c.outbox = append(c.outbox, r) }
 
-// Apply takes account of the next record of the shard's stream.
+// Apply applies the next record of the shard's stream.
 func (c *Coordinator) Apply(rec journal.Record) error {
 	r, err := decode(rec.Data)
 	if err != nil {
 		return err
 	}
 
-	before := c.ledger.Holder()
-	c.ledger.apply(rec.Offset, rec.At.UnixMilli(), r)
+	before := c.state.Owner()
+	c.state.apply(rec.Offset, rec.At.UnixMilli(), r)
 
-	if c.mine(before) && !c.Home() {
-		c.lose()
+	if c.isOwner(before) && !c.IsOwner() {
+		c.loseOwnership()
 	}
 
-	if l := c.local[r.ID]; l != nil && l.nonce == r.Run {
-		c.readBack(l, r.Kind)
+	if run := c.pending[r.KeyID]; run != nil && run.runID == r.RunID {
+		c.handleOwnRecord(run, r.Kind)
 	}
 
 	return nil
 }
 
-// readBack takes account of an own record.
-func (c *Coordinator) readBack(l *Run, k kind) {
+// handleOwnRecord updates a run of this process whose record was read back.
+func (c *Coordinator) handleOwnRecord(r *Run, k kind) {
 	switch k {
 	case kindClaim:
-		l.read = true
-		c.confirm(l)
+		r.readBack = true
+		c.decideRun(r)
 	case kindOutcome, kindWithdraw:
-		delete(c.local, l.id)
+		delete(c.pending, r.keyID)
 	default:
 	}
 }
 
-// confirm lets a run go on whose claim counts, and ends one whose doesn't.
-func (c *Coordinator) confirm(l *Run) {
-	e, ok := c.ledger.entries[l.id]
+// decideRun lets a run start whose claim counts, and ends one whose claim
+// doesn't.
+func (c *Coordinator) decideRun(r *Run) {
+	e, ok := c.state.entries[r.keyID]
 
 	switch {
-	case l.phase == lost:
-		delete(c.local, l.id)
-	case l.phase != waiting:
-	case ok && e.run == l.nonce:
-		l.proceed()
+	case r.phase == phaseUnknown:
+		delete(c.pending, r.keyID)
+	case r.phase != phaseWaiting:
+	case ok && e.runID == r.runID:
+		r.allow()
 	default:
-		delete(c.local, l.id)
-		l.refuse(unknown())
+		delete(c.pending, r.keyID)
+		r.reject(outcomeUnknown())
 	}
 }
 
-// lose ends what another home decides from now on. A run that is carried out
-// goes on; its claim is in the log, or its key is uncertain for the next home.
-func (c *Coordinator) lose() {
-	for id, r := range c.local {
-		if r.phase == waiting {
-			c.takeBack(r, failure.New(failure.NotReady, "another process became the home of the key").After(refusedAfter))
+// loseOwnership ends the runs that have not started, since another process
+// decides from now on. A run that has started continues; its claim is in the
+// log, or its key is uncertain for the next owner.
+func (c *Coordinator) loseOwnership() {
+	for id, r := range c.pending {
+		if r.phase == phaseWaiting {
+			c.cancelRun(r, failure.New(failure.NotReady, "another process became the owner of the shard of the key").After(retryAfter))
 		}
 
-		if r.phase != running {
-			delete(c.local, id)
+		if r.phase != phaseRunning {
+			delete(c.pending, id)
 		}
 	}
 
-	c.unread, c.queue = nil, nil
-	c.asked = 0
+	c.unread, c.waitQueue = nil, nil
+	c.releaseTerm = 0
 	c.yielding = false
 	c.outbox = withoutClaims(c.outbox)
 }
 
-// Restore replaces what the records say by a snapshot.
+// Restore replaces the state by a snapshot.
 func (c *Coordinator) Restore(b []byte) error {
-	before := c.ledger.Holder()
+	before := c.state.Owner()
 
-	if err := c.ledger.Restore(b); err != nil {
+	if err := c.state.Restore(b); err != nil {
 		return err
 	}
 
-	c.rebase(before)
+	c.reconcile(before)
 
 	return nil
 }
 
-// Gap says that the records before offset first are lost.
-func (c *Coordinator) Gap(first uint64) {
-	before := c.ledger.Holder()
-	c.ledger.Gap(first)
-	c.rebase(before)
+// ResetAfterGap resets the state since the records before offset first are
+// lost.
+func (c *Coordinator) ResetAfterGap(first uint64) {
+	before := c.state.Owner()
+	c.state.ResetAfterGap(first)
+	c.reconcile(before)
 }
 
-// rebase brings the own runs in line after records were skipped.
-func (c *Coordinator) rebase(before Holder) {
+// reconcile updates the runs of this process after records were skipped.
+func (c *Coordinator) reconcile(before Owner) {
 	c.behind = true
 
-	if c.mine(before) && c.ledger.Holder().Term != before.Term {
-		c.lose()
+	if c.isOwner(before) && c.state.Owner().Term != before.Term {
+		c.loseOwnership()
 
 		return
 	}
 
-	for id, r := range c.local {
-		e, ok := c.ledger.entries[id]
-		if !ok || e.run != r.nonce {
+	for id, r := range c.pending {
+		e, ok := c.state.entries[id]
+		if !ok || e.runID != r.runID {
 			continue
 		}
 
-		c.readBack(r, kindClaim)
+		c.handleOwnRecord(r, kindClaim)
 
 		if e.outcome != nil {
-			delete(c.local, id)
+			delete(c.pending, id)
 		}
 	}
 }
 
-// Tick looks for claims that have waited long enough. Those of a home that may
-// go on without the log run; the others are refused.
+// Tick handles claims that were not read back in time. They run if this process
+// may run requests without the log; otherwise they are refused.
 func (c *Coordinator) Tick(now time.Time) {
-	c.watch(now)
+	c.detectPause(now)
 
-	for len(c.queue) > 0 {
-		r := c.queue[0]
-		if r.phase == waiting && now.Sub(r.asked) < c.cfg.Patience {
+	for len(c.waitQueue) > 0 {
+		r := c.waitQueue[0]
+		if r.phase == phaseWaiting && now.Sub(r.claimedAt) < c.cfg.ReadBackTimeout {
 			return
 		}
 
-		c.queue = c.queue[1:]
+		c.waitQueue = c.waitQueue[1:]
 
-		if r.phase == waiting {
-			c.overdue(now, r)
+		if r.phase == phaseWaiting {
+			c.handleOverdue(now, r)
 		}
 	}
 }
 
-// overdue decides about a run whose claim does not come back from the log.
-func (c *Coordinator) overdue(now time.Time, r *Run) {
-	if e, ok := c.ledger.entries[r.id]; ok && e.run != r.nonce && !c.withdrawing(r.id, e) {
-		c.takeBack(r, unknown())
+// handleOverdue decides about a run whose claim was not read back in time.
+func (c *Coordinator) handleOverdue(now time.Time, r *Run) {
+	if e, ok := c.state.entries[r.keyID]; ok && e.runID != r.runID && !c.withdrawalPending(r.keyID, e) {
+		c.cancelRun(r, outcomeUnknown())
 
 		return
 	}
 
-	if c.trusted(now) && !c.behind {
-		r.logLess = true
-		r.proceed()
+	if c.mayRunUnlogged(now) && !c.behind {
+		r.unlogged = true
+		r.allow()
 
 		return
 	}
 
-	c.takeBack(r, c.refusal(now))
+	c.cancelRun(r, c.outageError(now))
 }
 
-// takeBack ends a run that was not carried out. Its claim may be in the log or
-// get there later, so the withdrawal follows it.
-func (c *Coordinator) takeBack(r *Run, err error) {
-	r.refuse(err)
-	c.write(record{Kind: kindWithdraw, Term: r.term, ID: r.id, Run: r.nonce})
+// cancelRun ends a run that has not started. Its claim may be in the log or
+// reach it later, so a withdrawal is written after it.
+func (c *Coordinator) cancelRun(r *Run, err error) {
+	r.reject(err)
+	c.enqueue(record{Kind: kindWithdraw, Term: r.term, KeyID: r.keyID, RunID: r.runID})
 }
 
-// Abandon ends a run whose caller no longer waits; false when it may be carried
-// out by now.
+// Abandon ends a run whose caller no longer waits; false if the run may have
+// started.
 func (c *Coordinator) Abandon(r *Run, err error) bool {
-	if r.phase != waiting {
-		return r.phase == withdrawn
+	if r.phase != phaseWaiting {
+		return r.phase == phaseWithdrawn
 	}
 
-	c.takeBack(r, err)
+	c.cancelRun(r, err)
 
 	return true
 }
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -1,56 +1,58 @@
 package claim
 
-// Settle notes the outcome of a run that was carried out.
-func (c *Coordinator) Settle(r *Run, o Outcome) {
-	if r.phase != running && r.phase != lost {
+// Complete records the outcome of a run. A body over MaxBodyBytes is omitted.
+func (c *Coordinator) Complete(r *Run, o Outcome) {
+	if r.phase != phaseRunning && r.phase != phaseUnknown {
 		return
 	}
 
-	if len(o.Body) > c.cfg.MaxBody {
-		o.Body, o.Cut = nil, true
+	if len(o.Body) > c.cfg.MaxBodyBytes {
+		o.Body, o.BodyOmitted = nil, true
 	}
 
-	r.phase = settled
+	r.phase = phaseCompleted
 	r.outcome = &o
-	c.write(record{Kind: kindOutcome, Term: r.term, ID: r.id, Run: r.nonce, Outcome: &o})
-	c.disown(r)
+	c.enqueue(record{Kind: kindOutcome, Term: r.term, KeyID: r.keyID, RunID: r.runID, Outcome: &o})
+	c.dropIfTermOver(r)
 }
 
-// Lose notes that nobody will learn what a run brought, as its target died or
-// fell silent. The process remembers it until the log does.
-func (c *Coordinator) Lose(r *Run) {
-	if r.phase != running {
+// MarkUnknown records that the outcome of a run will never be known, since its
+// target crashed or became unresponsive. The process remembers the run until
+// its claim is read back.
+func (c *Coordinator) MarkUnknown(r *Run) {
+	if r.phase != phaseRunning {
 		return
 	}
 
-	r.phase = lost
+	r.phase = phaseUnknown
 
-	if r.read {
-		delete(c.local, r.id)
+	if r.readBack {
+		delete(c.pending, r.keyID)
 	}
 
-	c.disown(r)
+	c.dropIfTermOver(r)
 }
 
-// Withdraw notes that a run was not carried out and won't be.
+// Withdraw records that a run did not happen and won't happen.
 func (c *Coordinator) Withdraw(r *Run) {
-	if r.phase != running {
+	if r.phase != phaseRunning {
 		return
 	}
 
-	r.phase = withdrawn
-	c.write(record{Kind: kindWithdraw, Term: r.term, ID: r.id, Run: r.nonce})
-	c.disown(r)
+	r.phase = phaseWithdrawn
+	c.enqueue(record{Kind: kindWithdraw, Term: r.term, KeyID: r.keyID, RunID: r.runID})
+	c.dropIfTermOver(r)
 }
 
-// disown forgets a run from an earlier term; only the record matters then.
-func (c *Coordinator) disown(r *Run) {
-	if h := c.ledger.Holder(); (r.term != h.Term || !h.Serves()) && c.local[r.id] == r {
-		delete(c.local, r.id)
+// dropIfTermOver removes a run whose term is over; only its record in the log
+// counts then.
+func (c *Coordinator) dropIfTermOver(r *Run) {
+	if o := c.state.Owner(); (r.term != o.Term || !o.Active()) && c.pending[r.keyID] == r {
+		delete(c.pending, r.keyID)
 	}
 }
 
-// Outbox returns the records to write, in order, and empties it.
+// Outbox returns the records to write, in order, and empties the outbox.
 func (c *Coordinator) Outbox() [][]byte {
 	b := make([][]byte, len(c.outbox))
 	for i, r := range c.outbox {
@@ -62,22 +64,22 @@
 	return b
 }
 
-// Stop gives the shard back for good; see Release.
+// Stop gives the shard up for good; see Release.
 func (c *Coordinator) Stop() { c.stopping = true }
 
-// Yield gives the shard back for another to take; see Release.
+// Yield gives the shard up for another process to take over; see Release.
 func (c *Coordinator) Yield() { c.yielding = true }
 
 func (c *Coordinator) draining() bool { return c.stopping || c.yielding }
 
-// Release releases a shard that is to be given back, once every run of this
-// process is over and the log holds all of them.
+// Release writes the release of a shard that is to be given up, once every run
+// of this process has ended and is complete in the log.
 func (c *Coordinator) Release() {
-	term := c.ledger.Holder().Term
-	if !c.draining() || !c.Home() || c.asked == term || len(c.local) > 0 || len(c.outbox) > 0 {
+	term := c.state.Owner().Term
+	if !c.draining() || !c.IsOwner() || c.releaseTerm == term || len(c.pending) > 0 || len(c.outbox) > 0 {
 		return
 	}
 
-	c.asked = term
-	c.write(record{Kind: kindRelease, Term: term})
+	c.releaseTerm = term
+	c.enqueue(record{Kind: kindRelease, Term: term})
 }
--- a/claim/home.go
+++ b/claim/home.go
@@ -16,89 +16,97 @@
 const (
 	// DefaultShards is how many shards the keys of a service are divided into.
 	DefaultShards = 16
-	// DefaultInterval is the least time between two appends to one shard.
-	DefaultInterval = 100 * time.Millisecond
-	// DefaultRebalance is how long the first candidate of a shard is listed
-	// before another home yields to it.
-	DefaultRebalance = time.Minute
-	// DefaultSnapshotRecords is how many records follow a snapshot before the next.
+	// DefaultAppendInterval is the minimum time between two appends to one shard.
+	DefaultAppendInterval = 100 * time.Millisecond
+	// DefaultRebalanceDelay is how long a shard's first candidate must be another
+	// process before the owner yields to it.
+	DefaultRebalanceDelay = time.Minute
+	// DefaultSnapshotRecords is the number of records between two snapshots.
 	DefaultSnapshotRecords = 50000
-	// tickEvery is how often a Home looks whether something is due.
-	tickEvery = 50 * time.Millisecond
-	// pollWait is how long a shard's poll waits for a record; below silence.
+	// tickInterval is the interval at which a Home checks its shards.
+	tickInterval = 50 * time.Millisecond
+	// pollWait is how long a shard's poll waits for a record; it is below
+	// logTimeout.
 	pollWait = time.Second
-	// snapshotsPerRetention is how often the state is written again while the log
-	// keeps a record.
+	// snapshotsPerRetention is how many snapshots are written while the log keeps
+	// a record.
 	snapshotsPerRetention = 4
-	// recordsPerKey is how many records follow a snapshot for each key in it.
-	recordsPerKey = 4
-	// recordsPerRun is how many records a run makes at most.
-	recordsPerRun = 2
+	// snapshotRecordsPerKey is the minimum number of records between two
+	// snapshots for each key in the state.
+	snapshotRecordsPerKey = 4
+	// maxRecordsPerRun is the maximum number of records of one run.
+	maxRecordsPerRun = 2
 )
 
-// HomeConfig says which service's keys a process keeps, and how.
+// HomeConfig configures a Home.
 type HomeConfig struct {
 	// Log is the log service.
 	Log journal.Log
-	// Service is the plain service.
+	// Service is the plain service whose requests are deduplicated.
 	Service string
-	// Shards is how many shards the service's keys have; the same in all
-	// processes. Zero is DefaultShards.
+	// Shards is the number of shards of the service's keys; it must be the same
+	// in all processes. Zero means DefaultShards.
 	Shards int
-	// VM is the VM that this process runs on, by the platform's list.
+	// VM is the VM that this process runs on, as the platform's list names it.
 	VM string
-	// Incarnation rises with each start of a process on VM; zero takes it from Clock.
+	// Incarnation rises with each start of a process on VM; zero takes the time
+	// from Clock, in Unix milliseconds.
 	Incarnation uint64
-	// Fleet returns the newest list of the service's VMs that is known.
+	// Fleet returns the newest known list of the service's VMs.
 	Fleet func() Fleet
-	// Ledger is what all processes have to agree on.
-	Ledger LedgerConfig
-	// RefuseInOutage refuses while the log is silent, instead of running before
-	// claims are written.
+	// State must be the same in all processes.
+	State StateConfig
+	// RefuseInOutage refuses requests while the log is unresponsive, instead of
+	// running them before their claims are written.
 	RefuseInOutage bool
-	// Retention is for how long the log keeps records at the least; zero is
-	// DefaultRetention.
-	Retention time.Duration
-	// SnapshotRecords is how many records follow a snapshot before the next, more
-	// with many keys; zero is DefaultSnapshotRecords.
+	// LogRetention is how long the log keeps records at least; zero means
+	// DefaultLogRetention.
+	LogRetention time.Duration
+	// SnapshotRecords is the number of records between two snapshots; with many
+	// keys the number is higher. Zero means DefaultSnapshotRecords.
 	SnapshotRecords uint64
-	// Interval is the least time between two appends to one shard; zero is
-	// DefaultInterval.
-	Interval time.Duration
-	// Limit bounds the appends of all shards together; nil bounds nothing.
-	Limit *rate.Limiter
-	// Stagger is how long a candidate waits for each one before it.
+	// AppendInterval is the minimum time between two appends to one shard; zero
+	// means DefaultAppendInterval.
+	AppendInterval time.Duration
+	// AppendLimit limits the rate of appends of all shards together; nil means no
+	// limit.
+	AppendLimit *rate.Limiter
+	// Stagger is how long a candidate waits for each candidate before it; zero
+	// means DefaultStagger.
 	Stagger time.Duration
-	// Rebalance is how long the first candidate of a shard is listed before
-	// another home yields to it; zero is DefaultRebalance.
-	Rebalance time.Duration
-	// Patience is how long a claim waits to be read back; zero is DefaultPatience.
-	Patience time.Duration
-	// MaxLocal bounds the runs of one shard that the log does not hold yet; zero
-	// is DefaultMaxLocal.
-	MaxLocal int
-	// MaxBody bounds the body of a recorded outcome; zero is DefaultMaxBody.
-	MaxBody int
-	// Clock tells the time; nil is time.Now.
+	// RebalanceDelay is how long a shard's first candidate must be another
+	// process before the owner yields to it; zero means DefaultRebalanceDelay.
+	RebalanceDelay time.Duration
+	// ReadBackTimeout is how long a claim waits to be read back; zero means
+	// DefaultReadBackTimeout.
+	ReadBackTimeout time.Duration
+	// MaxPending limits the runs of one shard that are not yet complete in the
+	// log; zero means DefaultMaxPending.
+	MaxPending int
+	// MaxBodyBytes limits the body of a recorded outcome; zero means
+	// DefaultMaxBodyBytes.
+	MaxBodyBytes int
+	// Clock returns the time; nil means time.Now.
 	Clock func() time.Time
-	// Logger gets the Home's events; its zero value drops them.
+	// Logger gets the Home's events; its zero value discards them.
 	Logger logr.Logger
 }
 
-// Home keeps the claims of the shards whose home this process is, and stands by
-// for others. Run is its duty.
+// Home deduplicates the requests of the shards that this process owns, and is a
+// standby for others. Run must run in the background. It is safe for concurrent
+// use.
 type Home struct {
 	cfg HomeConfig
 
-	mu     sync.Mutex
-	shards map[int]*shard // those that are followed
-	stop   bool
+	mu       sync.Mutex
+	shards   map[int]*shard // the shards that this process follows, by number
+	stopping bool
 
-	ranks   []int  // this process's rank by shard, as of
-	version uint64 // this version of the fleet; only Run's goroutine uses them
+	ranks        []int  // the rank of this process by shard, as of ranksVersion
+	ranksVersion uint64 // the version of the list; both are used only by Run's goroutine
 }
 
-// NewHome returns a Home for cfg. It reads nothing until Run.
+// NewHome returns a Home for cfg. It reads nothing until Run is called.
 func NewHome(cfg HomeConfig) *Home {
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
@@ -112,27 +120,28 @@
 		cfg.SnapshotRecords = DefaultSnapshotRecords
 	}
 
-	cfg.Shards = positive(cfg.Shards, DefaultShards)
-	cfg.Interval = positive(cfg.Interval, DefaultInterval)
-	cfg.Rebalance = positive(cfg.Rebalance, DefaultRebalance)
-	cfg.Retention = positive(cfg.Retention, DefaultRetention)
-	cfg.MaxLocal = positive(cfg.MaxLocal, DefaultMaxLocal)
+	cfg.Shards = orDefault(cfg.Shards, DefaultShards)
+	cfg.AppendInterval = orDefault(cfg.AppendInterval, DefaultAppendInterval)
+	cfg.RebalanceDelay = orDefault(cfg.RebalanceDelay, DefaultRebalanceDelay)
+	cfg.LogRetention = orDefault(cfg.LogRetention, DefaultLogRetention)
+	cfg.MaxPending = orDefault(cfg.MaxPending, DefaultMaxPending)
 
 	return &Home{cfg: cfg, shards: map[int]*shard{}}
 }
 
-// Claim asks to run q once. A Ticket without an Outcome allows to run it; it
-// must come back by Settle, Withdraw or Lose. The error kinds are NotReady (this
-// process is not the key's home; Holder tells who is), KeyBusy, KeyReused,
-// KeyExpired, BadRequest, OutcomeUnknown, LogUnavailable and QueueFull. They
-// are about this call; with LogUnavailable and QueueFull no earlier call with
-// the key has run either.
+// Claim asks for permission to run q once. A Ticket without an Outcome permits
+// the run; it must then be passed to Settle, Withdraw or Lose. The error kinds
+// are NotReady (this process doesn't own the key's shard; Owner returns the
+// process that does), KeyBusy, KeyReused, KeyExpired, BadRequest,
+// OutcomeUnknown, LogUnavailable and QueueFull, and Cancelled if ctx is
+// cancelled. They are about this call; LogUnavailable and QueueFull also mean
+// that no earlier call with the key has run.
 func (h *Home) Claim(ctx context.Context, now time.Time, q Request) (Ticket, error) {
 	n := Shard(q.Organisation, q.Key, h.cfg.Shards)
 
 	s := h.shard(n)
 	if s == nil {
-		return Ticket{}, failure.New(failure.NotReady, "this process is not the home of the key").After(refusedAfter)
+		return Ticket{}, failure.New(failure.NotReady, "this process does not own the shard of the key").After(retryAfter)
 	}
 
 	if !q.Deadline.IsZero() {
@@ -143,13 +152,13 @@
 	}
 
 	t, err := s.claim(ctx, now, q)
-	h.log(t, err, n, q.Organisation)
+	h.logDecision(t, err, n, q.Organisation)
 
 	return t, err
 }
 
-// log writes the line for a decision about a key.
-func (h *Home) log(t Ticket, err error, shard int, organisation string) {
+// logDecision logs the decision about a key.
+func (h *Home) logDecision(t Ticket, err error, shard int, organisation string) {
 	l := h.cfg.Logger
 
 	switch kind := failure.KindOf(err); {
@@ -157,7 +166,7 @@
 		event.Log(l, event.ClaimReplayed, "service", h.cfg.Service, "shard", shard, "organisation", organisation)
 	case err == nil:
 		event.Log(l, event.ClaimDecided, "service", h.cfg.Service, "shard", shard,
-			"organisation", organisation, "log_less", t.LogLess)
+			"organisation", organisation, "log_less", t.Unlogged)
 	case kind == failure.OutcomeUnknown:
 		event.Log(l, event.ClaimOutcomeUnknown, "service", h.cfg.Service, "shard", shard, "organisation", organisation)
 	default:
@@ -166,116 +175,119 @@
 	}
 }
 
-// Settle notes the outcome of a run that was carried out. A repeated call gets
-// it from now on; the log gets it soon.
+// Settle records the outcome of a run. Retried requests get it from now on; it
+// is written to the log asynchronously.
 func (h *Home) Settle(_ context.Context, t Ticket, o Outcome) error {
-	return h.finish(t, func(d *Coordinator) { d.Settle(t.run, o) })
+	return h.finish(t, func(c *Coordinator) { c.Complete(t.run, o) })
 }
 
-// Withdraw notes that a run was not carried out and won't be, so that the key
-// may be claimed again. It must be true.
+// Withdraw records that a run did not happen and won't happen, so that the key
+// may be claimed again. The caller must be certain of that.
 func (h *Home) Withdraw(_ context.Context, t Ticket) error {
-	return h.finish(t, func(d *Coordinator) { d.Withdraw(t.run) })
+	return h.finish(t, func(c *Coordinator) { c.Withdraw(t.run) })
 }
 
-// Lose notes that nobody will learn what a run brought, as its target died or
-// fell silent. A repeated call is answered as OutcomeUnknown.
+// Lose records that the outcome of a run will never be known, since its target
+// crashed or became unresponsive. Retried requests are answered as
+// OutcomeUnknown.
 func (h *Home) Lose(_ context.Context, t Ticket) error {
-	return h.finish(t, func(d *Coordinator) { d.Lose(t.run) })
+	return h.finish(t, func(c *Coordinator) { c.MarkUnknown(t.run) })
 }
 
 func (h *Home) finish(t Ticket, do func(*Coordinator)) error {
 	s := h.shard(t.shard)
 	if s == nil || t.run == nil {
-		return failure.New(failure.NotReady, "the ticket is not of this process")
+		return failure.New(failure.NotReady, "the ticket was not issued by this process")
 	}
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	do(s.desk)
+	do(s.coordinator)
 	s.flush()
 
 	return nil
 }
 
-// Holder returns who is home of a shard; false when this process doesn't know.
-func (h *Home) Holder(shard int) (Holder, bool) {
+// Owner returns the owner of a shard; false if this process doesn't know it.
+func (h *Home) Owner(shard int) (Owner, bool) {
 	s := h.shard(shard)
 	if s == nil {
-		return Holder{}, false
+		return Owner{}, false
 	}
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	holder := s.desk.ledger.Holder()
+	owner := s.coordinator.state.Owner()
 
-	return holder, holder.Serves() && !s.desk.behind
+	return owner, owner.Active() && !s.coordinator.behind
 }
 
-// Remember sets how long keys are remembered from now on. Shards that are
-// followed later get it too. A shorter time forgets keys that were claimed
-// before when theirs is over; a longer one never brings a forgotten key back.
-func (h *Home) Remember(memory time.Duration) {
+// SetKeyLifetime sets how long keys are remembered from now on, also for shards
+// that are followed later. With a shorter time, keys claimed before are still
+// remembered for their own time; a longer one never makes a forgotten key
+// usable again.
+func (h *Home) SetKeyLifetime(lifetime time.Duration) {
 	h.mu.Lock()
-	h.cfg.Ledger.Memory = memory
+	h.cfg.State.KeyLifetime = lifetime
 	h.mu.Unlock()
 
-	for _, s := range h.followed() {
+	for _, s := range h.followedShards() {
 		s.mu.Lock()
-		s.desk.ledger.Remember(memory)
+		s.coordinator.state.SetKeyLifetime(lifetime)
 		s.mu.Unlock()
 	}
 }
 
-// Homes returns the shards whose home this process is.
+// Homes returns the numbers of the shards that this process owns.
 func (h *Home) Homes() []int {
-	var homes []int
+	var owned []int
 
-	for _, s := range h.followed() {
+	for _, s := range h.followedShards() {
 		s.mu.Lock()
-		if s.desk.Home() {
-			homes = append(homes, s.number)
+		if s.coordinator.IsOwner() {
+			owned = append(owned, s.number)
 		}
 		s.mu.Unlock()
 	}
 
-	return homes
+	return owned
 }
 
-// Drain takes no more claims, waits until all runs are over and written, and
-// gives every shard back, so that others take them without an uncertain window.
-// It returns when that is done or ctx ends.
+// Drain accepts no more claims, waits until all runs have ended and are
+// complete in the log, and releases every shard, so that others take over
+// without an uncertain window. It returns when that is done, or with a Timeout
+// error when ctx ends.
 func (h *Home) Drain(ctx context.Context) error {
 	h.mu.Lock()
-	h.stop = true
+	h.stopping = true
 	h.mu.Unlock()
 
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for len(h.Homes()) > 0 {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return failure.New(failure.Timeout, "not every shard could be given back")
+			return failure.New(failure.Timeout, "not all shards were released in time")
 		}
 	}
 
 	return nil
 }
 
-// Run follows the shards that this process is home of, or a candidate for,
-// until ctx ends. The process must hold its port by then: Run tells every shard
-// that earlier processes on this VM have ended.
+// Run follows the shards that this process owns or is a candidate for, until
+// ctx ends. The process must already hold its port, since Run writes into every
+// shard that earlier processes on this VM have ended.
 func (h *Home) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 
-	wg.Go(func() { h.announce(ctx) })
+	wg.Go(func() { h.announceStart(ctx) })
 
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for {
@@ -289,50 +301,50 @@
 	}
 }
 
-// announce writes into each shard that earlier processes on this VM have ended.
-// One of them may be the home of a shard that this process doesn't follow.
-func (h *Home) announce(ctx context.Context) {
+// announceStart writes into each shard that earlier processes on this VM have
+// ended. One of them may own a shard that this process doesn't follow.
+func (h *Home) announceStart(ctx context.Context) {
 	for n := range h.cfg.Shards {
-		h.announceTo(ctx, n)
+		h.announceStartTo(ctx, n)
 	}
 }
 
-// announceTo tries until one shard has it or ctx ends.
-func (h *Home) announceTo(ctx context.Context, n int) {
+// announceStartTo retries until shard n has the record or ctx ends.
+func (h *Home) announceStartTo(ctx context.Context, n int) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := journal.NewWriter(journal.WriterConfig{
-		Log: h.cfg.Log, Stream: Stream(h.cfg.Service, n), Limit: h.cfg.Limit, Logger: h.cfg.Logger,
+		Log: h.cfg.Log, Stream: Stream(h.cfg.Service, n), Limit: h.cfg.AppendLimit, Logger: h.cfg.Logger,
 	})
 
 	var wg sync.WaitGroup
 
 	wg.Go(func() { w.Run(ctx) })
 
-	_, _ = w.Append(ctx, born(h.cfg.VM, h.cfg.Incarnation).encode())
+	_, _ = w.Append(ctx, startRecord(h.cfg.VM, h.cfg.Incarnation).encode())
 
 	cancel()
 	wg.Wait()
 }
 
-// tick looks at each shard once.
+// tick checks each shard once.
 func (h *Home) tick(ctx context.Context, wg *sync.WaitGroup, now time.Time) {
 	f := h.cfg.Fleet()
 
 	h.mu.Lock()
-	stop := h.stop
+	stop := h.stopping
 	h.mu.Unlock()
 
 	yielding := false
-	h.rank(f)
+	h.updateRanks(f)
 
 	for n, rank := range h.ranks {
 		s := h.shard(n)
 
 		switch {
-		case s == nil && rank < Candidates:
+		case s == nil && rank < CandidatesPerShard:
 			h.follow(ctx, wg, n)
 		case s == nil:
-		case s.spare(rank):
+		case s.unneeded(rank):
 			h.unfollow(n)
 		default:
 			yielding = s.tick(now, f, rank, stop, !yielding) || yielding
@@ -340,17 +352,17 @@
 	}
 }
 
-// rank works out the candidates anew when the fleet has changed.
-func (h *Home) rank(f Fleet) {
-	if h.ranks != nil && h.version == f.Version {
+// updateRanks ranks the candidates again when the list of VMs has changed.
+func (h *Home) updateRanks(f Fleet) {
+	if h.ranks != nil && h.ranksVersion == f.Version {
 		return
 	}
 
-	h.version = f.Version
+	h.ranksVersion = f.Version
 	h.ranks = make([]int, h.cfg.Shards)
 
-	for n, candidates := range Ranked(h.cfg.Service, h.cfg.Shards, f) {
-		h.ranks[n] = Rank(candidates, h.cfg.VM)
+	for n, candidates := range RankCandidates(h.cfg.Service, h.cfg.Shards, f) {
+		h.ranks[n] = CandidateRank(candidates, h.cfg.VM)
 	}
 }
 
@@ -364,7 +376,7 @@
 
 	wg.Go(func() { s.reader.Run(ctx) })
 	wg.Go(func() { s.writer.Run(ctx) })
-	wg.Go(func() { s.snapshots(ctx) })
+	wg.Go(func() { s.runSnapshots(ctx) })
 }
 
 func (h *Home) unfollow(n int) {
@@ -382,7 +394,7 @@
 	return h.shards[n]
 }
 
-func (h *Home) followed() []*shard {
+func (h *Home) followedShards() []*shard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -15,78 +15,80 @@
 	"boragehub/journal/memory"
 )
 
-// deed is one thing that happens to a running service.
-type deed struct {
-	what  int
-	after time.Duration
-	pick  int
-	long  time.Duration
+// step is one event in a running service.
+type step struct {
+	kind     int
+	delay    time.Duration
+	choice   int
+	duration time.Duration
 }
 
-// The deeds.
+// The kinds of steps.
 const (
-	deedCall = iota
-	deedCallAgain
-	deedCallMore
-	deedResend
-	deedResendMore
-	deedFault
-	deedHeal
-	deedKill
-	deedReplace
-	deedDrain
-	deeds
+	stepCall = iota
+	stepCallAgain
+	stepCallMore
+	stepResend
+	stepResendMore
+	stepFault
+	stepHeal
+	stepKill
+	stepReplace
+	stepDrain
+	stepKinds
 )
 
-// member is one side process with its Home.
-type member struct {
+// sideProcess is a side process with its Home.
+type sideProcess struct {
 	vm     string
-	home   *Home
+	dedup  *Home
 	cancel context.CancelFunc
 	dead   bool
 }
 
-// service is a running service on virtual time: real Homes, writers and readers.
-type service struct {
+// testService is a running service on virtual time, with real Homes, writers
+// and readers.
+type testService struct {
 	ctx   context.Context
 	wg    sync.WaitGroup
 	log   *memory.Log
 	calls sync.WaitGroup
 
-	mu      sync.Mutex
-	fleet   Fleet
-	members []*member
-	started uint64
-	keys    []string
-	ran     map[string][]int // the calls that a target ran, by key
-	notRun  map[int]string   // calls that were answered with a kind that says "not run"
-	wrong   []string
-	history []porcupine.Operation
-	number  int
+	mu              sync.Mutex
+	vmList          Fleet
+	processes       []*sideProcess
+	lastIncarnation uint64
+	keys            []string
+	ran             map[string][]int // the calls that a target ran, by key
+	notRun          map[int]string   // the calls that were answered with an error that says "not run", with its kind
+	wrongReplays    []string
+	history         []porcupine.Operation
+	lastCall        int
 }
 
-// ending is how a call ended: one of it ran, an earlier one's outcome came back,
-// or an answer says that no call with its key has run.
-type ending struct {
+// callResult is how a call ended: it ran (ran is its number), the outcome of an
+// earlier call was replayed (replayed is that call's number), or the response
+// says that no call with its key has run.
+type callResult struct {
 	ran, replayed int
-	nothing       bool
+	nothingRan    bool
 }
 
-// onceModel is a key that runs at most once. Its state is the call that ran, 0
-// for none.
-var onceModel = porcupine.Model{
+// atMostOnceModel models a key that runs at most once. Its state is the number
+// of the call that ran, 0 for none.
+var atMostOnceModel = porcupine.Model{
 	Partition: byKey,
 	Init:      func() any { return 0 },
 	Step: func(state, _, output any) (bool, any) {
 		ran, _ := state.(int)
-		e, _ := output.(ending)
+		result, _ := output.(callResult)
 
 		switch {
-		case e.ran != 0:
-			return ran == 0, e.ran
-		case e.replayed != 0:
-			return ran == e.replayed, ran
-		case e.nothing:
+		case result.ran != 0:
+			return ran == 0, result.ran
+		case result.replayed != 0:
+			return ran == result.replayed, ran
+		case result.nothingRan:
 			return ran == 0, ran
 		default:
 			return true, ran
@@ -94,7 +96,7 @@
 	},
 }
 
-// byKey parts a history, since keys don't touch each other.
+// byKey partitions a history, since keys are independent of each other.
 func byKey(history []porcupine.Operation) [][]porcupine.Operation {
 	parts := map[any][]porcupine.Operation{}
 	for _, o := range history {
@@ -109,47 +111,47 @@
 	return all
 }
 
-// note puts a call that has ended into the history.
-func (s *service) note(n int, key string, from time.Time, e ending) {
+// recordCall adds a call that has ended to the history.
+func (s *testService) recordCall(n int, key string, from time.Time, result callResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	s.history = append(s.history, porcupine.Operation{
-		ClientId: n, Input: key, Call: from.UnixNano(), Output: e, Return: time.Now().UnixNano(),
+		ClientId: n, Input: key, Call: from.UnixNano(), Output: result, Return: time.Now().UnixNano(),
 	})
 }
 
-func (s *service) list() Fleet {
+func (s *testService) currentVMList() Fleet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.fleet
+	return s.vmList
 }
 
-// boot starts a process on a VM.
-func (s *service) boot(vm string) {
+// start starts a process on a VM.
+func (s *testService) start(vm string) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.started++
-	m := &member{vm: vm, cancel: cancel, home: NewHome(HomeConfig{
-		Log: s.log, Service: "s", Shards: 2, VM: vm, Incarnation: s.started, Fleet: s.list,
-		Rebalance: 10 * time.Second, SnapshotRecords: 5,
+	s.lastIncarnation++
+	p := &sideProcess{vm: vm, cancel: cancel, dedup: NewHome(HomeConfig{
+		Log: s.log, Service: "s", Shards: 2, VM: vm, Incarnation: s.lastIncarnation, Fleet: s.currentVMList,
+		RebalanceDelay: 10 * time.Second, SnapshotRecords: 5,
 	})}
-	s.members = append(s.members, m)
-	s.wg.Go(func() { m.home.Run(ctx) })
+	s.processes = append(s.processes, p)
+	s.wg.Go(func() { p.dedup.Run(ctx) })
 }
 
-func (s *service) kill(m *member) {
+func (s *testService) kill(p *sideProcess) {
 	s.mu.Lock()
-	m.dead = true
+	p.dead = true
 	s.mu.Unlock()
-	m.cancel()
+	p.cancel()
 }
 
-// call is one call of a caller, at one process, and what its target does.
-func (s *service) call(m *member, key string, d deed) {
+// call makes a call at one process and lets its target run it.
+func (s *testService) call(p *sideProcess, key string, st step) {
 	s.mu.Lock()
-	s.number++
-	n := s.number
+	s.lastCall++
+	n := s.lastCall
 	s.mu.Unlock()
 
 	s.calls.Go(func() {
@@ -157,25 +159,25 @@
 		defer cancel()
 
 		from := time.Now()
-		ticket, err := m.home.Claim(ctx, from, Request{Organisation: "o", Key: key})
+		ticket, err := p.dedup.Claim(ctx, from, Request{Organisation: "o", Key: key})
 
 		switch {
 		case err != nil:
 			k := failure.KindOf(err)
-			s.refused(n, err)
-			s.note(n, key, from, ending{nothing: k == failure.LogUnavailable || k == failure.QueueFull})
+			s.recordRefusal(n, err)
+			s.recordCall(n, key, from, callResult{nothingRan: k == failure.LogUnavailable || k == failure.QueueFull})
 		case ticket.Outcome != nil:
-			s.replayed(key, ticket.Outcome.Status)
-			s.note(n, key, from, ending{replayed: ticket.Outcome.Status})
+			s.checkReplay(key, ticket.Outcome.Status)
+			s.recordCall(n, key, from, callResult{replayed: ticket.Outcome.Status})
 		default:
-			time.Sleep(d.long)
-			s.run(m, ticket, key, n)
-			s.note(n, key, from, ending{ran: n})
+			time.Sleep(st.duration)
+			s.execute(p, ticket, key, n)
+			s.recordCall(n, key, from, callResult{ran: n})
 		}
 	})
 }
 
-func (s *service) refused(n int, err error) {
+func (s *testService) recordRefusal(n int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -184,91 +186,92 @@
 	}
 }
 
-func (s *service) replayed(key string, status int) {
+func (s *testService) checkReplay(key string, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	if runs := s.ran[key]; len(runs) != 1 || runs[0] != status {
-		s.wrong = append(s.wrong, fmt.Sprintf("key %s: got the outcome of %d, want that of %v", key, status, runs))
+		s.wrongReplays = append(s.wrongReplays, fmt.Sprintf("key %s: got the outcome of %d, want that of %v", key, status, runs))
 	}
 }
 
-// run lets the target run the call; a process that died meanwhile had sent it.
-func (s *service) run(m *member, ticket Ticket, key string, n int) {
+// execute lets the target run the call. If the process was killed meanwhile, it
+// had already sent the call to the target.
+func (s *testService) execute(p *sideProcess, ticket Ticket, key string, n int) {
 	s.mu.Lock()
 	s.ran[key] = append(s.ran[key], n)
-	dead := m.dead
+	dead := p.dead
 	s.mu.Unlock()
 
 	if !dead {
-		_ = m.home.Settle(s.ctx, ticket, Outcome{Status: n})
+		_ = p.dedup.Settle(s.ctx, ticket, Outcome{Status: n})
 	}
 }
 
-// do carries out one deed.
-func (s *service) do(d deed) {
-	var alive []*member
+// apply carries out one step.
+func (s *testService) apply(st step) {
+	var running []*sideProcess
 
-	for _, m := range s.members {
-		if !m.dead {
-			alive = append(alive, m)
+	for _, p := range s.processes {
+		if !p.dead {
+			running = append(running, p)
 		}
 	}
 
-	m := alive[d.pick%len(alive)]
+	p := running[st.choice%len(running)]
 
-	switch d.what {
-	case deedCall, deedCallAgain, deedCallMore:
+	switch st.kind {
+	case stepCall, stepCallAgain, stepCallMore:
 		key := keyAt(time.Now(), len(s.keys))
 		s.keys = append(s.keys, key)
-		s.call(m, key, d)
-	case deedResend, deedResendMore:
+		s.call(p, key, st)
+	case stepResend, stepResendMore:
 		if len(s.keys) > 0 {
-			s.call(m, s.keys[max(0, len(s.keys)-1-d.pick%3)], d)
+			s.call(p, s.keys[max(0, len(s.keys)-1-st.choice%3)], st)
 		}
-	case deedFault:
+	case stepFault:
 		s.log.Set([]memory.Faults{
-			{Down: true}, {Silent: true}, {Delay: 2 * d.long}, {Lose: func(n uint64) bool { return n%2 == 0 }},
-			{Late: func(n uint64) time.Duration { return time.Duration(n%2) * d.long }},
-		}[d.pick%5])
-	case deedHeal:
+			{Down: true}, {Silent: true}, {Delay: 2 * st.duration}, {Lose: func(n uint64) bool { return n%2 == 0 }},
+			{Late: func(n uint64) time.Duration { return time.Duration(n%2) * st.duration }},
+		}[st.choice%5])
+	case stepHeal:
 		s.log.Set(memory.Faults{})
-	case deedKill:
-		s.kill(m)
-		s.boot(m.vm)
-	case deedReplace:
-		s.kill(m)
-		s.replace(m.vm)
-	case deedDrain:
+	case stepKill:
+		s.kill(p)
+		s.start(p.vm)
+	case stepReplace:
+		s.kill(p)
+		s.replace(p.vm)
+	case stepDrain:
 		ctx, cancel := context.WithTimeout(s.ctx, 5*time.Second)
-		_ = m.home.Drain(ctx)
+		_ = p.dedup.Drain(ctx)
 
 		cancel()
-		s.kill(m)
-		s.boot(m.vm)
+		s.kill(p)
+		s.start(p.vm)
 	}
 }
 
-// replace has the platform drop a VM and start another one.
-func (s *service) replace(vm string) {
+// replace removes a VM from the platform's list and starts another one.
+func (s *testService) replace(vm string) {
 	s.mu.Lock()
-	f := Fleet{Version: s.fleet.Version + 1}
-	fresh := fmt.Sprintf("vm%d", f.Version+1)
+	f := Fleet{Version: s.vmList.Version + 1}
+	newVM := fmt.Sprintf("vm%d", f.Version+1)
 
-	for _, v := range s.fleet.VMs {
+	for _, v := range s.vmList.VMs {
 		if v != vm {
 			f.VMs = append(f.VMs, v)
 		}
 	}
 
-	f.VMs = append(f.VMs, fresh)
-	s.fleet = f
+	f.VMs = append(f.VMs, newVM)
+	s.vmList = f
 	s.mu.Unlock()
-	s.boot(fresh)
+	s.start(newVM)
 }
 
-// verdict tells what callers could have noticed.
-func (s *service) verdict() error {
+// check fails if a key ran twice or a caller got a wrong response.
+func (s *testService) check() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -282,41 +285,42 @@
 		}
 	}
 
-	if !porcupine.CheckOperations(onceModel, s.history) {
-		return fmt.Errorf("got a history that no order of the calls explains, want one of keys that run at most once")
+	if !porcupine.CheckOperations(atMostOnceModel, s.history) {
+		return fmt.Errorf("got a history that is not linearisable, want keys that run at most once")
 	}
 
-	if len(s.wrong) > 0 {
-		return fmt.Errorf("%s", s.wrong[0])
+	if len(s.wrongReplays) > 0 {
+		return fmt.Errorf("%s", s.wrongReplays[0])
 	}
 
 	return nil
 }
 
-// play runs a service through deeds and then heals all.
-func play(ctx context.Context, all []deed) error {
+// runSteps runs a service through steps, ends all faults and checks the
+// results.
+func runSteps(ctx context.Context, steps []step) error {
 	ctx, cancel := context.WithCancel(ctx)
-	s := &service{
-		ctx: ctx, log: memory.New(), fleet: Fleet{Version: 1, VMs: []string{"vm0", "vm1"}},
+	s := &testService{
+		ctx: ctx, log: memory.New(), vmList: Fleet{Version: 1, VMs: []string{"vm0", "vm1"}},
 		ran: map[string][]int{}, notRun: map[int]string{},
 	}
 
-	s.boot("vm0")
-	s.boot("vm1")
+	s.start("vm0")
+	s.start("vm1")
 	time.Sleep(5 * time.Second)
 
-	for _, d := range all {
-		time.Sleep(d.after)
-		s.do(d)
+	for _, st := range steps {
+		time.Sleep(st.delay)
+		s.apply(st)
 	}
 
 	s.log.Set(memory.Faults{})
 	time.Sleep(time.Minute)
 	s.calls.Wait()
 
-	err := s.verdict()
+	err := s.check()
 	if err == nil {
-		err = s.healthy()
+		err = s.checkOwners()
 	}
 
 	cancel()
@@ -325,47 +329,47 @@
 	return err
 }
 
-// healthy fails when not every shard has exactly one home that takes claims.
-func (s *service) healthy() error {
-	homes := map[int]int{}
+// checkOwners fails unless every shard has exactly one owner.
+func (s *testService) checkOwners() error {
+	owners := map[int]int{}
 
-	for _, m := range s.members {
-		if m.dead {
+	for _, p := range s.processes {
+		if p.dead {
 			continue
 		}
 
-		for _, n := range m.home.Homes() {
-			homes[n]++
+		for _, n := range p.dedup.Homes() {
+			owners[n]++
 		}
 	}
 
-	if len(homes) != 2 || homes[0] != 1 || homes[1] != 1 {
-		return fmt.Errorf("after all faults ended: got homes by shard %v, want one for each of 2", homes)
+	if len(owners) != 2 || owners[0] != 1 || owners[1] != 1 {
+		return fmt.Errorf("after all faults ended: got owners by shard %v, want one for each of 2", owners)
 	}
 
 	return nil
 }
 
-// Real homes with real writers and readers, killed, replaced and drained while
-// the log is down, silent, slow, loses answers or carries appends out late.
-// Callers repeat their bookings at any process. A rider would notice two
-// bookings, an answer that belongs to no booking, or a shard that nobody serves.
+// Real Homes, writers and readers are killed, replaced and drained while the
+// log is down, unresponsive or slow, loses responses or delays appends. Callers
+// retry their calls at any process. The test guards against a second run of a
+// key, a response that belongs to another run, and a shard without an owner.
 func TestHomesUnderFailure(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var all []deed
+		var steps []step
 
 		for range rapid.IntRange(1, 30).Draw(rt, "deeds") {
-			all = append(all, deed{
-				what:  rapid.IntRange(0, deeds-1).Draw(rt, "deed"),
-				after: time.Duration(rapid.IntRange(1, 4000).Draw(rt, "after")) * time.Millisecond,
-				pick:  rapid.IntRange(0, 9).Draw(rt, "pick"),
-				long:  time.Duration(rapid.IntRange(0, 3000).Draw(rt, "long")) * time.Millisecond,
+			steps = append(steps, step{
+				kind:     rapid.IntRange(0, stepKinds-1).Draw(rt, "deed"),
+				delay:    time.Duration(rapid.IntRange(1, 4000).Draw(rt, "after")) * time.Millisecond,
+				choice:   rapid.IntRange(0, 9).Draw(rt, "pick"),
+				duration: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "long")) * time.Millisecond,
 			})
 		}
 
 		var err error
 
-		synctest.Test(t, func(t *testing.T) { err = play(t.Context(), all) })
+		synctest.Test(t, func(t *testing.T) { err = runSteps(t.Context(), steps) })
 
 		if err != nil {
 			rt.Fatal(err)
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -13,8 +13,8 @@
 	"boragehub/journal/memory"
 )
 
-// key returns a UUIDv7 issued now by the test's clock.
-func key(t *testing.T) string {
+// newKey returns a UUIDv7 issued now by the test's clock.
+func newKey(t *testing.T) string {
 	t.Helper()
 
 	u, err := uuid.NewV7()
@@ -25,8 +25,8 @@
 	return u.String()
 }
 
-// started runs a Home until the test's bubble ends it.
-func started(ctx context.Context, wg *sync.WaitGroup, cfg HomeConfig) *Home {
+// start runs a Home until ctx ends.
+func start(ctx context.Context, wg *sync.WaitGroup, cfg HomeConfig) *Home {
 	h := NewHome(cfg)
 	wg.Go(func() { h.Run(ctx) })
 
@@ -41,19 +41,19 @@
 		var wg sync.WaitGroup
 
 		fleet := func() Fleet { return Fleet{Version: 1, VMs: []string{"a"}} }
-		h := started(ctx, &wg, HomeConfig{Log: memory.New(), Service: "booking-api", Shards: 2, VM: "a", Fleet: fleet})
+		h := start(ctx, &wg, HomeConfig{Log: memory.New(), Service: "booking-api", Shards: 2, VM: "a", Fleet: fleet})
 
 		time.Sleep(5 * time.Second)
 
 		if got, want := len(h.Homes()), 2; got != want {
-			t.Fatalf("homes: got %d, want %d", got, want)
+			t.Fatalf("owned shards: got %d, want %d", got, want)
 		}
 
-		q := Request{Organisation: "o", Key: key(t), Fingerprint: "f"}
+		q := Request{Organisation: "o", Key: newKey(t), Fingerprint: "f"}
 
 		ticket, err := h.Claim(ctx, time.Now(), q)
-		if err != nil || ticket.Outcome != nil || ticket.LogLess {
-			t.Fatalf("first claim: got %+v %v, want leave to run", ticket, err)
+		if err != nil || ticket.Outcome != nil || ticket.Unlogged {
+			t.Fatalf("first claim: got %+v %v, want permission to run", ticket, err)
 		}
 
 		if _, err := h.Claim(ctx, time.Now(), q); failure.KindOf(err) != failure.KeyBusy {
@@ -72,7 +72,7 @@
 		}
 
 		if err := h.Drain(ctx); err != nil || len(h.Homes()) != 0 {
-			t.Errorf("drain: got %v and homes %v, want none", err, h.Homes())
+			t.Errorf("drain: got %v and owned shards %v, want none", err, h.Homes())
 		}
 
 		cancel()
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -10,254 +10,268 @@
 )
 
 const (
-	// DefaultMemory is how long a key is remembered.
-	DefaultMemory = time.Hour
-	// DefaultSkew bounds how far the clocks of callers, processes and the log
-	// service are apart.
-	DefaultSkew = 5 * time.Second
-	// pruneEvery is the width in milliseconds of the slots in which keys expire.
-	pruneEvery = int64(10 * time.Second / time.Millisecond)
+	// DefaultKeyLifetime is how long a key is remembered.
+	DefaultKeyLifetime = time.Hour
+	// DefaultClockSkew limits how far the clocks of callers, processes and the
+	// log service differ.
+	DefaultClockSkew = 5 * time.Second
+	// expirySlotMS is the width in milliseconds of the time slots in which keys
+	// expire.
+	expirySlotMS = int64(10 * time.Second / time.Millisecond)
 )
 
-// Standing is what a Ledger knows of a key.
-type Standing uint8
+// KeyStatus is what a State knows of a key.
+type KeyStatus uint8
 
-// The closed list of standings.
+// The values of KeyStatus.
 const (
-	// Fresh says that the key never ran.
-	Fresh Standing = iota
-	// Open says that the key is claimed and nothing more is known.
-	Open
-	// Settled says that the key ran and what it brought.
-	Settled
-	// Uncertain says that the key may have run under a home that didn't write it.
-	Uncertain
-	// Expired says that the key is older than keys are remembered.
-	Expired
-	// Ahead says that the key's issue time lies in the future.
-	Ahead
+	// KeyUnused means that the key has not run.
+	KeyUnused KeyStatus = iota
+	// KeyClaimed means that the key is claimed and has no outcome yet.
+	KeyClaimed
+	// KeyCompleted means that the key ran and its outcome is recorded.
+	KeyCompleted
+	// KeyUncertain means that the key may have run under an owner that didn't
+	// write its claim, or that its claim is lost.
+	KeyUncertain
+	// KeyExpired means that the key was issued longer ago than keys are
+	// remembered.
+	KeyExpired
+	// KeyFromFuture means that the key's issue time is in the future by more than
+	// the clock skew.
+	KeyFromFuture
 )
 
-// Holder is who is home of a shard.
-type Holder struct {
-	// VM is the home's VM; empty for none.
+// Owner is the owner of a shard.
+type Owner struct {
+	// VM is the owner's VM; empty if there is none.
 	VM string `cbor:"1,keyasint"`
 	// Incarnation rises with each start of a process on that VM.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Term is the offset of the record by which it became the home.
+	// Term is the offset of the record by which the process became the owner;
+	// zero if there is none.
 	Term uint64 `cbor:"3,keyasint"`
-	// LogLess says that it may run requests before their claims are written.
-	LogLess bool `cbor:"4,keyasint"`
-	// Listed is a version of the platform's list that had the VM.
-	Listed uint64 `cbor:"5,keyasint"`
-	// Released says that it gave the shard back.
+	// RunsUnlogged reports that the owner may run requests before their claims
+	// are written.
+	RunsUnlogged bool `cbor:"4,keyasint"`
+	// ListVersion is a version of the platform's list that had the VM.
+	ListVersion uint64 `cbor:"5,keyasint"`
+	// Released reports that the owner released the shard.
 	Released bool `cbor:"6,keyasint"`
-	// Ended says that a later process has started on its VM.
+	// Ended reports that a later process has started on the owner's VM.
 	Ended bool `cbor:"9,keyasint"`
-	// Asserted is an offset: a reader that has everything from there on knows all
-	// this. It is that of the home record, or follows what a snapshot covers.
-	Asserted uint64 `cbor:"7,keyasint"`
-	// AssertedMS is a time by the log's clock, in Unix milliseconds, before which
-	// the record at Asserted was not written.
-	AssertedMS int64 `cbor:"8,keyasint"`
+	// ConfirmedOffset is an offset: a reader that has all records from it on
+	// knows this Owner. It is the offset of the owner record or, after a renewal,
+	// the one that follows the last record that the renewal's snapshot covers.
+	ConfirmedOffset uint64 `cbor:"7,keyasint"`
+	// ConfirmedMS is a time by the log's clock, in Unix milliseconds; the record
+	// at ConfirmedOffset was not written before it.
+	ConfirmedMS int64 `cbor:"8,keyasint"`
 }
 
-// Serves tells whether there is a home that may take claims.
-func (h Holder) Serves() bool { return h.Term != 0 && !h.Released && !h.Ended }
+// Active reports whether there is an owner that may accept claims.
+func (o Owner) Active() bool { return o.Term != 0 && !o.Released && !o.Ended }
 
-// LedgerConfig is what all who read a shard have to agree on.
-type LedgerConfig struct {
-	// Memory is how long a key is remembered after its issue, or after its claim
-	// if it doesn't tell its issue time; zero is DefaultMemory.
-	Memory time.Duration
-	// Skew bounds how far clocks are apart; zero is DefaultSkew.
-	Skew time.Duration
+// StateConfig must be the same in all processes that read a shard.
+type StateConfig struct {
+	// KeyLifetime is how long a key is remembered after its issue, or after its
+	// claim if its issue time is unknown; zero means DefaultKeyLifetime.
+	KeyLifetime time.Duration
+	// ClockSkew limits how far clocks differ; zero means DefaultClockSkew.
+	ClockSkew time.Duration
 }
 
-// Ledger is the state of a shard as its stream tells it, record by record. It is
-// the same for all who have read the same records. Use NewLedger.
-type Ledger struct {
-	memory int64
-	skew   int64
-
-	holder  Holder
-	entries map[ID]entry
-	slots   map[int64][]ID // keys by when they expire, in units of pruneEvery
-	pruned  int64          // the slots before this one are gone
-	now     int64          // the newest time that the log has told
-	floor   int64          // keys issued before this one are forgotten
-	cut     int64          // keys issued up to this may have run unwritten
-	from    uint64         // the oldest offset read
-	gap     bool           // records were lost just before the next one
+// State is the state of a shard that follows from the records of its stream. It
+// is the same in all processes that have read the same records. Use NewState.
+type State struct {
+	keyLifetime int64
+	clockSkew   int64
+
+	owner           Owner
+	entries         map[KeyID]entry
+	slots           map[int64][]KeyID // keys by expiry time, in units of expirySlotMS
+	firstSlot       int64             // earlier slots are deleted
+	logTime         int64             // the newest time of a record; all times are in Unix milliseconds
+	forgottenBefore int64             // keys issued before this time are refused as expired
+	uncertainUntil  int64             // keys issued up to this time may have run without a record
+	firstOffset     uint64            // the oldest offset read
+	afterGap        bool              // records were lost just before the next one
 }
 
-// entry is what is remembered of a key.
+// entry is the state of a key.
 type entry struct {
-	run         uint64
+	runID       uint64
 	fingerprint uint64
-	issued      int64 // zero when the key doesn't tell
+	issued      int64 // zero if unknown
 	expires     int64
 	outcome     *Outcome
 }
 
-// NewLedger returns the state before any record.
-func NewLedger(cfg LedgerConfig) *Ledger {
-	if cfg.Memory <= 0 {
-		cfg.Memory = DefaultMemory
+// NewState returns the state before any record.
+func NewState(cfg StateConfig) *State {
+	if cfg.KeyLifetime <= 0 {
+		cfg.KeyLifetime = DefaultKeyLifetime
 	}
 
-	if cfg.Skew <= 0 {
-		cfg.Skew = DefaultSkew
+	if cfg.ClockSkew <= 0 {
+		cfg.ClockSkew = DefaultClockSkew
 	}
 
-	return &Ledger{
-		memory: cfg.Memory.Milliseconds(), skew: cfg.Skew.Milliseconds(),
-		entries: map[ID]entry{}, slots: map[int64][]ID{}, from: 1,
+	return &State{
+		keyLifetime: cfg.KeyLifetime.Milliseconds(), clockSkew: cfg.ClockSkew.Milliseconds(),
+		entries: map[KeyID]entry{}, slots: map[int64][]KeyID{}, firstOffset: 1,
 	}
 }
 
-// Holder returns who is home of the shard.
-func (l *Ledger) Holder() Holder { return l.holder }
+// Owner returns the owner of the shard.
+func (s *State) Owner() Owner { return s.owner }
 
-// Len returns how many keys are remembered.
-func (l *Ledger) Len() int { return len(l.entries) }
+// Len returns the number of keys that are remembered.
+func (s *State) Len() int { return len(s.entries) }
 
-// Now returns the newest time that the log has told.
-func (l *Ledger) Now() time.Time { return time.UnixMilli(l.now) }
+// LogTime returns the newest time of a record, by the clock of the log.
+func (s *State) LogTime() time.Time { return time.UnixMilli(s.logTime) }
 
-// Cut returns the issue time up to which keys without a record are uncertain.
-func (l *Ledger) Cut() time.Time { return time.UnixMilli(l.cut) }
+// UncertainUntil returns the issue time up to which keys without a record are
+// uncertain.
+func (s *State) UncertainUntil() time.Time { return time.UnixMilli(s.uncertainUntil) }
 
-// Gap says that all records before offset first are lost. What they claimed is
-// unknown, so keys from before the next record become uncertain.
-func (l *Ledger) Gap(first uint64) {
-	*l = *NewLedger(LedgerConfig{
-		Memory: time.Duration(l.memory) * time.Millisecond,
-		Skew:   time.Duration(l.skew) * time.Millisecond,
+// ResetAfterGap resets the state since all records before offset first are
+// lost. The keys that they claimed are unknown, so keys issued before the next
+// record become uncertain.
+func (s *State) ResetAfterGap(first uint64) {
+	*s = *NewState(StateConfig{
+		KeyLifetime: time.Duration(s.keyLifetime) * time.Millisecond,
+		ClockSkew:   time.Duration(s.clockSkew) * time.Millisecond,
 	})
-	l.from = first
-	l.gap = true
+	s.firstOffset = first
+	s.afterGap = true
 }
 
-// Apply takes account of the next record of the stream.
-func (l *Ledger) Apply(rec journal.Record) error {
+// Apply applies the next record of the stream.
+func (s *State) Apply(rec journal.Record) error {
 	r, err := decode(rec.Data)
 	if err != nil {
 		return err
 	}
 
-	l.apply(rec.Offset, rec.At.UnixMilli(), r)
+	s.apply(rec.Offset, rec.At.UnixMilli(), r)
 
 	return nil
 }
 
-func (l *Ledger) apply(offset uint64, at int64, r record) {
-	l.now = max(l.now, at)
+func (s *State) apply(offset uint64, at int64, r record) {
+	s.logTime = max(s.logTime, at)
 
-	if l.gap {
-		l.gap = false
-		l.uncertain(at)
+	if s.afterGap {
+		s.afterGap = false
+		s.markUncertain(at)
 	}
 
 	switch r.Kind {
-	case kindHome:
-		l.take(offset, at, r)
-	case kindKeep:
-		l.keep(r)
+	case kindOwner:
+		s.applyOwner(offset, at, r)
+	case kindRenew:
+		s.applyRenewal(r)
 	case kindRelease:
-		l.holder.Released = l.holder.Released || l.counts(r)
+		s.owner.Released = s.owner.Released || s.writtenByOwner(r)
 	case kindClaim:
-		l.claim(at, r)
+		s.applyClaim(at, r)
 	case kindOutcome:
-		l.settle(r)
+		s.applyOutcome(r)
 	case kindWithdraw:
-		l.withdraw(r)
-	case kindBorn:
-		l.born(r)
+		s.applyWithdrawal(r)
+	case kindStart:
+		s.applyStart(r)
 	}
 
-	l.prune()
+	s.pruneExpired()
 }
 
-// counts tells whether a record was written by the home of its time.
-func (l *Ledger) counts(r record) bool {
-	return r.Term == l.holder.Term && l.holder.Serves()
+// writtenByOwner reports whether a record was written by the owner at its
+// offset.
+func (s *State) writtenByOwner(r record) bool {
+	return r.Term == s.owner.Term && s.owner.Active()
 }
 
-// take makes the writer of r the home, if it may be.
-func (l *Ledger) take(offset uint64, at int64, r record) {
-	if !l.allowed(r) {
+// applyOwner makes the writer of r the owner if its basis holds.
+func (s *State) applyOwner(offset uint64, at int64, r record) {
+	if !s.mayTakeOver(r) {
 		return
 	}
 
-	// A home that might run before it wrote may have died with runs unwritten.
-	// Its successor can't tell such a key from a new one but by its issue time.
-	before := l.holder
-	if before.Term != 0 && before.LogLess && !before.Released || before.Term == 0 && l.from > 1 {
-		l.uncertain(at)
+	// A previous owner that may run before it writes may have crashed with runs
+	// unwritten. The next owner can tell such a key from a new one only by its
+	// issue time.
+	before := s.owner
+	if before.Term != 0 && before.RunsUnlogged && !before.Released || before.Term == 0 && s.firstOffset > 1 {
+		s.markUncertain(at)
 	}
 
-	l.holder = Holder{
-		VM: r.Home.VM, Incarnation: r.Home.Incarnation, Term: offset,
-		LogLess: r.Home.LogLess, Listed: r.Home.Listed, Asserted: offset, AssertedMS: at,
+	s.owner = Owner{
+		VM: r.Owner.VM, Incarnation: r.Owner.Incarnation, Term: offset,
+		RunsUnlogged: r.Owner.RunsUnlogged, ListVersion: r.Owner.ListVersion, ConfirmedOffset: offset, ConfirmedMS: at,
 	}
 }
 
-// allowed tells whether the basis of a home record holds.
-func (l *Ledger) allowed(r record) bool {
-	h := r.Home
+// mayTakeOver reports whether the basis of an owner record holds.
+func (s *State) mayTakeOver(r record) bool {
+	o := r.Owner
 
-	// A home that can't be found in what the log keeps has not repeated itself
-	// for longer than it may go on by itself; see Coordinator.certain.
-	if h.Basis == BasisFirst {
-		return l.holder.Asserted < h.From
+	// An owner that the kept part of the log doesn't show has not renewed its
+	// ownership for longer than it may continue without the log; see
+	// Coordinator.certainlyOwner.
+	if o.Basis == BasisFirst {
+		return s.owner.ConfirmedOffset < o.OldestOffset
 	}
 
-	if r.Term != l.holder.Term || l.holder.Term == 0 {
+	if r.Term != s.owner.Term || s.owner.Term == 0 {
 		return false
 	}
 
-	switch h.Basis {
+	switch o.Basis {
 	case BasisReleased:
-		return l.holder.Released
-	case BasisGone:
-		return h.VM != l.holder.VM && h.Listed > l.holder.Listed
-	case BasisReborn:
-		return l.holder.Ended || h.VM == l.holder.VM && h.Incarnation > l.holder.Incarnation
+		return s.owner.Released
+	case BasisUnlisted:
+		return o.VM != s.owner.VM && o.ListVersion > s.owner.ListVersion
+	case BasisRestarted:
+		return s.owner.Ended || o.VM == s.owner.VM && o.Incarnation > s.owner.Incarnation
 	default:
 		return false
 	}
 }
 
-// born notes that the home's process has ended, as a later one on its VM says,
-// which could only start since then. So the candidates take over, and a process
-// that starts need not read shards that aren't its own.
-func (l *Ledger) born(r record) {
-	if r.Home.VM == l.holder.VM && r.Home.Incarnation > l.holder.Incarnation {
-		l.holder.Ended = true
+// applyStart records that the owner's process has ended, since a later one has
+// started on its VM, which is possible only after that. Candidates can then
+// take over, and a starting process need not read shards that it is no
+// candidate for.
+func (s *State) applyStart(r record) {
+	if r.Owner.VM == s.owner.VM && r.Owner.Incarnation > s.owner.Incarnation {
+		s.owner.Ended = true
 	}
 }
 
-// keep repeats that the home is still there. A reader that lacks the home record
-// learns at least that there is one, and waits for a snapshot to tell which.
-func (l *Ledger) keep(r record) {
-	if l.holder.Term != 0 && !l.counts(r) {
+// applyRenewal records that the owner is still there. A reader that lacks the
+// owner record learns that there is an owner, and from a later snapshot which
+// process it is.
+func (s *State) applyRenewal(r record) {
+	if s.owner.Term != 0 && !s.writtenByOwner(r) {
 		return
 	}
 
-	if l.holder.Term != 0 {
-		l.holder.Listed = r.Home.Listed
+	if s.owner.Term != 0 {
+		s.owner.ListVersion = r.Owner.ListVersion
 	}
 
-	if next := r.Home.Covers + 1; next > l.holder.Asserted {
-		l.holder.Asserted = next
-		l.holder.AssertedMS = r.Home.CoversMS
+	if next := r.Owner.Covers + 1; next > s.owner.ConfirmedOffset {
+		s.owner.ConfirmedOffset = next
+		s.owner.ConfirmedMS = r.Owner.CoversMS
 	}
 }
 
-// claim notes the first claim of a key by the home.
-func (l *Ledger) claim(at int64, r record) {
-	if _, ok := l.entries[r.ID]; ok || !l.counts(r) {
+// applyClaim records the first claim of a key by the owner.
+func (s *State) applyClaim(at int64, r record) {
+	if _, ok := s.entries[r.KeyID]; ok || !s.writtenByOwner(r) {
 		return
 	}
 
@@ -266,138 +280,140 @@
 		since = r.IssuedMS
 	}
 
-	l.insert(r.ID, entry{
-		run: r.Run, fingerprint: r.Fingerprint, issued: r.IssuedMS, expires: since + l.memory + 2*l.skew,
+	s.insert(r.KeyID, entry{
+		runID: r.RunID, fingerprint: r.Fingerprint, issued: r.IssuedMS, expires: since + s.keyLifetime + 2*s.clockSkew,
 	})
 }
 
-func (l *Ledger) insert(id ID, e entry) {
-	l.entries[id] = e
+func (s *State) insert(id KeyID, e entry) {
+	s.entries[id] = e
 
-	slot := max(e.expires/pruneEvery, l.pruned)
-	l.slots[slot] = append(l.slots[slot], id)
+	slot := max(e.expires/expirySlotMS, s.firstSlot)
+	s.slots[slot] = append(s.slots[slot], id)
 }
 
-// settle notes what a run brought. It counts also after a change of home, since
-// only the run that holds the claim can tell.
-func (l *Ledger) settle(r record) {
-	e, ok := l.entries[r.ID]
-	if !ok || e.run != r.Run || e.outcome != nil {
+// applyOutcome records the outcome of a run. It counts also after a change of
+// owner, since only the process whose claim holds the key knows the outcome.
+func (s *State) applyOutcome(r record) {
+	e, ok := s.entries[r.KeyID]
+	if !ok || e.runID != r.RunID || e.outcome != nil {
 		return
 	}
 
 	e.outcome = r.Outcome
-	l.entries[r.ID] = e
+	s.entries[r.KeyID] = e
 }
 
-// withdraw frees a key whose run has not happened.
-func (l *Ledger) withdraw(r record) {
-	e, ok := l.entries[r.ID]
-	if ok && e.run == r.Run && e.outcome == nil {
-		delete(l.entries, r.ID)
+// applyWithdrawal frees a key whose run did not happen.
+func (s *State) applyWithdrawal(r record) {
+	e, ok := s.entries[r.KeyID]
+	if ok && e.runID == r.RunID && e.outcome == nil {
+		delete(s.entries, r.KeyID)
 	}
 }
 
-// uncertain moves the cut behind every key that may have been accepted by at.
-// Such a key was issued at most a skew after the home's clock, and that clock
-// was at most a skew ahead of the log's.
-func (l *Ledger) uncertain(at int64) {
-	l.cut = max(l.cut, at+2*l.skew)
+// markUncertain makes all keys uncertain that may have been accepted up to time
+// at. Such a key was issued at most one skew after the time of the owner's
+// clock, and that clock was at most one skew ahead of the log's.
+func (s *State) markUncertain(at int64) {
+	s.uncertainUntil = max(s.uncertainUntil, at+2*s.clockSkew)
 }
 
-// prune forgets keys that every home refuses as expired by now, whatever its
-// clock within the skew.
-func (l *Ledger) prune() {
-	slot := l.now / pruneEvery
-	if slot <= l.pruned {
+// pruneExpired deletes keys that every owner refuses as expired by now,
+// whatever its clock within the skew.
+func (s *State) pruneExpired() {
+	slot := s.logTime / expirySlotMS
+	if slot <= s.firstSlot {
 		return
 	}
 
-	if l.pruned == 0 {
-		l.pruned = slot
+	if s.firstSlot == 0 {
+		s.firstSlot = slot
 	}
 
-	for ; l.pruned < slot; l.pruned++ {
-		for _, id := range l.slots[l.pruned] {
-			if e, ok := l.entries[id]; ok && e.expires/pruneEvery <= l.pruned {
-				l.forget(id, e)
+	for ; s.firstSlot < slot; s.firstSlot++ {
+		for _, id := range s.slots[s.firstSlot] {
+			if e, ok := s.entries[id]; ok && e.expires/expirySlotMS <= s.firstSlot {
+				s.forget(id, e)
 			}
 		}
 
-		delete(l.slots, l.pruned)
+		delete(s.slots, s.firstSlot)
 	}
 
-	l.floor = max(l.floor, l.now-l.memory-2*l.skew)
+	s.forgottenBefore = max(s.forgottenBefore, s.logTime-s.keyLifetime-2*s.clockSkew)
 }
 
-// forget drops a key. Whatever the memory is set to later, a key that was once
-// forgotten must not look new, so all that are as old are refused from then on.
-func (l *Ledger) forget(id ID, e entry) {
-	delete(l.entries, id)
+// forget deletes a key. A deleted key must not look unused after a later change
+// of the key lifetime, so all keys issued up to its issue time are refused from
+// then on.
+func (s *State) forget(id KeyID, e entry) {
+	delete(s.entries, id)
 
 	if e.issued != 0 {
-		l.floor = max(l.floor, e.issued+1)
+		s.forgottenBefore = max(s.forgottenBefore, e.issued+1)
 	}
 }
 
-// Remember sets how long keys are remembered from now on. Those claimed before
-// keep the time that they had.
-func (l *Ledger) Remember(memory time.Duration) {
-	if memory > 0 {
-		l.memory = memory.Milliseconds()
+// SetKeyLifetime sets how long keys are remembered from now on; zero or less
+// changes nothing. Keys claimed before keep their expiry time.
+func (s *State) SetKeyLifetime(lifetime time.Duration) {
+	if lifetime > 0 {
+		s.keyLifetime = lifetime.Milliseconds()
 	}
 }
 
-// Key is what a Ledger is asked about.
+// Key identifies a key for Lookup.
 type Key struct {
-	// ID is the key's.
-	ID ID
-	// Issued is when the key was issued; the zero time when it doesn't tell.
+	// ID is the hash of the organisation and the key.
+	ID KeyID
+	// Issued is when the key was issued; the zero time if that is unknown.
 	Issued time.Time
 }
 
-// Ask returns the standing of a key.
-func (l *Ledger) Ask(now time.Time, k Key) Standing {
-	if e, ok := l.entries[k.ID]; ok {
+// Lookup returns the status of a key.
+func (s *State) Lookup(now time.Time, k Key) KeyStatus {
+	if e, ok := s.entries[k.ID]; ok {
 		if e.outcome == nil {
-			return Open
+			return KeyClaimed
 		}
 
-		return Settled
+		return KeyCompleted
 	}
 
 	at := now.UnixMilli()
 
 	if k.Issued.IsZero() {
-		if l.cut != 0 && at <= l.cut+l.memory {
-			return Uncertain
+		if s.uncertainUntil != 0 && at <= s.uncertainUntil+s.keyLifetime {
+			return KeyUncertain
 		}
 
-		return Fresh
+		return KeyUnused
 	}
 
 	issued := k.Issued.UnixMilli()
 
 	switch {
-	case issued > at+l.skew:
-		return Ahead
-	case issued < l.floor || issued+l.memory < at:
-		return Expired
-	case issued <= l.cut:
-		return Uncertain
+	case issued > at+s.clockSkew:
+		return KeyFromFuture
+	case issued < s.forgottenBefore || issued+s.keyLifetime < at:
+		return KeyExpired
+	case issued <= s.uncertainUntil:
+		return KeyUncertain
 	default:
-		return Fresh
+		return KeyUnused
 	}
 }
 
-// maxEntries bounds the keys in a snapshot.
-const maxEntries = 1 << 26
+// maxSnapshotEntries limits the keys in a snapshot.
+const maxSnapshotEntries = 1 << 26
 
-// snapshotMode decodes snapshots, which may be longer than the codec's default allows.
-var snapshotMode = newSnapshotMode()
+// snapshotDecMode decodes snapshots, which may exceed the codec's default limit
+// for arrays.
+var snapshotDecMode = newSnapshotDecMode()
 
-func newSnapshotMode() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: maxEntries}.DecMode()
+func newSnapshotDecMode() cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: maxSnapshotEntries}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -405,19 +421,19 @@
 	return m
 }
 
-// saved is a Ledger in a snapshot.
-type saved struct {
-	Holder  Holder       `cbor:"1,keyasint"`
-	Now     int64        `cbor:"2,keyasint"`
-	Floor   int64        `cbor:"3,keyasint"`
-	Cut     int64        `cbor:"4,keyasint"`
-	Entries []savedEntry `cbor:"5,keyasint"`
+// stateSnapshot is the encoded form of a State.
+type stateSnapshot struct {
+	Owner           Owner           `cbor:"1,keyasint"`
+	LogTime         int64           `cbor:"2,keyasint"`
+	ForgottenBefore int64           `cbor:"3,keyasint"`
+	UncertainUntil  int64           `cbor:"4,keyasint"`
+	Entries         []entrySnapshot `cbor:"5,keyasint"`
 }
 
-type savedEntry struct {
+type entrySnapshot struct {
 	_           struct{} `cbor:",toarray"`
-	ID          ID
-	Run         uint64
+	KeyID       KeyID
+	RunID       uint64
 	Fingerprint uint64
 	Issued      int64
 	Expires     int64
@@ -425,17 +441,17 @@
 }
 
 // Encode returns the state for a snapshot.
-func (l *Ledger) Encode() []byte {
-	s := saved{Holder: l.holder, Now: l.now, Floor: l.floor, Cut: l.cut}
-	s.Entries = make([]savedEntry, 0, len(l.entries))
+func (s *State) Encode() []byte {
+	snap := stateSnapshot{Owner: s.owner, LogTime: s.logTime, ForgottenBefore: s.forgottenBefore, UncertainUntil: s.uncertainUntil}
+	snap.Entries = make([]entrySnapshot, 0, len(s.entries))
 
-	for id, e := range l.entries {
-		s.Entries = append(s.Entries, savedEntry{
-			ID: id, Run: e.run, Fingerprint: e.fingerprint, Issued: e.issued, Expires: e.expires, Outcome: e.outcome,
+	for id, e := range s.entries {
+		snap.Entries = append(snap.Entries, entrySnapshot{
+			KeyID: id, RunID: e.runID, Fingerprint: e.fingerprint, Issued: e.issued, Expires: e.expires, Outcome: e.outcome,
 		})
 	}
 
-	b, err := cbor.Marshal(s)
+	b, err := cbor.Marshal(snap)
 	if err != nil {
 		panic(err) // encoding this type can't fail
 	}
@@ -443,22 +459,23 @@
 	return b
 }
 
-// Restore replaces the state by that of a snapshot.
-func (l *Ledger) Restore(b []byte) error {
-	var s saved
-	if err := snapshotMode.Unmarshal(b, &s); err != nil {
-		return failure.Wrap(failure.BadMessage, err, "a snapshot can't be understood as claims")
+// Restore replaces the state by that of a snapshot; a BadMessage error means
+// that the snapshot can't be decoded.
+func (s *State) Restore(b []byte) error {
+	var snap stateSnapshot
+	if err := snapshotDecMode.Unmarshal(b, &snap); err != nil {
+		return failure.Wrap(failure.BadMessage, err, "a claim snapshot can't be decoded")
 	}
 
-	l.holder, l.now, l.floor, l.cut = s.Holder, s.Now, s.Floor, s.Cut
-	l.entries = make(map[ID]entry, len(s.Entries))
-	l.slots = map[int64][]ID{}
-	l.pruned = s.Now / pruneEvery
-	l.from, l.gap = 1, false
+	s.owner, s.logTime, s.forgottenBefore, s.uncertainUntil = snap.Owner, snap.LogTime, snap.ForgottenBefore, snap.UncertainUntil
+	s.entries = make(map[KeyID]entry, len(snap.Entries))
+	s.slots = map[int64][]KeyID{}
+	s.firstSlot = snap.LogTime / expirySlotMS
+	s.firstOffset, s.afterGap = 1, false
 
-	for _, e := range s.Entries {
-		l.insert(e.ID, entry{
-			run: e.Run, fingerprint: e.Fingerprint, issued: e.Issued, expires: e.Expires, outcome: e.Outcome,
+	for _, e := range snap.Entries {
+		s.insert(e.KeyID, entry{
+			runID: e.RunID, fingerprint: e.Fingerprint, issued: e.Issued, expires: e.Expires, outcome: e.Outcome,
 		})
 	}
 
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -16,12 +16,14 @@
 	"boragehub/journal/memory"
 )
 
-// The load of non-idempotent calls at the size in two years: 5% of 5,100 a second.
+// The expected rate of non-idempotent calls in two years: 5% of 5,100 per
+// second.
 const bookingsPerSecond = 255
 
-// load sends bookings at an even pace to Homes for some time and returns the
-// appends a second and the mean time until a booking may run.
-func load(ctx context.Context, shards int, interval, length time.Duration, homes int) (appends float64, wait time.Duration) {
+// runLoad sends calls at an even pace to the owners of their keys for the given
+// time, and returns the appends per second and the mean time until a call may
+// run.
+func runLoad(ctx context.Context, shards int, interval, length time.Duration, processes int) (appends float64, wait time.Duration) {
 	var (
 		wg, calls sync.WaitGroup
 		mu        sync.Mutex
@@ -34,13 +36,13 @@
 	log := memory.New()
 	f.Version = 1
 
-	for i := range homes {
+	for i := range processes {
 		f.VMs = append(f.VMs, "vm"+strconv.Itoa(i))
 	}
 
 	for _, vm := range f.VMs {
 		h := NewHome(HomeConfig{
-			Log: log, Service: "s", Shards: shards, VM: vm, Interval: interval, Fleet: func() Fleet { return f },
+			Log: log, Service: "s", Shards: shards, VM: vm, AppendInterval: interval, Fleet: func() Fleet { return f },
 		})
 		all = append(all, h)
 		wg.Go(func() { h.Run(ctx) })
@@ -94,22 +96,22 @@
 	return appends, sum / time.Duration(n)
 }
 
-// Every claim and outcome is a record. Without group commit, 255 bookings a
-// second would need 510 appends a second of the several hundred that the log
-// service takes, and everything else that is kept would starve.
+// Every claim and outcome is a record. Without group commit, 255 calls per second
+// would need 510 appends per second. The log service takes several hundred, so
+// its other streams would get no capacity.
 func TestAppendsASecondAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const shards, interval = 8, 100 * time.Millisecond
 
-		appends, _ := load(t.Context(), shards, interval, 5*time.Second, 2)
+		appends, _ := runLoad(t.Context(), shards, interval, 5*time.Second, 2)
 		if most := shards * (1 + float64(time.Second/interval)); appends > most {
 			t.Errorf("got %.0f appends a second, want at most %.0f", appends, most)
 		}
 	})
 }
 
-// BenchmarkAppends reports appends a second and the wait for a claim, on
-// virtual time, at the load in two years.
+// BenchmarkAppends reports appends per second and the wait for a claim, on
+// virtual time, at the expected rate in two years.
 func BenchmarkAppends(b *testing.B) {
 	for _, shards := range []int{8, 16, 32, 64} {
 		for _, interval := range []time.Duration{50, 100, 200, 400} {
@@ -123,7 +125,7 @@
 					)
 
 					testing.Init()
-					bubble(func(ctx context.Context) { appends, wait = load(ctx, shards, interval, 20*time.Second, 4) })
+					runInBubble(func(ctx context.Context) { appends, wait = runLoad(ctx, shards, interval, 20*time.Second, 4) })
 					b.ReportMetric(appends, "appends/s")
 					b.ReportMetric(float64(wait.Milliseconds()), "ms/claim")
 				}
@@ -132,39 +134,40 @@
 	}
 }
 
-// bubble runs f on virtual time outside of a test.
-func bubble(f func(context.Context)) {
+// runInBubble runs f on virtual time outside of a test.
+func runInBubble(f func(context.Context)) {
 	testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubble", F: func(t *testing.T) { synctest.Test(t, func(t *testing.T) { f(t.Context()) }) },
 	}})
 }
 
-// filled returns a Ledger of n keys whose outcomes have bodies of some length.
-func filled(n, body int) *Ledger {
-	l := NewLedger(LedgerConfig{})
+// filledState returns a State of n keys whose outcomes have bodies of the given
+// length.
+func filledState(n, body int) *State {
+	s := NewState(StateConfig{})
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	l.apply(1, now.UnixMilli(), record{Kind: kindHome, Home: &homeRecord{VM: "a", Incarnation: 1, Basis: BasisFirst, From: 1}})
+	s.apply(1, now.UnixMilli(), record{Kind: kindOwner, Owner: &ownerRecord{VM: "a", Incarnation: 1, Basis: BasisFirst, OldestOffset: 1}})
 
 	for i := range n {
-		id := NewID("organisation", strconv.Itoa(i))
+		id := NewKeyID("organisation", strconv.Itoa(i))
 		at := now.Add(time.Duration(i) * time.Millisecond).UnixMilli()
-		l.apply(uint64(2*i+2), at, record{Kind: kindClaim, Term: 1, ID: id, Run: uint64(i + 1), IssuedMS: at})
+		s.apply(uint64(2*i+2), at, record{Kind: kindClaim, Term: 1, KeyID: id, RunID: uint64(i + 1), IssuedMS: at})
 
-		r, err := decode(record{Kind: kindOutcome, Term: 1, ID: id, Run: uint64(i + 1), Outcome: &Outcome{
+		r, err := decode(record{Kind: kindOutcome, Term: 1, KeyID: id, RunID: uint64(i + 1), Outcome: &Outcome{
 			Status: 201, ContentType: "application/json", Body: make([]byte, body),
 		}}.encode())
 		if err != nil {
 			panic(err)
 		}
 
-		l.apply(uint64(2*i+3), at, r)
+		s.apply(uint64(2*i+3), at, r)
 	}
 
-	return l
+	return s
 }
 
-// BenchmarkBytes reports what one booking adds to its shard's stream, as kept by
-// the log service (without the base64 of its answers).
+// BenchmarkBytes reports the bytes that one call adds to its shard's stream as
+// the log service stores them (without the base64 of its responses).
 func BenchmarkBytes(b *testing.B) {
 	for _, body := range []int{0, 256, 1024} {
 		b.Run(fmt.Sprintf("body=%d", body), func(b *testing.B) {
@@ -172,15 +175,15 @@
 				total := 0
 
 				testing.Init()
-				bubble(func(ctx context.Context) { total = written(ctx, body) })
+				runInBubble(func(ctx context.Context) { total = bytesPerBooking(ctx, body) })
 				b.ReportMetric(float64(total), "B/booking")
 			}
 		})
 	}
 }
 
-// written makes one booking and returns the bytes of its two records.
-func written(ctx context.Context, body int) int {
+// bytesPerBooking makes one call and returns the bytes of its two records.
+func bytesPerBooking(ctx context.Context, body int) int {
 	var wg sync.WaitGroup
 
 	ctx, cancel := context.WithCancel(ctx)
@@ -213,8 +216,8 @@
 	return total
 }
 
-// BenchmarkMemory reports the bytes that a remembered key takes, and a snapshot
-// of it.
+// BenchmarkMemory reports the bytes per remembered key, in memory and in a
+// snapshot.
 func BenchmarkMemory(b *testing.B) {
 	const n = 100000
 
@@ -226,50 +229,51 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 
-				l := filled(n, body)
+				s := filledState(n, body)
 
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "B/key")
-				b.ReportMetric(float64(len(l.Encode()))/n, "snapshot-B/key")
+				b.ReportMetric(float64(len(s.Encode()))/n, "snapshot-B/key")
 			}
 		})
 	}
 }
 
 func BenchmarkAsk(b *testing.B) {
-	l := filled(100000, 0)
-	k := Key{ID: NewID("organisation", "77")}
+	s := filledState(100000, 0)
+	k := Key{ID: NewKeyID("organisation", "77")}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		l.Ask(now, k)
+		s.Lookup(now, k)
 	}
 }
 
-// BenchmarkClaim claims, reads back and settles at one Coordinator.
+// BenchmarkClaim claims a key, reads the claim back and completes the run, at
+// one Coordinator.
 func BenchmarkClaim(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	f := Fleet{Version: 1, VMs: []string{"a"}}
-	d := NewCoordinator(CoordinatorConfig{VM: "a", Incarnation: 1})
+	c := NewCoordinator(CoordinatorConfig{VM: "a", Incarnation: 1})
 	offset := uint64(0)
 
 	turn := func() {
-		for _, r := range d.Outbox() {
+		for _, r := range c.Outbox() {
 			offset++
 
-			if err := d.Apply(journal.Record{Offset: offset, At: now, Data: r}); err != nil {
+			if err := c.Apply(journal.Record{Offset: offset, At: now, Data: r}); err != nil {
 				b.Fatal(err)
 			}
 		}
 
-		d.Synced(now, 1)
+		c.Synced(now, 1)
 	}
 
-	d.Observe(f)
-	d.Ask(BasisFirst, f)
+	c.SetVMList(f)
+	c.RequestOwnership(BasisFirst, f)
 	turn()
 
 	keys := make([]string, b.N)
@@ -281,13 +285,13 @@
 	b.ResetTimer()
 
 	for i := range b.N {
-		r, err := d.Claim(now, Request{Organisation: "o", Key: keys[i]})
+		r, err := c.Claim(now, Request{Organisation: "o", Key: keys[i]})
 		if err != nil {
 			b.Fatal(err)
 		}
 
 		turn()
-		d.Settle(r, Outcome{Status: 201})
+		c.Complete(r, Outcome{Status: 201})
 		turn()
 	}
 }
--- a/claim/outage/outage.go
+++ b/claim/outage/outage.go
@@ -1,18 +1,18 @@
-// Package outage measures what an outage of the log costs the callers of a plain
-// service whose calls may not be repeated.
+// Package outage simulates what an outage of the log costs the callers of a
+// plain service whose calls must not run twice.
 //
 // # Model
 //
-// Some VMs with a target each share the shards of the service. Callers come at
-// random (Poisson) with a fresh UUIDv7 each. A caller that is refused, or gets
-// no answer, tries again with the same key after what Retry-After says, until
-// its patience ends. The log is away for a while; in it, the process of one VM
-// may die and start anew. The decisions are those of claim.Coordinator and
-// claim.Succession; log, callers and targets are small models on virtual time:
-// an append and a read take a tick each, a target answers at once. The same
-// Config gives the same Result.
+// Some VMs, with one target each, share the shards of the service. Calls arrive
+// as a Poisson process, each with a new UUIDv7 as its key. A caller that is
+// refused or gets no response retries with the same key after the Retry-After
+// time, until its timeout. The log is down for a while; meanwhile the process
+// of one VM may crash and restart. claim.Coordinator and claim.Takeover decide;
+// log, callers and targets are simple models on virtual time: an append and a
+// read take one tick each, a target responds at once. The same Config gives the
+// same Result.
 //
-//	r := outage.Run(outage.Config{LogLess: true, Dies: 20 * time.Minute})
+//	r := outage.Run(outage.Config{RunInOutage: true, CrashAfter: 20 * time.Minute})
 package outage
 
 import (
@@ -30,110 +30,114 @@
 // tick is the step of virtual time.
 const tick = 100 * time.Millisecond
 
-// Config is one experiment. Zero values get the defaults that are named.
+// Config describes one simulation. Fields that are zero get the defaults below.
 type Config struct {
-	// Seed makes the callers.
+	// Seed seeds the random arrivals, keys and lost responses.
 	Seed uint64
-	// VMs is how many targets the service has; zero is 4.
+	// VMs is how many targets the service has; zero means 4.
 	VMs int
-	// Shards is how many shards its keys have; zero is 16.
+	// Shards is how many shards its keys have; zero means 16.
 	Shards int
-	// Rate is how many calls come in a second; zero is 5.
+	// Rate is the mean number of calls per second; zero means 5.
 	Rate float64
-	// Outage is how long the log is away, after a minute; zero is an hour.
+	// Outage is how long the log is down, from the end of the first minute on;
+	// zero means an hour.
 	Outage time.Duration
-	// LogLess lets homes go on in the outage; otherwise they refuse.
-	LogLess bool
-	// Dies is when in the outage one process dies; zero is never.
-	Dies time.Duration
-	// Restart is how long it takes until another one runs on its VM; zero is 30 s.
-	Restart time.Duration
-	// Patience is how long a caller tries; zero is 30 s.
-	Patience time.Duration
-	// LostAnswers is the share of answers that callers don't get, after which
-	// they ask again.
-	LostAnswers float64
+	// RunInOutage lets owners run calls during the outage; otherwise they refuse
+	// them.
+	RunInOutage bool
+	// CrashAfter is the time from the start of the outage to the crash of one
+	// process; zero means no crash.
+	CrashAfter time.Duration
+	// RestartDelay is the time from the crash to the restart; zero means 30 s.
+	RestartDelay time.Duration
+	// CallerTimeout is how long a caller retries; zero means 30 s.
+	CallerTimeout time.Duration
+	// LostResponses is the share of responses, from 0 to 1, that don't reach
+	// their caller, which then retries.
+	LostResponses float64
 }
 
 func (c Config) withDefaults() Config {
-	c.VMs = or(c.VMs, 4)
-	c.Shards = or(c.Shards, 16)
-	c.Rate = or(c.Rate, 5)
-	c.Outage = or(c.Outage, time.Hour)
-	c.Restart = or(c.Restart, 30*time.Second)
-	c.Patience = or(c.Patience, 30*time.Second)
+	c.VMs = orDefault(c.VMs, 4)
+	c.Shards = orDefault(c.Shards, 16)
+	c.Rate = orDefault(c.Rate, 5)
+	c.Outage = orDefault(c.Outage, time.Hour)
+	c.RestartDelay = orDefault(c.RestartDelay, 30*time.Second)
+	c.CallerTimeout = orDefault(c.CallerTimeout, 30*time.Second)
 
 	return c
 }
 
-func or[T int | float64 | time.Duration](v, otherwise T) T {
+func orDefault[T int | float64 | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
 	}
 
-	return otherwise
+	return fallback
 }
 
-// Result counts the calls that came during the outage.
+// Result counts the calls that arrived during the outage.
 type Result struct {
-	// Calls is how many came.
+	// Calls is how many arrived.
 	Calls int
-	// Served got their outcome in time.
+	// Served is how many got their outcome in time.
 	Served int
-	// Refused were told until their patience ended that nothing was run.
+	// Refused is how many were refused, or got no response, until their timeout.
 	Refused int
-	// Unknown were told that it isn't known whether they ran.
+	// Unknown is how many were told that it is unknown whether they ran.
 	Unknown int
 	// Ran is how many ran, whatever their callers were told.
 	Ran int
-	// Doubled ran more than once.
-	Doubled int
+	// RanTwice is how many ran more than once.
+	RanTwice int
 }
 
-// caller is one call and its repetitions.
-type caller struct {
-	key     string
-	since   time.Time
-	next    time.Time
-	shard   int
-	inside  bool
-	waiting *claim.Run
-	at      *process
-	ran     int
-	last    failure.Kind
-	ended   bool
-	served  bool
+// call is one call with its retries.
+type call struct {
+	key          string
+	arrival      time.Time
+	nextTry      time.Time
+	shard        int
+	duringOutage bool
+	run          *claim.Run
+	process      *process
+	runs         int
+	lastError    failure.Kind
+	done         bool
+	served       bool
 }
 
-// process is one shard's desk at one VM, and how far it has read.
+// process is the coordinator of one shard on one VM, with its position in the
+// stream.
 type process struct {
-	vm       int
-	desk     *claim.Coordinator
-	next     claim.Succession
-	position int
-	out      [][]byte
+	vm          int
+	coordinator *claim.Coordinator
+	takeover    claim.Takeover
+	position    int
+	unsent      [][]byte
 }
 
-// model is the state of an experiment.
-type model struct {
-	cfg     Config
-	rng     *rand.Rand
-	start   time.Time
-	now     time.Time
-	down    bool
-	streams [][]journal.Record
-	ranked  [][]string   // the candidates by shard
-	procs   [][]*process // by shard and VM; nil while the VM's process is dead
-	callers []*caller
-	open    []*caller
+// simulation is the state of a simulation.
+type simulation struct {
+	cfg       Config
+	rng       *rand.Rand
+	start     time.Time
+	now       time.Time
+	logDown   bool
+	streams   [][]journal.Record
+	ranked    [][]string   // the candidates by shard
+	procs     [][]*process // by shard and VM; nil while the VM's process is down
+	calls     []*call
+	openCalls []*call
 }
 
-// Run carries out an experiment.
+// Run runs a simulation.
 func Run(cfg Config) Result {
-	m := &model{cfg: cfg.withDefaults(), start: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	m := &simulation{cfg: cfg.withDefaults(), start: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	m.now = m.start
 	m.rng = rand.New(rand.NewPCG(cfg.Seed, 1))
-	m.ranked = claim.Ranked("service", m.cfg.Shards, m.fleet())
+	m.ranked = claim.RankCandidates("service", m.cfg.Shards, m.vmList())
 	m.streams = make([][]journal.Record, m.cfg.Shards)
 	m.procs = make([][]*process, m.cfg.Shards)
 
@@ -142,23 +146,23 @@
 	}
 
 	for vm := range m.cfg.VMs {
-		m.boot(vm)
+		m.startProcesses(vm)
 	}
 
-	const before = time.Minute
+	const margin = time.Minute
 
-	began, ended := m.start.Add(before), m.start.Add(before+m.cfg.Outage)
-	died, back := began.Add(m.cfg.Dies), began.Add(m.cfg.Dies+m.cfg.Restart)
+	began, ended := m.start.Add(margin), m.start.Add(margin+m.cfg.Outage)
+	crash, restart := began.Add(m.cfg.CrashAfter), began.Add(m.cfg.CrashAfter+m.cfg.RestartDelay)
 
-	for end := ended.Add(before); m.now.Before(end); m.now = m.now.Add(tick) {
-		m.down = !m.now.Before(began) && m.now.Before(ended)
+	for end := ended.Add(margin); m.now.Before(end); m.now = m.now.Add(tick) {
+		m.logDown = !m.now.Before(began) && m.now.Before(ended)
 
-		if m.cfg.Dies > 0 && m.now.Equal(died) {
-			m.kill(0)
+		if m.cfg.CrashAfter > 0 && m.now.Equal(crash) {
+			m.killProcesses(0)
 		}
 
-		if m.cfg.Dies > 0 && m.now.Equal(back) {
-			m.boot(0)
+		if m.cfg.CrashAfter > 0 && m.now.Equal(restart) {
+			m.startProcesses(0)
 		}
 
 		m.step()
@@ -167,46 +171,46 @@
 	return m.result()
 }
 
-func name(vm int) string { return "vm" + strconv.Itoa(vm) }
+func vmName(vm int) string { return "vm" + strconv.Itoa(vm) }
 
-func (m *model) fleet() claim.Fleet {
+func (m *simulation) vmList() claim.Fleet {
 	f := claim.Fleet{Version: 1}
 	for vm := range m.cfg.VMs {
-		f.VMs = append(f.VMs, name(vm))
+		f.VMs = append(f.VMs, vmName(vm))
 	}
 
 	return f
 }
 
-func (m *model) boot(vm int) {
+func (m *simulation) startProcesses(vm int) {
 	for s := range m.procs {
-		m.procs[s][vm] = &process{vm: vm, desk: claim.NewCoordinator(claim.CoordinatorConfig{
-			VM: name(vm), Incarnation: uint64(m.now.UnixMilli()), RefuseInOutage: !m.cfg.LogLess,
+		m.procs[s][vm] = &process{vm: vm, coordinator: claim.NewCoordinator(claim.CoordinatorConfig{
+			VM: vmName(vm), Incarnation: uint64(m.now.UnixMilli()), RefuseInOutage: !m.cfg.RunInOutage,
 		})}
 	}
 }
 
-// kill ends a VM's process. Its callers get no answer and ask again.
-func (m *model) kill(vm int) {
+// killProcesses ends a VM's process. Its callers get no response and retry.
+func (m *simulation) killProcesses(vm int) {
 	for s := range m.procs {
 		m.procs[s][vm] = nil
 	}
 
-	for _, c := range m.open {
-		if c.waiting != nil && c.at.vm == vm {
-			c.waiting, c.next = nil, m.now.Add(time.Second)
+	for _, c := range m.openCalls {
+		if c.run != nil && c.process.vm == vm {
+			c.run, c.nextTry = nil, m.now.Add(time.Second)
 		}
 	}
 }
 
-// step is one tick of everything.
-func (m *model) step() {
-	f := m.fleet()
+// step advances everything by one tick.
+func (m *simulation) step() {
+	f := m.vmList()
 
 	for s, procs := range m.procs {
 		for _, p := range procs {
 			if p != nil {
-				m.serve(s, p, f)
+				m.stepProcess(s, p, f)
 			}
 		}
 	}
@@ -215,49 +219,49 @@
 		m.arrive()
 	}
 
-	open := m.open[:0]
+	open := m.openCalls[:0]
 
-	for _, c := range m.open {
-		if m.progress(c); !c.ended {
+	for _, c := range m.openCalls {
+		if m.stepCall(c); !c.done {
 			open = append(open, c)
 		}
 	}
 
-	m.open = open
+	m.openCalls = open
 }
 
-// serve lets a process write, read and do what is due.
-func (m *model) serve(s int, p *process, f claim.Fleet) {
-	if !m.down {
-		for _, b := range p.out {
+// stepProcess lets a process write, read and do what is due.
+func (m *simulation) stepProcess(s int, p *process, f claim.Fleet) {
+	if !m.logDown {
+		for _, b := range p.unsent {
 			m.streams[s] = append(m.streams[s], journal.Record{
 				Offset: uint64(len(m.streams[s]) + 1), At: m.now, Data: b,
 			})
 		}
 
-		p.out = nil
+		p.unsent = nil
 
 		for ; p.position < len(m.streams[s]); p.position++ {
-			if err := p.desk.Apply(m.streams[s][p.position]); err != nil {
-				panic(err) // the model writes only what desks wrote
+			if err := p.coordinator.Apply(m.streams[s][p.position]); err != nil {
+				panic(err) // the streams hold only records of coordinators
 			}
 		}
 
-		p.desk.Synced(m.now, 1)
+		p.coordinator.Synced(m.now, 1)
 	}
 
-	p.desk.Observe(f)
-	p.desk.Tick(m.now)
+	p.coordinator.SetVMList(f)
+	p.coordinator.Tick(m.now)
 
-	if basis, ok := p.next.Next(m.now, p.desk, f, claim.Rank(m.ranked[s], name(p.vm))); ok && !m.down {
-		p.desk.Ask(basis, f)
+	if basis, ok := p.takeover.Due(m.now, p.coordinator, f, claim.CandidateRank(m.ranked[s], vmName(p.vm))); ok && !m.logDown {
+		p.coordinator.RequestOwnership(basis, f)
 	}
 
-	p.out = append(p.out, p.desk.Outbox()...)
+	p.unsent = append(p.unsent, p.coordinator.Outbox()...)
 }
 
-// arrive makes a caller.
-func (m *model) arrive() {
+// arrive adds a call.
+func (m *simulation) arrive() {
 	var u uuid.UUID
 
 	ms := m.now.UnixMilli()
@@ -272,39 +276,39 @@
 	u[6] = u[6]&0x0f | 0x70
 	u[8] = u[8]&0x3f | 0x80
 
-	c := &caller{key: u.String(), since: m.now, next: m.now, inside: m.down}
+	c := &call{key: u.String(), arrival: m.now, nextTry: m.now, duringOutage: m.logDown}
 	c.shard = claim.Shard("organisation", c.key, m.cfg.Shards)
-	m.callers = append(m.callers, c)
-	m.open = append(m.open, c)
+	m.calls = append(m.calls, c)
+	m.openCalls = append(m.openCalls, c)
 }
 
-// progress lets a caller ask, or get its answer.
-func (m *model) progress(c *caller) {
+// stepCall sends a call, or finishes it.
+func (m *simulation) stepCall(c *call) {
 	switch {
-	case c.waiting != nil:
-		m.answer(c)
-	case m.now.Sub(c.since) > m.cfg.Patience:
-		c.ended = true
-	case !m.now.Before(c.next):
-		m.ask(c)
+	case c.run != nil:
+		m.finish(c)
+	case m.now.Sub(c.arrival) > m.cfg.CallerTimeout:
+		c.done = true
+	case !m.now.Before(c.nextTry):
+		m.send(c)
 	}
 }
 
-// ask sends the call to the process that says it is the home of the key.
-func (m *model) ask(c *caller) {
-	err := error(failure.New(failure.Unavailable, "no home").After(time.Second))
+// send sends the call to the process that owns the key's shard.
+func (m *simulation) send(c *call) {
+	err := error(failure.New(failure.Unavailable, "no owner").After(time.Second))
 
 	for _, p := range m.procs[c.shard] {
-		if p == nil || !p.desk.Home() {
+		if p == nil || !p.coordinator.IsOwner() {
 			continue
 		}
 
 		var r *claim.Run
 
-		r, err = p.desk.Claim(m.now, claim.Request{Organisation: "organisation", Key: c.key})
+		r, err = p.coordinator.Claim(m.now, claim.Request{Organisation: "organisation", Key: c.key})
 		if err == nil {
-			c.waiting, c.at = r, p
-			m.answer(c)
+			c.run, c.process = r, p
+			m.finish(c)
 
 			return
 		}
@@ -313,17 +317,17 @@
 	m.refuse(c, err)
 }
 
-func (m *model) refuse(c *caller, err error) {
+func (m *simulation) refuse(c *call, err error) {
 	e := failure.As(err)
-	c.last = e.Kind()
-	c.waiting = nil
-	c.next = m.now.Add(max(e.RetryAfter(), time.Second))
-	c.ended = !e.Kind().Answer().Retryable
+	c.lastError = e.Kind()
+	c.run = nil
+	c.nextTry = m.now.Add(max(e.RetryAfter(), time.Second))
+	c.done = !e.Kind().Answer().Retryable
 }
 
-// answer runs a call whose claim is decided and answers its caller.
-func (m *model) answer(c *caller) {
-	decided, err := c.waiting.Decided()
+// finish runs a call that may start and responds to its caller.
+func (m *simulation) finish(c *call) {
+	decided, err := c.run.Decided()
 	if !decided {
 		return
 	}
@@ -334,45 +338,45 @@
 		return
 	}
 
-	if c.waiting.Outcome() == nil {
-		c.ran++
-		c.at.desk.Settle(c.waiting, claim.Outcome{Status: 201})
+	if c.run.Outcome() == nil {
+		c.runs++
+		c.process.coordinator.Complete(c.run, claim.Outcome{Status: 201})
 	}
 
-	c.waiting = nil
+	c.run = nil
 
-	if m.rng.Float64() < m.cfg.LostAnswers {
-		c.next = m.now.Add(time.Second)
+	if m.rng.Float64() < m.cfg.LostResponses {
+		c.nextTry = m.now.Add(time.Second)
 
 		return
 	}
 
-	c.served, c.ended = true, true
+	c.served, c.done = true, true
 }
 
-// result counts what became of the calls that came during the outage.
-func (m *model) result() Result {
+// result counts the results of the calls that arrived during the outage.
+func (m *simulation) result() Result {
 	var r Result
 
-	for _, c := range m.callers {
-		if !c.inside {
+	for _, c := range m.calls {
+		if !c.duringOutage {
 			continue
 		}
 
 		r.Calls++
-		r.Ran += min(c.ran, 1)
+		r.Ran += min(c.runs, 1)
 
 		switch {
 		case c.served:
 			r.Served++
-		case c.last == failure.OutcomeUnknown:
+		case c.lastError == failure.OutcomeUnknown:
 			r.Unknown++
 		default:
 			r.Refused++
 		}
 
-		if c.ran > 1 {
-			r.Doubled++
+		if c.runs > 1 {
+			r.RanTwice++
 		}
 	}
 
--- a/claim/outage/outage_test.go
+++ b/claim/outage/outage_test.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// The log goes away while riders book, and in some cases a home dies with runs
-// that it has not written. A rider would notice a refusal, or a second booking.
+// The log is down while calls arrive, and in some cases an owner crashes with
+// runs that it has not written. The test guards against needless refusals and
+// against a second run of a call.
 func TestOutage(t *testing.T) {
-	const length, dies = 3 * time.Minute, time.Minute
+	const length, crashAfter = 3 * time.Minute, time.Minute
 
 	cases := []struct {
 		name  string
 		cfg   Config
-		least float64 // the least share served
+		least float64 // the minimum share of calls served
 		most  float64
 	}{
-		// Who comes in the last half minute is still there when the log is back.
-		{"refuse", Config{Outage: length}, 0, 0.17},
-		{"home", Config{Outage: length, LogLess: true}, 1, 1},
-		{"home, one dies", Config{Outage: length, LogLess: true, Dies: dies}, 0.7, 0.95},
-		{"home, one dies, answers lost", Config{Outage: length, LogLess: true, Dies: dies, LostAnswers: 0.02}, 0.7, 0.95},
+		// Callers of the last half minute still retry when the log is back.
+		{"refuse in outage", Config{Outage: length}, 0, 0.17},
+		{"run in outage", Config{Outage: length, RunInOutage: true}, 1, 1},
+		{"run in outage, one process crashes", Config{Outage: length, RunInOutage: true, CrashAfter: crashAfter}, 0.7, 0.95},
+		{"run in outage, one process crashes, responses lost", Config{Outage: length, RunInOutage: true, CrashAfter: crashAfter, LostResponses: 0.02}, 0.7, 0.95},
 	}
 
 	for _, c := range cases {
@@ -28,8 +29,8 @@
 			got := Run(c.cfg)
 			share := float64(got.Served) / float64(got.Calls)
 
-			if share < c.least || share > c.most || got.Doubled != 0 {
-				t.Errorf("got %+v (share %.3f), want a share from %v to %v and none doubled", got, share, c.least, c.most)
+			if share < c.least || share > c.most || got.RanTwice != 0 {
+				t.Errorf("got %+v (share %.3f), want a share from %v to %v and none that ran twice", got, share, c.least, c.most)
 			}
 
 			if again := Run(c.cfg); got != again {
@@ -39,21 +40,21 @@
 	}
 }
 
-// BenchmarkHour reports what became of the calls of an hour's outage.
+// BenchmarkHour reports the results of the calls of an outage of an hour.
 func BenchmarkHour(b *testing.B) {
-	const dies = 20 * time.Minute
+	const crashAfter = 20 * time.Minute
 
 	for _, c := range []struct {
 		name string
 		cfg  Config
 	}{
 		{"refuse", Config{}},
-		{"home", Config{LogLess: true}},
-		{"home_dies", Config{LogLess: true, Dies: dies}},
-		{"home_dies_answers_lost", Config{LogLess: true, Dies: dies, LostAnswers: 0.02}},
+		{"home", Config{RunInOutage: true}},
+		{"home_dies", Config{RunInOutage: true, CrashAfter: crashAfter}},
+		{"home_dies_answers_lost", Config{RunInOutage: true, CrashAfter: crashAfter, LostResponses: 0.02}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			var calls, served, refused, unknown, doubled int
+			var calls, served, refused, unknown, ranTwice int
 
 			for seed := range b.N {
 				c.cfg.Seed = uint64(seed + 1)
@@ -62,14 +63,14 @@
 				served += r.Served
 				refused += r.Refused
 				unknown += r.Unknown
-				doubled += r.Doubled
+				ranTwice += r.RanTwice
 			}
 
 			n := float64(calls)
 			b.ReportMetric(float64(served)/n, "served")
 			b.ReportMetric(float64(refused)/n, "refused")
 			b.ReportMetric(float64(unknown)/n, "unknown")
-			b.ReportMetric(float64(doubled), "doubled")
+			b.ReportMetric(float64(ranTwice), "doubled")
 			b.ReportMetric(n/float64(b.N), "calls/run")
 		})
 	}
--- a/claim/record.go
+++ b/claim/record.go
@@ -9,51 +9,54 @@
 	"boragehub/failure"
 )
 
-// kind says what a record of a shard's stream does.
+// kind is the type of a record in a shard's stream.
 type kind uint8
 
 const (
-	// kindHome makes its writer the home.
-	kindHome kind = iota + 1
-	// kindKeep repeats who is home, before the log forgets it.
-	kindKeep
-	// kindRelease gives the shard back.
+	// kindOwner makes its writer the owner.
+	kindOwner kind = iota + 1
+	// kindRenew confirms the owner before the log deletes the previous record
+	// that shows it.
+	kindRenew
+	// kindRelease releases the shard.
 	kindRelease
 	// kindClaim claims a key for one run.
 	kindClaim
-	// kindOutcome tells what a run brought.
+	// kindOutcome holds the outcome of a run.
 	kindOutcome
-	// kindWithdraw says that a claimed run has not happened and won't.
+	// kindWithdraw means that a claimed run did not happen and won't happen.
 	kindWithdraw
-	// kindBorn says that earlier processes on its writer's VM have ended.
-	kindBorn
+	// kindStart means that earlier processes on its writer's VM have ended.
+	kindStart
 )
 
-// Basis is why a process may become the home of a shard.
+// Basis is the reason for which a process may become the owner of a shard.
 type Basis uint8
 
-// The closed list of reasons.
+// The values of Basis.
 const (
-	// BasisFirst says that the stream tells of no home.
+	// BasisFirst means that the kept part of the stream shows no owner.
 	BasisFirst Basis = iota + 1
-	// BasisReleased says that the home before gave the shard back.
+	// BasisReleased means that the previous owner released the shard.
 	BasisReleased
-	// BasisGone says that the platform no longer lists the VM of the home before.
-	BasisGone
-	// BasisReborn says that a later process has started on the VM of the home before.
-	BasisReborn
+	// BasisUnlisted means that the platform no longer lists the previous owner's
+	// VM.
+	BasisUnlisted
+	// BasisRestarted means that a later process has started on the previous
+	// owner's VM.
+	BasisRestarted
 )
 
-// String returns the snake-case name of b.
+// String returns the name of b in snake case.
 func (b Basis) String() string {
 	switch b {
 	case BasisFirst:
 		return "first"
 	case BasisReleased:
 		return "released"
-	case BasisGone:
+	case BasisUnlisted:
 		return "gone"
-	case BasisReborn:
+	case BasisRestarted:
 		return "reborn"
 	default:
 		return "basis_" + strconv.Itoa(int(b))
@@ -63,37 +66,40 @@
 // record is one record of a shard's stream, in CBOR with small integer keys.
 type record struct {
 	Kind kind `cbor:"1,keyasint"`
-	// Term is the offset of the home record under which this one is written. A
-	// home record names the term that it follows, zero for none.
+	// Term is the offset of the owner record under which this one is written. An
+	// owner record holds the previous term, zero for none.
 	Term uint64 `cbor:"2,keyasint,omitempty"`
-	// ID is the key's.
-	ID ID `cbor:"3,keyasint,omitempty"`
-	// Run tells the claims of one key apart.
-	Run uint64 `cbor:"4,keyasint,omitempty"`
-	// Fingerprint is the digest of the request's.
+	// KeyID is the hash of the organisation and the key.
+	KeyID KeyID `cbor:"3,keyasint,omitempty"`
+	// RunID distinguishes the claims of one key.
+	RunID uint64 `cbor:"4,keyasint,omitempty"`
+	// Fingerprint is the hash of the request's fingerprint.
 	Fingerprint uint64 `cbor:"5,keyasint,omitempty"`
-	// IssuedMS is the key's issue time in Unix milliseconds, zero for none.
+	// IssuedMS is the key's issue time in Unix milliseconds, zero if unknown.
 	IssuedMS int64 `cbor:"6,keyasint,omitempty"`
-	// Outcome is what a run brought.
+	// Outcome is the outcome of a run, in outcome records.
 	Outcome *Outcome `cbor:"7,keyasint,omitempty"`
-	// Home is set in home, keep and born records.
-	Home *homeRecord `cbor:"8,keyasint,omitempty"`
+	// Owner is set in owner, renewal and start records.
+	Owner *ownerRecord `cbor:"8,keyasint,omitempty"`
 }
 
-// homeRecord tells who becomes or stays the home.
-type homeRecord struct {
+// ownerRecord describes the process that becomes or stays the owner, or that
+// has started.
+type ownerRecord struct {
 	VM          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Basis       Basis  `cbor:"3,keyasint,omitempty"`
-	// LogLess says that this home may run requests before their claims are written.
-	LogLess bool `cbor:"4,keyasint,omitempty"`
-	// Listed is a version of the platform's list that has the VM.
-	Listed uint64 `cbor:"5,keyasint,omitempty"`
-	// From is the oldest offset that the log kept when the writer had read it all.
-	From uint64 `cbor:"6,keyasint,omitempty"`
-	// Covers is the last offset that the snapshot before a keep record covers.
+	// RunsUnlogged reports that this owner may run requests before their claims
+	// are written.
+	RunsUnlogged bool `cbor:"4,keyasint,omitempty"`
+	// ListVersion is a version of the platform's list that has the VM.
+	ListVersion uint64 `cbor:"5,keyasint,omitempty"`
+	// OldestOffset is the oldest offset that the log kept when the writer had
+	// read all records.
+	OldestOffset uint64 `cbor:"6,keyasint,omitempty"`
+	// Covers is the last offset that the snapshot before a renewal record covers.
 	Covers uint64 `cbor:"7,keyasint,omitempty"`
-	// CoversMS is the log's newest time as of Covers.
+	// CoversMS is the log's newest time as of Covers, in Unix milliseconds.
 	CoversMS int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -107,22 +113,23 @@
 	return b
 }
 
-// decode reads a record.
+// decode decodes a record and checks that the content that its kind needs is
+// there.
 func decode(b []byte) (record, error) {
 	var r record
 	if err := cbor.Unmarshal(b, &r); err != nil {
-		return record{}, failure.Wrap(failure.BadMessage, err, "a record can't be understood as a claim")
+		return record{}, failure.Wrap(failure.BadMessage, err, "a claim record can't be decoded")
 	}
 
-	if (r.Kind == kindHome || r.Kind == kindKeep || r.Kind == kindBorn) && r.Home == nil || r.Kind == kindOutcome && r.Outcome == nil {
+	if (r.Kind == kindOwner || r.Kind == kindRenew || r.Kind == kindStart) && r.Owner == nil || r.Kind == kindOutcome && r.Outcome == nil {
 		return record{}, failure.New(failure.BadMessage, "a claim record of kind %d lacks its content", r.Kind)
 	}
 
 	return r, nil
 }
 
-// millis returns t in Unix milliseconds, zero for the zero time.
-func millis(t time.Time) int64 {
+// unixMillis returns t in Unix milliseconds, zero for the zero time.
+func unixMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
--- a/claim/run.go
+++ b/claim/run.go
@@ -1,19 +1,19 @@
 package claim
 
-// Decided tells whether the run need not wait any more. With an error it must
-// not be carried out.
+// Decided reports whether the run no longer waits for its claim. With an error
+// the run must not start.
 func (r *Run) Decided() (bool, error) {
-	if r.done == nil {
+	if r.decided == nil {
 		return true, nil
 	}
 
 	select {
-	case <-r.done:
+	case <-r.decided:
 		return true, r.err
 	default:
 		return false, nil
 	}
 }
 
-// Outcome returns what the run brought; nil when it is yet to be carried out.
+// Outcome returns the outcome of the run; nil if it is not known yet.
 func (r *Run) Outcome() *Outcome { return r.outcome }
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -12,12 +12,12 @@
 	"boragehub/journal"
 )
 
-// Stream returns the name of the stream of a shard.
+// Stream returns the name of the log stream of a shard.
 func Stream(service string, shard int) string {
 	return fmt.Sprintf("claims.%s.%d", service, shard)
 }
 
-// shard joins the Coordinator of one shard to its stream.
+// shard connects the Coordinator of one shard to its stream.
 type shard struct {
 	cfg    HomeConfig
 	number int
@@ -25,32 +25,32 @@
 	reader *journal.Reader
 	writer *journal.Writer
 
-	mu         sync.Mutex
-	desk       *Coordinator
-	succession Succession
-	unsent     [][]byte  // records that found the writer's queue full
-	was        Holder    // the home when it was last looked at
-	silent     bool      // the log gave no answer when it was last looked at
-	paused     bool      // the process had stood still when it was last looked at
-	cut        time.Time // the cut when it was last looked at
-	topped     time.Time // since when another process is the first candidate
+	mu              sync.Mutex
+	coordinator     *Coordinator
+	takeover        Takeover
+	unsent          [][]byte  // records that the writer's full queue refused
+	lastOwner       Owner     // the owner at the last call of logChanges
+	logUnresponsive bool      // whether the log was unresponsive at the last call of logChanges
+	paused          bool      // whether a pause was not synced at the last call of logChanges
+	uncertainUntil  time.Time // the end of the uncertain window that was last logged
+	notFirstSince   time.Time // since when another process is the first candidate
 }
 
 func newShard(cfg HomeConfig, number int, cancel context.CancelFunc) *shard {
 	stream := Stream(cfg.Service, number)
-	s := &shard{cfg: cfg, number: number, cancel: cancel, cut: time.UnixMilli(0)}
-	s.succession.Stagger = cfg.Stagger
-	s.desk = NewCoordinator(CoordinatorConfig{
-		VM: cfg.VM, Incarnation: cfg.Incarnation, Ledger: cfg.Ledger, RefuseInOutage: cfg.RefuseInOutage,
-		Patience: cfg.Patience, MaxLocal: cfg.MaxLocal, MaxBody: cfg.MaxBody,
-		Retention: cfg.Retention,
+	s := &shard{cfg: cfg, number: number, cancel: cancel, uncertainUntil: time.UnixMilli(0)}
+	s.takeover.Stagger = cfg.Stagger
+	s.coordinator = NewCoordinator(CoordinatorConfig{
+		VM: cfg.VM, Incarnation: cfg.Incarnation, State: cfg.State, RefuseInOutage: cfg.RefuseInOutage,
+		ReadBackTimeout: cfg.ReadBackTimeout, MaxPending: cfg.MaxPending, MaxBodyBytes: cfg.MaxBodyBytes,
+		LogRetention: cfg.LogRetention,
 	})
 	s.writer = journal.NewWriter(journal.WriterConfig{
-		Log: cfg.Log, Stream: stream, Interval: cfg.Interval, Limit: cfg.Limit,
-		Queue: recordsPerRun * cfg.MaxLocal, Logger: cfg.Logger,
+		Log: cfg.Log, Stream: stream, Interval: cfg.AppendInterval, Limit: cfg.AppendLimit,
+		Queue: maxRecordsPerRun * cfg.MaxPending, Logger: cfg.Logger,
 	})
 	s.reader = journal.NewReader(journal.ReaderConfig{
-		Log: cfg.Log, Stream: stream, Handle: s.handle, Restore: s.restore, Gap: s.gap,
+		Log: cfg.Log, Stream: stream, Handle: s.handle, Restore: s.restore, Gap: s.resetAfterGap,
 		Wait: pollWait, Clock: cfg.Clock, Logger: cfg.Logger,
 	})
 
@@ -61,7 +61,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if err := s.desk.Apply(r); err != nil {
+	if err := s.coordinator.Apply(r); err != nil {
 		event.Fail(s.cfg.Logger, err, event.JournalBadRecord, "service", s.cfg.Service, "shard", s.number, "offset", r.Offset)
 	}
 
@@ -72,20 +72,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.desk.Restore(b)
+	return s.coordinator.Restore(b)
 }
 
-func (s *shard) gap(first uint64) {
+func (s *shard) resetAfterGap(first uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.desk.Gap(first)
+	s.coordinator.ResetAfterGap(first)
 }
 
-// flush hands the desk's records to the writer in order. What finds no room is
-// handed over later.
+// flush passes the coordinator's records to the writer in order. Records that
+// its full queue refuses are passed later.
 func (s *shard) flush() {
-	s.unsent = append(s.unsent, s.desk.Outbox()...)
+	s.unsent = append(s.unsent, s.coordinator.Outbox()...)
 
 	for len(s.unsent) > 0 {
 		if _, err := s.writer.Submit(s.unsent[0]); err != nil {
@@ -96,10 +96,10 @@
 	}
 }
 
-// claim decides about a request and waits until it may be carried out.
+// claim decides about a request and waits until it may run.
 func (s *shard) claim(ctx context.Context, now time.Time, q Request) (Ticket, error) {
 	s.mu.Lock()
-	r, err := s.desk.Claim(now, q)
+	r, err := s.coordinator.Claim(now, q)
 	s.flush()
 
 	if err != nil {
@@ -108,7 +108,7 @@
 		return Ticket{}, err
 	}
 
-	if r.phase == settled {
+	if r.phase == phaseCompleted {
 		defer s.mu.Unlock()
 
 		return Ticket{Outcome: r.outcome, shard: s.number}, nil
@@ -116,7 +116,7 @@
 	s.mu.Unlock()
 
 	select {
-	case <-r.done:
+	case <-r.decided:
 	case <-ctx.Done():
 		if err := s.abandon(ctx, r); err != nil {
 			return Ticket{}, err
@@ -127,22 +127,22 @@
 		return Ticket{}, r.err
 	}
 
-	return Ticket{LogLess: r.logLess, shard: s.number, run: r}, nil
+	return Ticket{Unlogged: r.unlogged, shard: s.number, run: r}, nil
 }
 
-// abandon ends a run whose caller no longer waits. Nobody gets its ticket, so
-// that it was not run stays true.
+// abandon ends a run whose caller no longer waits. Its ticket is not handed
+// out, so the statement that the request did not run stays true.
 func (s *shard) abandon(ctx context.Context, r *Run) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	err := s.desk.refusal(s.cfg.Clock())
+	err := s.coordinator.outageError(s.cfg.Clock())
 	if errors.Is(ctx.Err(), context.Canceled) {
 		err = failure.As(ctx.Err())
 	}
 
-	if !s.desk.Abandon(r, err) {
-		s.desk.Withdraw(r)
+	if !s.coordinator.Abandon(r, err) {
+		s.coordinator.Withdraw(r)
 	}
 
 	s.flush()
@@ -150,123 +150,125 @@
 	return err
 }
 
-// spare tells whether this process need not follow the shard.
-func (s *shard) spare(rank int) bool {
+// unneeded reports whether this process need not follow the shard.
+func (s *shard) unneeded(rank int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return rank >= Candidates && !s.desk.Home() && len(s.desk.local) == 0
+	return rank >= CandidatesPerShard && !s.coordinator.IsOwner() && len(s.coordinator.pending) == 0
 }
 
-// tick does what is due and tells whether the shard is being yielded.
+// tick does what is due and reports whether the shard is being yielded.
 func (s *shard) tick(now time.Time, f Fleet, rank int, stop, mayYield bool) bool {
-	atEnd, first, synced := s.reader.AtEnd()
+	atEnd, oldestOffset, synced := s.reader.AtEnd()
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	if synced {
-		s.desk.Synced(atEnd, first)
+		s.coordinator.Synced(atEnd, oldestOffset)
 	}
 
-	s.desk.Observe(f)
-	s.desk.Tick(now)
-	s.notice(now)
+	s.coordinator.SetVMList(f)
+	s.coordinator.Tick(now)
+	s.logChanges(now)
 
 	if stop {
-		s.desk.Stop()
+		s.coordinator.Stop()
 	}
 
 	switch {
-	case s.silent || s.desk.behind:
-	case s.desk.Home():
-		s.tend(now, rank, mayYield)
+	case s.logUnresponsive || s.coordinator.behind:
+	case s.coordinator.IsOwner():
+		s.yieldIfDue(now, rank, mayYield)
 	default:
-		if basis, ok := s.succession.Next(now, s.desk, f, rank); ok {
-			s.desk.Ask(basis, f)
+		if basis, ok := s.takeover.Due(now, s.coordinator, f, rank); ok {
+			s.coordinator.RequestOwnership(basis, f)
 		}
 	}
 
-	s.desk.Release()
+	s.coordinator.Release()
 	s.flush()
 
-	return s.desk.yielding
+	return s.coordinator.yielding
 }
 
-// tend yields the shard to a process that has been its first candidate for long.
-func (s *shard) tend(now time.Time, rank int, mayYield bool) {
-	if rank == 0 || s.topped.IsZero() {
-		s.topped = now
+// yieldIfDue yields the shard once another process has been its first candidate
+// for RebalanceDelay.
+func (s *shard) yieldIfDue(now time.Time, rank int, mayYield bool) {
+	if rank == 0 || s.notFirstSince.IsZero() {
+		s.notFirstSince = now
 	}
 
-	if rank > 0 && mayYield && now.Sub(s.topped) >= s.cfg.Rebalance {
-		s.topped = now
-		s.desk.Yield()
+	if rank > 0 && mayYield && now.Sub(s.notFirstSince) >= s.cfg.RebalanceDelay {
+		s.notFirstSince = now
+		s.coordinator.Yield()
 	}
 }
 
-// notice logs what has changed since the last look.
-func (s *shard) notice(now time.Time) {
-	holder := s.desk.ledger.Holder()
-	mine := s.desk.mine(holder)
+// logChanges logs what has changed since its last call.
+func (s *shard) logChanges(now time.Time) {
+	owner := s.coordinator.state.Owner()
+	owned := s.coordinator.isOwner(owner)
 
-	s.noticeHome(holder, mine)
-	s.was = holder
+	s.logOwnerChange(owner, owned)
+	s.lastOwner = owner
 
-	if cut := s.desk.ledger.Cut(); mine && cut.After(s.cut) {
-		s.cut = cut
-		event.Log(s.cfg.Logger, event.ClaimUncertainWindow, "service", s.cfg.Service, "shard", s.number, "cut", cut)
+	if until := s.coordinator.state.UncertainUntil(); owned && until.After(s.uncertainUntil) {
+		s.uncertainUntil = until
+		event.Log(s.cfg.Logger, event.ClaimUncertainWindow, "service", s.cfg.Service, "shard", s.number, "cut", until)
 	}
 
-	paused := !s.desk.frozen.IsZero()
-	if paused && !s.paused && mine {
+	paused := !s.coordinator.unsyncedPause.IsZero()
+	if paused && !s.paused && owned {
 		event.Log(s.cfg.Logger, event.ClaimPaused, "service", s.cfg.Service, "shard", s.number)
 	}
 
 	s.paused = paused
-	s.noticeOutage(now, mine)
+	s.logOutageChange(now, owned)
 }
 
-// noticeHome logs changes of the home.
-func (s *shard) noticeHome(holder Holder, mine bool) {
-	was := s.desk.mine(s.was)
+// logOwnerChange logs a change of the owner.
+func (s *shard) logOwnerChange(owner Owner, owned bool) {
+	wasOwner := s.coordinator.isOwner(s.lastOwner)
 
 	switch {
-	case mine && (!was || holder.Term != s.was.Term):
-		s.topped = time.Time{}
+	case owned && (!wasOwner || owner.Term != s.lastOwner.Term):
+		s.notFirstSince = time.Time{}
 		event.Log(s.cfg.Logger, event.ClaimHomeTaken, "service", s.cfg.Service, "shard", s.number,
-			"term", holder.Term, "basis", s.succession.basis.String())
-	case was && holder.Released && holder.Term == s.was.Term:
+			"term", owner.Term, "basis", s.takeover.basis.String())
+	case wasOwner && owner.Released && owner.Term == s.lastOwner.Term:
 		event.Log(s.cfg.Logger, event.ClaimHomeReleased, "service", s.cfg.Service, "shard", s.number)
-	case was && !mine:
-		event.Log(s.cfg.Logger, event.ClaimHomeLost, "service", s.cfg.Service, "shard", s.number, "home", holder.VM)
+	case wasOwner && !owned:
+		event.Log(s.cfg.Logger, event.ClaimHomeLost, "service", s.cfg.Service, "shard", s.number, "home", owner.VM)
 	}
 }
 
-// noticeOutage logs when the log falls silent and when it is back.
-func (s *shard) noticeOutage(now time.Time, mine bool) {
-	silent := s.desk.silent(now)
-	if silent == s.silent {
+// logOutageChange logs when the log becomes unresponsive and when it responds
+// again.
+func (s *shard) logOutageChange(now time.Time, owned bool) {
+	unresponsive := s.coordinator.logUnresponsive(now)
+	if unresponsive == s.logUnresponsive {
 		return
 	}
 
-	s.silent = silent
+	s.logUnresponsive = unresponsive
 
-	if !mine {
+	if !owned {
 		return
 	}
 
 	e := event.ClaimOutageEnded
-	if silent {
+	if unresponsive {
 		e = event.ClaimOutageBegan
 	}
 
-	event.Log(s.cfg.Logger, e, "service", s.cfg.Service, "shard", s.number, "unwritten", len(s.desk.local))
+	event.Log(s.cfg.Logger, e, "service", s.cfg.Service, "shard", s.number, "unwritten", len(s.coordinator.pending))
 }
 
-// snapshots writes the state again before the log forgets it, while this
-// process is the shard's home.
-func (s *shard) snapshots(ctx context.Context) {
+// runSnapshots writes snapshots while this process owns the shard, before the
+// log deletes the records that they cover.
+func (s *shard) runSnapshots(ctx context.Context) {
 	t := time.NewTicker(pollWait)
 	defer t.Stop()
 
@@ -283,48 +285,48 @@
 		}
 
 		now, next := s.cfg.Clock(), s.reader.Next()
-		if !s.home() || next == 1 {
+		if !s.isOwner() || next == 1 {
 			continue
 		}
 
-		if now.Sub(last) < s.cfg.Retention/snapshotsPerRetention && next-offset < s.enough() {
+		if now.Sub(last) < s.cfg.LogRetention/snapshotsPerRetention && next-offset < s.snapshotThreshold() {
 			continue
 		}
 
-		if s.snapshot(ctx) {
+		if s.writeSnapshot(ctx) {
 			last, offset = now, s.reader.Next()
 		}
 	}
 }
 
-// enough returns how many records are worth a snapshot. It grows with the keys,
-// so that snapshots stay a small part of what is written.
-func (s *shard) enough() uint64 {
+// snapshotThreshold returns after how many records a snapshot is due. It grows
+// with the keys, so that snapshots remain a small part of what is written.
+func (s *shard) snapshotThreshold() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return max(s.cfg.SnapshotRecords, recordsPerKey*uint64(s.desk.ledger.Len()))
+	return max(s.cfg.SnapshotRecords, snapshotRecordsPerKey*uint64(s.coordinator.state.Len()))
 }
 
-func (s *shard) home() bool {
+func (s *shard) isOwner() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.desk.Home()
+	return s.coordinator.IsOwner()
 }
 
-// snapshot writes the state, and then that the home is still there: in this
-// order, so that whoever finds the second also finds the first.
-func (s *shard) snapshot(ctx context.Context) bool {
+// writeSnapshot writes a snapshot and then a renewal of the ownership, in this
+// order, so that a process that reads the renewal also finds the snapshot.
+func (s *shard) writeSnapshot(ctx context.Context) bool {
 	var at time.Time
 
 	snap, ok := s.reader.Capture(func() []byte {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 
-		at = s.desk.ledger.Now()
+		at = s.coordinator.state.LogTime()
 
-		return s.desk.ledger.Encode()
+		return s.coordinator.state.Encode()
 	})
 
 	if !ok || s.writer.WriteSnapshot(ctx, snap) != nil {
@@ -334,7 +336,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.desk.Keep(s.cfg.Fleet(), snap.Covers(), at)
+	s.coordinator.RenewOwnership(s.cfg.Fleet(), snap.Covers(), at)
 	s.flush()
 
 	return true
--- a/claim/shard_test.go
+++ b/claim/shard_test.go
@@ -8,25 +8,26 @@
 	"boragehub/journal/memory"
 )
 
-// In a long outage more records wait than the writer has room for. Written in
-// another order, a withdrawal would come before its claim and the key stay taken.
+// In a long outage more records wait than the writer's queue takes. If they
+// were written in another order, a withdrawal would precede its claim and the
+// key would stay claimed.
 func TestRecordsWaitInOrder(t *testing.T) {
-	s := newShard(HomeConfig{Log: memory.New(), Service: "s", MaxLocal: 1, Clock: time.Now}, 0, nil)
+	s := newShard(HomeConfig{Log: memory.New(), Service: "s", MaxPending: 1, Clock: time.Now}, 0, nil)
 
 	var want [][]byte
 
 	for n := range 6 {
-		r := record{Kind: kindClaim, Term: 1, Run: uint64(n + 1)}
+		r := record{Kind: kindClaim, Term: 1, RunID: uint64(n + 1)}
 		want = append(want, r.encode())
-		s.desk.write(r)
+		s.coordinator.enqueue(r)
 
 		if n%2 == 1 {
 			s.flush()
 		}
 	}
 
-	// The writer isn't running, so the first two fill its queue.
-	if got := s.unsent; !slices.EqualFunc(got, want[recordsPerRun:], slices.Equal) {
-		t.Errorf("got %v waiting, want %v", got, want[recordsPerRun:])
+	// The writer isn't running, so the first two records fill its queue.
+	if got := s.unsent; !slices.EqualFunc(got, want[maxRecordsPerRun:], slices.Equal) {
+		t.Errorf("got %v waiting, want %v", got, want[maxRecordsPerRun:])
 	}
 }
--- a/claim/silence.go
+++ b/claim/silence.go
@@ -6,7 +6,8 @@
 	"boragehub/failure"
 )
 
-// withoutClaims drops claims, which no longer count.
+// withoutClaims removes claims, which no longer count once another process is
+// the owner.
 func withoutClaims(records []record) []record {
 	kept := records[:0]
 
@@ -19,78 +20,84 @@
 	return kept
 }
 
-// Synced says that the process had read all that the log held at a time, and
-// which was the oldest offset kept.
-func (c *Coordinator) Synced(at time.Time, first uint64) {
-	c.first = max(c.first, first)
+// Synced records that at time at the process had read all records of the log,
+// and that oldestOffset was the oldest offset kept.
+func (c *Coordinator) Synced(at time.Time, oldestOffset uint64) {
+	c.oldestOffset = max(c.oldestOffset, oldestOffset)
 
-	if at.After(c.synced) {
-		c.synced = at
+	if at.After(c.syncedAt) {
+		c.syncedAt = at
 		c.behind = false
 	}
 
-	if at.After(c.frozen) {
-		c.frozen = time.Time{}
+	if at.After(c.unsyncedPause) {
+		c.unsyncedPause = time.Time{}
 	}
 }
 
-// watch notices that the process stood still.
+// detectPause detects that the process was paused.
 //
-// A process that was stopped and wakes in an outage of the log can't know
-// whether the log was there meanwhile and told of another home. The wall clock
-// is compared as well, since a suspended VM's monotonic clock stands still too.
-func (c *Coordinator) watch(now time.Time) {
-	if !c.ticked.IsZero() && (now.Sub(c.ticked) > c.cfg.MaxPause || now.Round(0).Sub(c.ticked.Round(0)) > c.cfg.MaxPause) {
-		c.frozen, c.paused = now, now
+// A process that resumes from a pause during an outage of the log can't know
+// whether the log was available meanwhile and holds a record of another owner.
+// The wall clock is compared as well, since the monotonic clock of a suspended
+// VM stops too.
+func (c *Coordinator) detectPause(now time.Time) {
+	if !c.lastTick.IsZero() && (now.Sub(c.lastTick) > c.cfg.MaxPause || now.Round(0).Sub(c.lastTick.Round(0)) > c.cfg.MaxPause) {
+		c.unsyncedPause, c.lastPause = now, now
 	}
 
-	c.ticked = now
+	c.lastTick = now
 }
 
-// silent tells whether the log gives no answers.
-func (c *Coordinator) silent(now time.Time) bool {
-	if now.Sub(c.synced) > silence {
+// logUnresponsive reports whether reads or appends of the log have had no
+// response for too long.
+func (c *Coordinator) logUnresponsive(now time.Time) bool {
+	if now.Sub(c.syncedAt) > logTimeout {
 		return true
 	}
 
-	for len(c.unread) > 0 && (c.unread[0].read || c.local[c.unread[0].id] != c.unread[0]) {
+	for len(c.unread) > 0 && (c.unread[0].readBack || c.pending[c.unread[0].keyID] != c.unread[0]) {
 		c.unread = c.unread[1:]
 	}
 
-	return len(c.unread) > 0 && now.Sub(c.unread[0].asked) >= c.cfg.Patience
+	return len(c.unread) > 0 && now.Sub(c.unread[0].claimedAt) >= c.cfg.ReadBackTimeout
 }
 
-// certain tells whether no other process can have become the home since this one
-// last read the whole log.
+// certainlyOwner reports whether no other process can have become the owner
+// since this one last read the whole log.
 //
-// A process that finds no home in all that the log keeps becomes the home. So a
-// home stays certain only while the log must still keep what tells of it.
-func (c *Coordinator) certain(now time.Time) bool {
-	asserted := time.UnixMilli(c.ledger.Holder().AssertedMS)
-	limit := c.cfg.Retention - 2*time.Duration(c.ledger.skew)*time.Millisecond
-
-	return c.frozen.IsZero() && !c.unlisted && !c.doubted(now) && now.Sub(asserted) < limit
+// A process that finds no owner in the kept part of the log becomes the owner.
+// An owner is therefore certain only while the log must still keep the record
+// that shows its ownership.
+func (c *Coordinator) certainlyOwner(now time.Time) bool {
+	confirmed := time.UnixMilli(c.state.Owner().ConfirmedMS)
+	limit := c.cfg.LogRetention - 2*time.Duration(c.state.clockSkew)*time.Millisecond
+
+	return c.unsyncedPause.IsZero() && !c.unlisted && !c.possiblyUnlisted(now) && now.Sub(confirmed) < limit
 }
 
-// doubted tells whether the platform may have dropped the VM while the process
-// stood still, and its list not have told so yet.
-func (c *Coordinator) doubted(now time.Time) bool {
-	return !c.paused.IsZero() && now.Sub(c.paused) < ListLag
+// possiblyUnlisted reports whether the platform may have removed the VM during
+// a pause, while its list may not show that yet.
+func (c *Coordinator) possiblyUnlisted(now time.Time) bool {
+	return !c.lastPause.IsZero() && now.Sub(c.lastPause) < MaxListLag
 }
 
-// Observe takes account of the platform's list.
-func (c *Coordinator) Observe(f Fleet) { c.unlisted = !f.Has(c.cfg.VM) }
+// SetVMList sets the newest list of the platform.
+func (c *Coordinator) SetVMList(f Fleet) { c.unlisted = !f.Has(c.cfg.VM) }
 
-// trusted tells whether the process may run before it has written.
-func (c *Coordinator) trusted(now time.Time) bool { return !c.cfg.RefuseInOutage && c.certain(now) }
+// mayRunUnlogged reports whether the process may run requests before their
+// claims are written.
+func (c *Coordinator) mayRunUnlogged(now time.Time) bool {
+	return !c.cfg.RefuseInOutage && c.certainlyOwner(now)
+}
 
-// refusal returns the answer while the log is silent. LogUnavailable says that
-// the key did not run at all, which a process can't know that may have been
-// succeeded meanwhile.
-func (c *Coordinator) refusal(now time.Time) error {
-	if c.certain(now) {
-		return failure.New(failure.LogUnavailable, "the log does not answer").After(outageAfter)
+// outageError returns the error for a request while the log is unresponsive.
+// LogUnavailable promises that the key has not run at all, which a process that
+// may no longer be the owner can't know.
+func (c *Coordinator) outageError(now time.Time) error {
+	if c.certainlyOwner(now) {
+		return failure.New(failure.LogUnavailable, "the log does not respond").After(outageRetryAfter)
 	}
 
-	return failure.New(failure.NotReady, "this process may no longer be the home of the key").After(outageAfter)
+	return failure.New(failure.NotReady, "this process may no longer own the shard of the key").After(outageRetryAfter)
 }
--- a/claim/stateful_test.go
+++ b/claim/stateful_test.go
@@ -12,21 +12,21 @@
 	"boragehub/failure"
 )
 
-// episodes is how many sequences of actions make one case.
-const episodes = 4
+// episodesPerCase is the number of action sequences in one test case.
+const episodesPerCase = 4
 
-// Processes are killed, frozen and woken, VMs replaced, the log goes away,
-// loses answers and carries appends out late, and callers send the same booking
-// to whoever answers. A family that sees two bookings on its bill would notice
-// the fault, and so would one that was told "not run" and has a booking.
+// Processes are killed, paused and resumed, VMs are replaced, the log is down,
+// loses responses and delays appends, and callers send the same request to any
+// process that responds. The test guards against a second run of a key and
+// against a "not run" response to a call that ran.
 func TestClaimsUnderFailure(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		t.Run(fmt.Sprintf("refuse_in_outage=%v", refuse), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(refuse)
+				w := newTestEnv(refuse)
 				w.rounds(t)
 
-				for range episodes {
+				for range episodesPerCase {
 					t.Repeat(w.actions())
 				}
 
@@ -36,92 +36,92 @@
 	}
 }
 
-// actions are what may happen to the world.
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions are the events that may happen in the environment.
+func (w *testEnv) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"":         w.wit.check,
+		"":         w.oracle.check,
 		"time":     w.passTime,
 		"call":     w.callNew,
 		"call2":    w.callNew,
 		"resend":   w.resend,
 		"resend2":  w.resend,
 		"resend3":  w.resend,
-		"fetch":    func(t *rapid.T) { w.fetch(w.awake(t)) },
-		"handle":   func(t *rapid.T) { w.handleOne(w.awake(t)) },
-		"tick":     func(t *rapid.T) { w.tick(w.awake(t)) },
+		"fetch":    func(t *rapid.T) { w.fetch(w.drawRunning(t)) },
+		"handle":   func(t *rapid.T) { w.handleFetched(w.drawRunning(t)) },
+		"tick":     func(t *rapid.T) { w.tick(w.drawRunning(t)) },
 		"rounds":   w.rounds,
 		"rounds2":  w.rounds,
 		"rounds3":  w.rounds,
 		"send":     w.sendRecords,
-		"late":     w.arriveLate,
+		"late":     w.deliverDelayed,
 		"execute":  w.execute,
 		"execute2": w.execute,
-		"past":     w.executePast,
+		"past":     w.runOrphaned,
 		"crash":    w.crash,
 		"abandon":  w.abandon,
-		"log":      func(*rapid.T) { w.down = !w.down },
+		"log":      func(*rapid.T) { w.logDown = !w.logDown },
 		"outage":   w.outage,
-		"cut":      func(t *rapid.T) { p := w.awake(t); p.cut = !p.cut },
+		"cut":      func(t *rapid.T) { p := w.drawRunning(t); p.logUnreachable = !p.logUnreachable },
 		"booking":  w.booking,
 		"booking2": w.booking,
-		"freeze":   w.freeze,
-		"wake":     w.wake,
+		"freeze":   w.pause,
+		"wake":     w.resume,
 		"kill":     w.kill,
 		"replace":  w.replace,
-		"list":     w.learnList,
+		"list":     w.updateList,
 		"drain":    w.drain,
 		"snapshot": w.snapshot,
 		"trim":     w.trim,
 	}
 }
 
-// asked draws a process to call: mostly one that holds itself for the home, as
-// entries do.
-func (w *world) asked(t *rapid.T) *process {
-	var homes []*process
+// drawOwner draws a process to call: mostly one that considers itself the
+// owner, since entries send calls there.
+func (w *testEnv) drawOwner(t *rapid.T) *process {
+	var owners []*process
 
-	for _, p := range w.procs {
-		if p.frozen.IsZero() && p.desk.Home() {
-			homes = append(homes, p)
+	for _, p := range w.processes {
+		if p.pausedSince.IsZero() && p.coordinator.IsOwner() {
+			owners = append(owners, p)
 		}
 	}
 
-	if len(homes) > 0 && rapid.IntRange(0, 5).Draw(t, "asked") > 0 {
-		return homes[rapid.IntRange(0, len(homes)-1).Draw(t, "home")]
+	if len(owners) > 0 && rapid.IntRange(0, 5).Draw(t, "asked") > 0 {
+		return owners[rapid.IntRange(0, len(owners)-1).Draw(t, "home")]
 	}
 
-	return w.awake(t)
+	return w.drawRunning(t)
 }
 
-// awake draws a process that isn't frozen.
-func (w *world) awake(t *rapid.T) *process {
+// drawRunning draws a process that isn't paused.
+func (w *testEnv) drawRunning(t *rapid.T) *process {
 	var all []*process
 
-	for _, p := range w.procs {
-		if p.frozen.IsZero() {
+	for _, p := range w.processes {
+		if p.pausedSince.IsZero() {
 			all = append(all, p)
 		}
 	}
 
 	if len(all) == 0 {
-		t.Skip("all frozen")
+		t.Skip("all paused")
 	}
 
 	return all[rapid.IntRange(0, len(all)-1).Draw(t, "process")]
 }
 
-func (w *world) passTime(t *rapid.T) {
+func (w *testEnv) passTime(t *rapid.T) {
 	d := rapid.SampledFrom([]time.Duration{
 		time.Millisecond, 100 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second,
 		time.Minute, 12 * time.Minute, 35 * time.Minute,
 	}).Draw(t, "time")
 
-	// Processes that are awake look at the time often, whatever else is slow.
+	// Running processes tick often, whatever else is slow.
 	for ; d > 2*time.Second; d -= 2 * time.Second {
 		w.now = w.now.Add(2 * time.Second)
 
-		for _, p := range w.procs {
-			if p.frozen.IsZero() {
+		for _, p := range w.processes {
+			if p.pausedSince.IsZero() {
 				w.tick(p)
 			}
 		}
@@ -130,45 +130,45 @@
 	w.now = w.now.Add(d)
 }
 
-func (w *world) callNew(t *rapid.T) {
-	key := "undated-" + strconv.Itoa(w.count)
+func (w *testEnv) callNew(t *rapid.T) {
+	key := "undated-" + strconv.Itoa(w.lastCall)
 
 	if rapid.IntRange(0, 4).Draw(t, "dated") > 0 {
 		ago := rapid.SampledFrom([]time.Duration{
 			0, 0, time.Second, -2 * time.Second, -8 * time.Second, -time.Minute, 12 * time.Second, 5 * time.Minute, time.Hour,
 		}).Draw(t, "ago")
-		key = keyAt(w.now.Add(-ago), w.count)
+		key = keyAt(w.now.Add(-ago), w.lastCall)
 	}
 
-	w.submit(w.asked(t), w.newSend(key))
+	w.sendCall(w.drawOwner(t), w.newCall(key))
 }
 
-func (w *world) resend(t *rapid.T) {
-	if len(w.keys) == 0 {
+func (w *testEnv) resend(t *rapid.T) {
+	if len(w.firstCalls) == 0 {
 		t.Skip("nothing sent")
 	}
 
-	recent := w.keys[max(0, len(w.keys)-6):]
-	s := recent[rapid.IntRange(0, len(recent)-1).Draw(t, "earlier")]
+	recent := w.firstCalls[max(0, len(w.firstCalls)-6):]
+	c := recent[rapid.IntRange(0, len(recent)-1).Draw(t, "earlier")]
 
-	// A key that doesn't tell its age is remembered for a stated time only, so its
-	// caller must not send it again later than that.
-	if _, dated := Issued(s.key); !dated && w.now.Sub(s.at) > worldMemory {
-		t.Skip("too late to repeat")
+	// A key without an issue time is remembered for the key lifetime only, so its
+	// caller must not retry later than that.
+	if _, dated := IssueTime(c.key); !dated && w.now.Sub(c.at) > testKeyLifetime {
+		t.Skip("too late to retry")
 	}
 
-	w.submit(w.asked(t), w.again(s))
+	w.sendCall(w.drawOwner(t), w.repeatCall(c))
 }
 
-func (w *world) handleOne(p *process) {
-	w.handle(p)
-	w.collect(p)
-	w.flush(p)
+func (w *testEnv) handleFetched(p *process) {
+	w.applyFetched(p)
+	w.collectDecided(p)
+	w.takeOutbox(p)
 }
 
-// outage takes the log away for long enough that everyone notices.
-func (w *world) outage(*rapid.T) {
-	w.down = true
+// outage takes the log down for long enough that every process detects it.
+func (w *testEnv) outage(*rapid.T) {
+	w.logDown = true
 
 	for range 50 {
 		w.round()
@@ -176,317 +176,319 @@
 }
 
 // booking makes a call and waits for its run.
-func (w *world) booking(t *rapid.T) {
+func (w *testEnv) booking(t *rapid.T) {
 	w.callNew(t)
 	w.rounds(t)
 	w.execute(t)
 }
 
-// crash ends a process that may have run something which the log doesn't hold,
-// and lets its caller try again soon after.
-func (w *world) crash(t *rapid.T) {
+// crash ends a process that may have run a call that the log doesn't hold, and
+// lets the caller retry soon after.
+func (w *testEnv) crash(t *rapid.T) {
 	if rapid.Bool().Draw(t, "outage") {
 		w.outage(t)
 	}
 
 	w.callNew(t)
 
-	for _, p := range w.procs {
-		w.collect(p)
+	for _, p := range w.processes {
+		w.collectDecided(p)
 	}
 
-	if i := slices.IndexFunc(w.procs, func(p *process) bool { return len(p.tickets) > 0 }); i >= 0 {
-		p := w.procs[i]
-		w.run(p.tickets[0].send)
-		p.tickets = p.tickets[1:]
-		w.end(t, p)
+	if i := slices.IndexFunc(w.processes, func(p *process) bool { return len(p.runnable) > 0 }); i >= 0 {
+		p := w.processes[i]
+		w.recordRun(p.runnable[0].call)
+		p.runnable = p.runnable[1:]
+		w.endProcess(t, p)
 
-		if p.gone || rapid.Bool().Draw(t, "dropped") {
-			w.start(w.drop(p.vm), w.skew(t))
+		if p.unlisted || rapid.Bool().Draw(t, "dropped") {
+			w.startProcess(w.replaceVM(p.vm), w.drawSkew(t))
 		} else {
-			w.start(p.vm, w.skew(t))
+			w.startProcess(p.vm, w.drawSkew(t))
 		}
 	}
 
-	w.down = false
+	w.logDown = false
 	w.rounds(t)
-	w.learnList(t)
+	w.updateList(t)
 	w.rounds(t)
 	w.resend(t)
 }
 
-func (w *world) rounds(t *rapid.T) {
+func (w *testEnv) rounds(t *rapid.T) {
 	for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 		w.round()
 	}
 }
 
-// round lets everyone who is awake do all that is due and passes some time.
-func (w *world) round() {
-	for _, p := range w.procs {
-		if !p.frozen.IsZero() {
+// round lets every running process do all that is due and passes 100 ms.
+func (w *testEnv) round() {
+	for _, p := range w.processes {
+		if !p.pausedSince.IsZero() {
 			continue
 		}
 
-		w.land(p, len(p.out))
+		w.appendUnsent(p, len(p.unsent))
 		w.fetch(p)
-		w.handleOne(p)
+		w.handleFetched(p)
 		w.tick(p)
-		w.collect(p)
+		w.collectDecided(p)
 	}
 
 	w.now = w.now.Add(100 * time.Millisecond)
 }
 
-// land appends the first n records that a process wants to write. An append
-// that was tried is tried again as it was.
-func (w *world) land(p *process, n int) {
-	if w.down || p.cut || n == 0 {
+// appendUnsent appends the first n unsent records of a process. An append whose
+// result is unknown is repeated with the same records.
+func (w *testEnv) appendUnsent(p *process, n int) {
+	if w.logDown || p.logUnreachable || n == 0 {
 		return
 	}
 
-	if p.tried > 0 {
-		n = p.tried
+	if p.inAppend > 0 {
+		n = p.inAppend
 	}
 
-	w.enter(p.out[:n]...)
-	p.out, p.tried = slices.Clone(p.out[n:]), 0
+	w.appendRecords(p.unsent[:n]...)
+	p.unsent, p.inAppend = slices.Clone(p.unsent[n:]), 0
 }
 
-// sendRecords appends some records, or loses the answer, or leaves them on the
-// way: the writer then keeps them and sends them again.
-func (w *world) sendRecords(t *rapid.T) {
-	p := w.awake(t)
-	if w.down || p.cut || len(p.out) == 0 {
+// sendRecords appends some records, loses the response, or delays the append:
+// in the last two cases the writer keeps the records and sends them again.
+func (w *testEnv) sendRecords(t *rapid.T) {
+	p := w.drawRunning(t)
+	if w.logDown || p.logUnreachable || len(p.unsent) == 0 {
 		t.Skip("nothing to send")
 	}
 
-	n := p.tried
+	n := p.inAppend
 	if n == 0 {
-		n = rapid.IntRange(1, min(len(p.out), 4)).Draw(t, "records")
+		n = rapid.IntRange(1, min(len(p.unsent), 4)).Draw(t, "records")
 	}
 
 	switch rapid.SampledFrom([]string{"landed", "lost", "late"}).Draw(t, "fate") {
 	case "landed":
-		w.land(p, n)
+		w.appendUnsent(p, n)
 	case "lost":
-		w.enter(p.out[:n]...)
-		p.tried = n
+		w.appendRecords(p.unsent[:n]...)
+		p.inAppend = n
 	case "late":
-		w.late = append(w.late, p.out[:n])
-		p.tried = n
+		w.delayedAppends = append(w.delayedAppends, p.unsent[:n])
+		p.inAppend = n
 	}
 }
 
-func (w *world) arriveLate(t *rapid.T) {
-	if len(w.late) == 0 || w.down {
-		t.Skip("nothing late")
+func (w *testEnv) deliverDelayed(t *rapid.T) {
+	if len(w.delayedAppends) == 0 || w.logDown {
+		t.Skip("no delayed appends")
 	}
 
-	n := rapid.IntRange(0, len(w.late)-1).Draw(t, "which")
-	w.enter(w.late[n]...)
-	w.late = slices.Delete(w.late, n, n+1)
+	n := rapid.IntRange(0, len(w.delayedAppends)-1).Draw(t, "which")
+	w.appendRecords(w.delayedAppends[n]...)
+	w.delayedAppends = slices.Delete(w.delayedAppends, n, n+1)
 }
 
-// execute brings a ticket to an end in one of the ways that a side process may.
-func (w *world) execute(t *rapid.T) {
-	p := w.awake(t)
-	if len(p.tickets) == 0 {
+// execute ends a ticket in one of the ways that a side process may use.
+func (w *testEnv) execute(t *rapid.T) {
+	p := w.drawRunning(t)
+	if len(p.runnable) == 0 {
 		t.Skip("no tickets")
 	}
 
-	f := p.tickets[0]
-	p.tickets = p.tickets[1:]
+	pc := p.runnable[0]
+	p.runnable = p.runnable[1:]
 
 	switch rapid.SampledFrom([]string{"run", "run", "lose", "lose unrun", "withdraw"}).Draw(t, "end") {
 	case "run":
-		w.run(f.send)
-		p.desk.Settle(f.run, Outcome{Status: statusOf(f.send.number)})
-		f.send.answer = strconv.Itoa(statusOf(f.send.number))
+		w.recordRun(pc.call)
+		p.coordinator.Complete(pc.run, Outcome{Status: statusOf(pc.call.number)})
+		pc.call.response = strconv.Itoa(statusOf(pc.call.number))
 	case "lose":
-		w.run(f.send)
-		p.desk.Lose(f.run)
+		w.recordRun(pc.call)
+		p.coordinator.MarkUnknown(pc.run)
 	case "lose unrun":
-		p.desk.Lose(f.run)
+		p.coordinator.MarkUnknown(pc.run)
 	case "withdraw":
-		p.desk.Withdraw(f.run)
-		w.refused(f.send, failure.New(failure.QueueFull, "withdrawn"))
+		p.coordinator.Withdraw(pc.run)
+		w.recordRefusal(pc.call, failure.New(failure.QueueFull, "withdrawn"))
 	}
 
-	w.flush(p)
+	w.takeOutbox(p)
 }
 
-// abandon ends a call whose caller's deadline has passed.
-func (w *world) abandon(t *rapid.T) {
-	p := w.awake(t)
+// abandon ends a call whose deadline has passed.
+func (w *testEnv) abandon(t *rapid.T) {
+	p := w.drawRunning(t)
 	if len(p.waiting) == 0 {
-		t.Skip("none waits")
+		t.Skip("no waiting call")
 	}
 
-	f := p.waiting[0]
+	pc := p.waiting[0]
 	p.waiting = p.waiting[1:]
 
-	if !p.desk.Abandon(f.run, p.desk.refusal(w.clock(p))) {
-		p.desk.Withdraw(f.run)
+	if !p.coordinator.Abandon(pc.run, p.coordinator.outageError(w.clock(p))) {
+		p.coordinator.Withdraw(pc.run)
 	}
 
-	w.refused(f.send, p.desk.refusal(w.clock(p)))
-	w.flush(p)
+	w.recordRefusal(pc.call, p.coordinator.outageError(w.clock(p)))
+	w.takeOutbox(p)
 }
 
-// executePast lets a target carry out what a process had sent it before it died.
-func (w *world) executePast(t *rapid.T) {
-	if len(w.past) == 0 {
-		t.Skip("nothing on the way")
+// runOrphaned lets a target run a call that a process had sent it before it
+// ended.
+func (w *testEnv) runOrphaned(t *rapid.T) {
+	if len(w.orphanedCalls) == 0 {
+		t.Skip("no orphaned calls")
 	}
 
-	w.run(w.past[0].send)
-	w.past = w.past[1:]
+	w.recordRun(w.orphanedCalls[0].call)
+	w.orphanedCalls = w.orphanedCalls[1:]
 }
 
-func (w *world) freeze(t *rapid.T) {
-	p := w.awake(t)
+func (w *testEnv) pause(t *rapid.T) {
+	p := w.drawRunning(t)
 	if rapid.IntRange(0, 2).Draw(t, "freeze") == 0 {
-		p.frozen = w.now
+		p.pausedSince = w.now
 	}
 }
 
-// wake lets a frozen process go on. The platform may have dropped its VM
-// meanwhile; it does that only to one that stood still for longer than MaxPause.
-func (w *world) wake(t *rapid.T) {
-	i := slices.IndexFunc(w.procs, func(p *process) bool { return !p.frozen.IsZero() })
+// resume resumes a paused process. The platform may have removed its VM
+// meanwhile, which it does only after a pause longer than MaxPause.
+func (w *testEnv) resume(t *rapid.T) {
+	i := slices.IndexFunc(w.processes, func(p *process) bool { return !p.pausedSince.IsZero() })
 	if i < 0 {
-		t.Skip("none frozen")
+		t.Skip("none paused")
 	}
 
-	p := w.procs[i]
-	if least := p.frozen.Add(DefaultMaxPause + time.Second); p.gone && w.now.Before(least) {
+	p := w.processes[i]
+	if least := p.pausedSince.Add(DefaultMaxPause + time.Second); p.unlisted && w.now.Before(least) {
 		w.now = least
 	}
 
-	p.frozen = time.Time{}
+	p.pausedSince = time.Time{}
 }
 
-// kill ends a process; another one starts on its VM. What it had sent to its
-// target may still run, and what it had sent to the log may still arrive.
-func (w *world) kill(t *rapid.T) {
-	p := w.procs[rapid.IntRange(0, len(w.procs)-1).Draw(t, "process")]
-	w.end(t, p)
+// kill ends a process and starts another one on its VM. Calls that it had sent
+// to its target may still run, and records that it had sent to the log may
+// still arrive.
+func (w *testEnv) kill(t *rapid.T) {
+	p := w.processes[rapid.IntRange(0, len(w.processes)-1).Draw(t, "process")]
+	w.endProcess(t, p)
 
-	if !p.gone {
-		w.start(p.vm, w.skew(t))
+	if !p.unlisted {
+		w.startProcess(p.vm, w.drawSkew(t))
 	}
 }
 
-func (w *world) end(t *rapid.T, p *process) {
-	w.procs = slices.DeleteFunc(w.procs, func(o *process) bool { return o == p })
+func (w *testEnv) endProcess(t *rapid.T, p *process) {
+	w.processes = slices.DeleteFunc(w.processes, func(o *process) bool { return o == p })
 
-	for _, f := range p.tickets {
+	for _, pc := range p.runnable {
 		if rapid.Bool().Draw(t, "sent to the target") {
-			w.past = append(w.past, f)
+			w.orphanedCalls = append(w.orphanedCalls, pc)
 		}
 	}
 
-	n := p.tried
+	n := p.inAppend
 	if n == 0 {
-		n = min(len(p.out), 3)
+		n = min(len(p.unsent), 3)
 	}
 
 	if n > 0 && rapid.Bool().Draw(t, "sent to the log") {
-		w.late = append(w.late, p.out[:n])
+		w.delayedAppends = append(w.delayedAppends, p.unsent[:n])
 	}
 }
 
-func (w *world) skew(t *rapid.T) time.Duration {
+func (w *testEnv) drawSkew(t *rapid.T) time.Duration {
 	return time.Duration(rapid.IntRange(-2500, 2500).Draw(t, "skew")) * time.Millisecond
 }
 
-// replace has the platform drop a VM that is dead or stands still, and start a
-// new one.
-func (w *world) replace(t *rapid.T) {
-	p := w.procs[rapid.IntRange(0, len(w.procs)-1).Draw(t, "process")]
-	if p.gone {
-		t.Skip("gone already")
+// replace removes the VM of a paused or ended process from the platform's list
+// and starts a new VM.
+func (w *testEnv) replace(t *rapid.T) {
+	p := w.processes[rapid.IntRange(0, len(w.processes)-1).Draw(t, "process")]
+	if p.unlisted {
+		t.Skip("already removed")
 	}
 
-	if p.frozen.IsZero() || rapid.Bool().Draw(t, "dead") {
-		w.end(t, p)
+	if p.pausedSince.IsZero() || rapid.Bool().Draw(t, "dead") {
+		w.endProcess(t, p)
 	} else {
-		p.gone = true
+		p.unlisted = true
 	}
 
-	w.start(w.drop(p.vm), w.skew(t))
+	w.startProcess(w.replaceVM(p.vm), w.drawSkew(t))
 }
 
-func (w *world) learnList(t *rapid.T) {
-	p := w.awake(t)
-	p.listed = rapid.IntRange(p.listed, len(w.fleets)-1).Draw(t, "version")
+func (w *testEnv) updateList(t *rapid.T) {
+	p := w.drawRunning(t)
+	p.listIndex = rapid.IntRange(p.listIndex, len(w.vmLists)-1).Draw(t, "version")
 }
 
-func (w *world) drain(t *rapid.T) {
-	p := w.awake(t)
-	if p.desk.Home() && rapid.IntRange(0, 2).Draw(t, "yield") == 0 {
-		p.desk.Yield()
+func (w *testEnv) drain(t *rapid.T) {
+	p := w.drawRunning(t)
+	if p.coordinator.IsOwner() && rapid.IntRange(0, 2).Draw(t, "yield") == 0 {
+		p.coordinator.Yield()
 	}
 }
 
-func (w *world) snapshot(t *rapid.T) {
-	p := w.awake(t)
-	if w.down || p.cut || !p.desk.Home() || p.desk.behind || p.position < w.first {
-		t.Skip("no home")
+func (w *testEnv) snapshot(t *rapid.T) {
+	p := w.drawRunning(t)
+	if w.logDown || p.logUnreachable || !p.coordinator.IsOwner() || p.coordinator.behind || p.position < w.firstKept {
+		t.Skip("not the owner")
 	}
 
-	w.save(p)
+	w.writeSnapshot(p)
 }
 
-// trim forgets records that are older than the log promises to keep.
-func (w *world) trim(t *rapid.T) {
-	w.first = rapid.IntRange(w.first, w.expired()).Draw(t, "first")
+// trim deletes records that are older than the log's retention.
+func (w *testEnv) trim(t *rapid.T) {
+	w.firstKept = rapid.IntRange(w.firstKept, w.expired()).Draw(t, "first")
 }
 
-// expired returns the first record that the log promises to keep.
-func (w *world) expired() int {
-	n := w.first
-	for n < len(w.stream) && w.now.Sub(w.stream[n].at) > worldRetention {
+// expired returns the first record within the log's retention.
+func (w *testEnv) expired() int {
+	n := w.firstKept
+	for n < len(w.stream) && w.now.Sub(w.stream[n].at) > testLogRetention {
 		n++
 	}
 
 	return n
 }
 
-// heal ends all faults, and the log forgets what is due. A new booking must
-// then run on some process.
-func (w *world) heal(t *rapid.T) {
-	w.down = false
-	w.first = w.expired()
+// heal ends all faults, and the log deletes expired records. A new call must
+// then run on exactly one process.
+func (w *testEnv) heal(t *rapid.T) {
+	w.logDown = false
+	w.firstKept = w.expired()
 
-	for _, p := range slices.Clone(w.procs) {
-		if p.gone {
-			w.procs = slices.DeleteFunc(w.procs, func(o *process) bool { return o == p })
+	for _, p := range slices.Clone(w.processes) {
+		if p.unlisted {
+			w.processes = slices.DeleteFunc(w.processes, func(o *process) bool { return o == p })
 		}
 
-		p.frozen, p.cut = time.Time{}, false
+		p.pausedSince, p.logUnreachable = time.Time{}, false
 	}
 
 	for range 2000 {
-		for _, p := range w.procs {
-			p.listed = len(w.fleets) - 1
+		for _, p := range w.processes {
+			p.listIndex = len(w.vmLists) - 1
 
-			for _, f := range p.tickets {
-				w.run(f.send)
-				p.desk.Settle(f.run, Outcome{Status: statusOf(f.send.number)})
+			for _, pc := range p.runnable {
+				w.recordRun(pc.call)
+				p.coordinator.Complete(pc.run, Outcome{Status: statusOf(pc.call.number)})
 			}
 
-			p.tickets = nil
+			p.runnable = nil
 		}
 
 		w.round()
 	}
 
-	w.wit.check(t)
+	w.oracle.check(t)
 
-	for _, p := range w.procs {
-		w.submit(p, w.newSend(keyAt(w.now, w.count)))
+	for _, p := range w.processes {
+		w.sendCall(p, w.newCall(keyAt(w.now, w.lastCall)))
 	}
 
 	for range 20 {
@@ -494,8 +496,8 @@
 	}
 
 	tickets := 0
-	for _, p := range w.procs {
-		tickets += len(p.tickets)
+	for _, p := range w.processes {
+		tickets += len(p.runnable)
 	}
 
 	if tickets != 1 {
--- a/claim/takeover.go
+++ b/claim/takeover.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// DefaultStagger is how long a candidate waits for each one before it.
+	// DefaultStagger is how long a candidate waits for each candidate before it.
 	DefaultStagger = 2 * time.Second
-	// lostDelay is how long a shard of which the log no longer tells a home waits
-	// for one that repeats itself.
-	lostDelay = time.Minute
+	// unknownOwnerDelay is how long a candidate waits for a renewal if the kept
+	// part of the log shows no owner.
+	unknownOwnerDelay = time.Minute
 )
 
 // Fleet is the platform's list of a service's VMs.
 type Fleet struct {
 	// Version rises with each change of the list.
 	Version uint64
-	// VMs are those listed, live and leaving.
+	// VMs are the listed VMs, live and leaving.
 	VMs []string
-	// Leaving are those of VMs that are leaving.
+	// Leaving holds the VMs of the list that are leaving.
 	Leaving map[string]bool
 }
 
-// Has tells whether the list has a VM.
+// Has reports whether the list has a VM.
 func (f Fleet) Has(vm string) bool {
 	for _, v := range f.VMs {
 		if v == vm {
@@ -31,108 +31,113 @@
 	return false
 }
 
-// Succession decides when a process may become the home of a shard.
-type Succession struct {
-	// Stagger is how long a candidate waits for each one before it; zero is DefaultStagger.
+// Takeover decides when a process should request the ownership of a shard.
+type Takeover struct {
+	// Stagger is how long a candidate waits for each candidate before it, and at
+	// least between two requests; zero means DefaultStagger.
 	Stagger time.Duration
 
-	term  uint64
-	basis Basis
-	since time.Time
-	asked time.Time
+	term        uint64
+	basis       Basis
+	basisSince  time.Time
+	lastRequest time.Time
 }
 
-// Next returns the basis on which the process should ask to be the home now;
-// false when it shouldn't. rank is its place among the candidates.
+// Due returns the basis on which the process should request the ownership now;
+// false if it shouldn't. rank is its position among the candidates.
 //
-// The list lags, also for a VM that is new. Only a version above one that has
-// the home's VM can tell that the VM is gone, and only a process that the list
-// has may become home, so that its successor can tell the same of it. A process
-// that stood still waits until its list would tell that its VM was dropped.
-func (s *Succession) Next(now time.Time, d *Coordinator, f Fleet, rank int) (Basis, bool) {
-	basis, ok := d.basis(f)
-	if !ok || d.draining() || d.doubted(now) || !f.Has(d.cfg.VM) || f.Leaving[d.cfg.VM] {
-		s.basis = 0
+// The list lags, also for a new VM. Only a version above one that has the
+// owner's VM can show that this VM was removed, and only a process on a listed
+// VM may become the owner, so that the next owner can see in the same way that
+// it is gone. A process that was paused waits until its list would show that
+// its VM was removed.
+func (t *Takeover) Due(now time.Time, c *Coordinator, f Fleet, rank int) (Basis, bool) {
+	basis, ok := c.takeoverBasis(f)
+	if !ok || c.draining() || c.possiblyUnlisted(now) || !f.Has(c.cfg.VM) || f.Leaving[c.cfg.VM] {
+		t.basis = 0
 
 		return 0, false
 	}
 
-	h := d.ledger.Holder()
-	if basis != s.basis || h.Term != s.term {
-		s.basis, s.term, s.since = basis, h.Term, now
+	o := c.state.Owner()
+	if basis != t.basis || o.Term != t.term {
+		t.basis, t.term, t.basisSince = basis, o.Term, now
 	}
 
-	if now.Sub(s.since) < s.delay(d, rank) || now.Sub(s.asked) < positive(s.Stagger, DefaultStagger) {
+	if now.Sub(t.basisSince) < t.delay(c, rank) || now.Sub(t.lastRequest) < orDefault(t.Stagger, DefaultStagger) {
 		return 0, false
 	}
 
-	s.asked = now
+	t.lastRequest = now
 
 	return basis, true
 }
 
-// delay returns how long to leave a shard to others.
-func (s *Succession) delay(d *Coordinator, rank int) time.Duration {
-	wait := time.Duration(rank) * positive(s.Stagger, DefaultStagger)
+// delay returns how long to leave the shard to candidates before this one.
+func (t *Takeover) delay(c *Coordinator, rank int) time.Duration {
+	wait := time.Duration(rank) * orDefault(t.Stagger, DefaultStagger)
 
 	switch {
-	case s.basis == BasisFirst && d.first > 1:
-		return wait + lostDelay
+	case t.basis == BasisFirst && c.oldestOffset > 1:
+		return wait + unknownOwnerDelay
 	default:
 		return wait
 	}
 }
 
-// basis returns why this process may become the home, if it may.
-func (d *Coordinator) basis(f Fleet) (Basis, bool) {
-	h := d.ledger.Holder()
+// takeoverBasis returns the basis on which this process may become the owner,
+// if any.
+func (c *Coordinator) takeoverBasis(f Fleet) (Basis, bool) {
+	o := c.state.Owner()
 
 	switch {
-	case d.mine(h):
+	case c.isOwner(o):
 		return 0, false
-	case h.Asserted < d.first:
+	case o.ConfirmedOffset < c.oldestOffset:
 		return BasisFirst, true
-	case h.Term == 0:
+	case o.Term == 0:
 		return 0, false
-	case h.Released:
+	case o.Released:
 		return BasisReleased, true
-	case h.Ended || h.VM == d.cfg.VM && h.Incarnation < d.cfg.Incarnation:
-		return BasisReborn, true
-	case h.VM != d.cfg.VM && f.Version > h.Listed && !f.Has(h.VM):
-		return BasisGone, true
+	case o.Ended || o.VM == c.cfg.VM && o.Incarnation < c.cfg.Incarnation:
+		return BasisRestarted, true
+	case o.VM != c.cfg.VM && f.Version > o.ListVersion && !f.Has(o.VM):
+		return BasisUnlisted, true
 	default:
 		return 0, false
 	}
 }
 
-// Born puts the record into the outbox by which this process says that earlier
-// ones on its VM have ended. The process must hold what only one of them can,
-// its port.
-func (d *Coordinator) Born() { d.write(born(d.cfg.VM, d.cfg.Incarnation)) }
+// AnnounceStart writes the record that earlier processes on this VM have ended.
+// The process must hold its port, which only one process on the VM can do at a
+// time.
+func (c *Coordinator) AnnounceStart() { c.enqueue(startRecord(c.cfg.VM, c.cfg.Incarnation)) }
 
-func born(vm string, incarnation uint64) record {
-	return record{Kind: kindBorn, Home: &homeRecord{VM: vm, Incarnation: incarnation}}
+func startRecord(vm string, incarnation uint64) record {
+	return record{Kind: kindStart, Owner: &ownerRecord{VM: vm, Incarnation: incarnation}}
 }
 
-// Ask puts the record by which this process becomes the home into the outbox.
-func (d *Coordinator) Ask(b Basis, f Fleet) { d.write(d.homeRecord(kindHome, b, f)) }
+// RequestOwnership writes the record by which this process becomes the owner.
+func (c *Coordinator) RequestOwnership(b Basis, f Fleet) {
+	c.enqueue(c.newOwnerRecord(kindOwner, b, f))
+}
 
-// Keep puts the record into the outbox by which the home repeats that it is
-// there. A snapshot must have been written that covers the records up to covers,
-// of which the newest was of the time at.
-func (d *Coordinator) Keep(f Fleet, covers uint64, at time.Time) {
-	if !d.Home() || !f.Has(d.cfg.VM) {
+// RenewOwnership writes the record by which the owner repeats that it is the
+// owner. A snapshot must have been written that covers the records up to offset
+// covers, the newest of which was written at time at.
+func (c *Coordinator) RenewOwnership(f Fleet, covers uint64, at time.Time) {
+	if !c.IsOwner() || !f.Has(c.cfg.VM) {
 		return
 	}
 
-	r := d.homeRecord(kindKeep, 0, f)
-	r.Home.Covers, r.Home.CoversMS = covers, at.UnixMilli()
-	d.write(r)
+	r := c.newOwnerRecord(kindRenew, 0, f)
+	r.Owner.Covers, r.Owner.CoversMS = covers, at.UnixMilli()
+	c.enqueue(r)
 }
 
-func (d *Coordinator) homeRecord(k kind, b Basis, f Fleet) record {
-	return record{Kind: k, Term: d.ledger.Holder().Term, Home: &homeRecord{
-		VM: d.cfg.VM, Incarnation: d.cfg.Incarnation, Basis: b,
-		LogLess: !d.cfg.RefuseInOutage, Listed: f.Version, From: d.first,
+func (c *Coordinator) newOwnerRecord(k kind, b Basis, f Fleet) record {
+	return record{Kind: k, Term: c.state.Owner().Term, Owner: &ownerRecord{
+		VM: c.cfg.VM, Incarnation: c.cfg.Incarnation, Basis: b,
+		RunsUnlogged: !c.cfg.RefuseInOutage, ListVersion: f.Version, OldestOffset: c.oldestOffset,
 	}}
 }
