--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -15,242 +15,246 @@
 	"boragehub/journal"
 )
 
-// The times of the fuzzed shard.
+// The times of the simulated shard.
 const (
-	worldMemory    = 40 * time.Minute
-	worldSkew      = 5 * time.Second
-	worldRetention = time.Hour
-	worldListLag   = ListLag - 5*time.Second
+	testKeyLifetime  = 40 * time.Minute
+	testClockSkew    = 5 * time.Second
+	testLogRetention = time.Hour
+	testListLag      = MaxListLag - 5*time.Second
 )
 
-// witness is the oracle. It knows what callers sent and got and what targets ran.
-type witness struct {
-	sends    map[string][]*send
-	runs     map[string][]int // by key, the sends that a target ran
-	promises []promise
+// oracle knows what callers sent and received and what targets ran.
+type oracle struct {
+	calls      map[string][]*call
+	runs       map[string][]int // by key, the numbers of the calls that a target ran
+	nothingRan []nothingRanResponse
 }
 
-// send is one call of a caller.
-type send struct {
-	number int
-	key    string
-	body   string
-	answer string // the status that the target gave or the kind of the error
+// call is one call of a caller.
+type call struct {
+	number   int
+	key      string
+	body     string
+	response string // the status that the target returned or the kind of the error
 
 	at       time.Time
-	notRun   bool // the answer says that this send was not run
-	replayed bool // the answer is said to be that of an earlier send
+	notRun   bool // the response says that this call was not run
+	replayed bool // the response is the outcome of an earlier call
 }
 
-// promise is an answer that says that nothing was run for a key until then.
-type promise struct {
+// nothingRanResponse is a response that says that no call with a key has run so
+// far.
+type nothingRanResponse struct {
 	key    string
-	before int // the number of the next send when it was given
+	before int // the number of the next call when it was given
 }
 
-// check fails when the callers could notice that a promise was broken.
-func (w *witness) check(t *rapid.T) {
-	for key, runs := range w.runs {
+// check fails if a key ran twice or a response was wrong.
+func (o *oracle) check(t *rapid.T) {
+	for key, runs := range o.runs {
 		if len(runs) > 1 {
-			t.Fatalf("key %s: got runs by the sends %v, want one at most", key, runs)
+			t.Fatalf("key %s: got runs by the calls %v, want one at most", key, runs)
 		}
 	}
 
-	for key, sends := range w.sends {
-		for _, s := range sends {
-			w.checkAnswer(t, s, w.runs[key])
+	for key, calls := range o.calls {
+		for _, c := range calls {
+			o.checkResponse(t, c, o.runs[key])
 		}
 	}
 
-	for _, p := range w.promises {
-		for _, n := range w.runs[p.key] {
+	for _, p := range o.nothingRan {
+		for _, n := range o.runs[p.key] {
 			if n < p.before {
-				t.Fatalf("key %s: got a run by send %d, want none, as an answer before send %d said so", p.key, n, p.before)
+				t.Fatalf("key %s: got a run by call %d, want none, as a response before call %d said so", p.key, n, p.before)
 			}
 		}
 	}
 }
 
-// checkAnswer fails when a caller got an answer that isn't true: "not run" for a
-// call that ran, now or later, or an outcome that no run of its key brought.
-func (w *witness) checkAnswer(t *rapid.T, s *send, runs []int) {
-	if s.notRun && slices.Contains(runs, s.number) {
-		t.Fatalf("key %s: got a run by send %d, want none, as it was answered with %s", s.key, s.number, s.answer)
+// checkResponse fails if a response was wrong: "not run" for a call that ran,
+// before or after, or an outcome that is not that of the key's run.
+func (o *oracle) checkResponse(t *rapid.T, c *call, runs []int) {
+	if c.notRun && slices.Contains(runs, c.number) {
+		t.Fatalf("key %s: got a run by call %d, want none, as its response was %s", c.key, c.number, c.response)
 	}
 
-	if s.replayed && (len(runs) == 0 || s.answer != strconv.Itoa(statusOf(runs[0]))) {
-		t.Fatalf("key %s: got the outcome %s for send %d, want that of the runs %v", s.key, s.answer, s.number, runs)
+	if c.replayed && (len(runs) == 0 || c.response != strconv.Itoa(statusOf(runs[0]))) {
+		t.Fatalf("key %s: got the outcome %s for call %d, want that of the runs %v", c.key, c.response, c.number, runs)
 	}
 }
 
-// statusOf is what the target answers to a send.
+// statusOf returns the status of a target's response to a call.
 func statusOf(number int) int { return 200 + number }
 
-// carried is a record on its way, as the journal would carry it.
-type carried struct {
+// envelope is a record with its writer and sequence number, as the journal
+// sends it.
+type envelope struct {
 	writer, sequence int
 	data             []byte
 }
 
-// entered is a record in the stream.
-type entered struct {
-	carried
+// storedRecord is a record in the stream.
+type storedRecord struct {
+	envelope
 	at time.Time
 }
 
-// snapshotted is a snapshot in the stream.
-type snapshotted struct {
+// storedSnapshot is a snapshot in the stream.
+type storedSnapshot struct {
 	covers int
 	seen   map[int]int
 	data   []byte
 }
 
-// process is one process of the service.
+// process is one side process of the service.
 type process struct {
-	vm     string
-	id     int
-	skew   time.Duration
-	desk   *Coordinator
-	next   Succession
-	kept   time.Time
-	frozen time.Time
-	cut    bool // the process doesn't reach the log
-	gone   bool // the platform dropped the VM while the process stood still
+	vm             string
+	id             int
+	clockSkew      time.Duration
+	coordinator    *Coordinator
+	takeover       Takeover
+	lastRenewal    time.Time
+	pausedSince    time.Time
+	logUnreachable bool // the process can't reach the log
+	unlisted       bool // the platform removed the VM while the process was paused
 
 	position   int  // records read so far
 	partial    bool // records were lost and no snapshot was found
 	seen       map[int]int
-	fetched    []entered
+	fetched    []storedRecord
 	fetchEnd   time.Time // when the fetch began, if it reached the end
 	fetchFirst int       // the oldest record kept then
-	out        []carried
-	tried      int // how many of out were sent in one append of which nothing is known
+	unsent     []envelope
+	inAppend   int // how many of unsent were sent in one append whose result is unknown
 	sequence   int
-	listed     int // which version of the fleet it knows
+	listIndex  int // the version of the list that it knows, as an index in vmLists
 
-	waiting []*flight
-	tickets []*flight
+	waiting  []*pendingCall
+	runnable []*pendingCall
 }
 
-// flight is a run and the send that it is for.
-type flight struct {
+// pendingCall is a run with its call.
+type pendingCall struct {
 	run  *Run
-	send *send
+	call *call
 }
 
-// world is a shard, its processes, its log and its callers.
-type world struct {
-	now     time.Time
-	down    bool
-	first   int // records before this one are gone
-	stream  []entered
-	snaps   []snapshotted
-	late    [][]carried // appends on their way
-	fleets  []Fleet
-	changed []time.Time // when each version came
-	procs   []*process
-	ids     int
-	refuse  bool
-	past    []*flight // calls sent to a target by processes that died then
-	wit     witness
-	count   int
-	keys    []*send
+// testEnv is a shard with its processes, log and callers.
+type testEnv struct {
+	now            time.Time
+	logDown        bool
+	firstKept      int // earlier records are deleted
+	stream         []storedRecord
+	snapshots      []storedSnapshot
+	delayedAppends [][]envelope // appends that have not reached the log yet
+	vmLists        []Fleet
+	listChangedAt  []time.Time // when each version of the list came
+	processes      []*process
+	lastProcessID  int
+	refuseInOutage bool
+	orphanedCalls  []*pendingCall // calls sent to a target by processes that have ended
+	oracle         oracle
+	lastCall       int
+	firstCalls     []*call
 }
 
-func newWorld(refuse bool) *world {
-	w := &world{
-		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), refuse: refuse,
-		wit: witness{sends: map[string][]*send{}, runs: map[string][]int{}},
+func newTestEnv(refuse bool) *testEnv {
+	w := &testEnv{
+		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), refuseInOutage: refuse,
+		oracle: oracle{calls: map[string][]*call{}, runs: map[string][]int{}},
 	}
-	w.change(Fleet{VMs: []string{"vm0", "vm1"}})
+	w.setVMList(Fleet{VMs: []string{"vm0", "vm1"}})
 
 	for i := range 2 {
-		w.start(fmt.Sprintf("vm%d", i), 0)
+		w.startProcess(fmt.Sprintf("vm%d", i), 0)
 	}
 
 	return w
 }
 
-func (w *world) start(vm string, skew time.Duration) {
-	w.ids++
-	w.procs = append(w.procs, &process{
-		vm: vm, id: w.ids, skew: skew, seen: map[int]int{}, listed: len(w.fleets) - 1,
-		desk: NewCoordinator(CoordinatorConfig{
-			VM: vm, Incarnation: uint64(w.ids), RefuseInOutage: w.refuse, Retention: worldRetention,
-			Ledger: LedgerConfig{Memory: worldMemory, Skew: worldSkew},
+func (w *testEnv) startProcess(vm string, skew time.Duration) {
+	w.lastProcessID++
+	w.processes = append(w.processes, &process{
+		vm: vm, id: w.lastProcessID, clockSkew: skew, seen: map[int]int{}, listIndex: len(w.vmLists) - 1,
+		coordinator: NewCoordinator(CoordinatorConfig{
+			VM: vm, Incarnation: uint64(w.lastProcessID), RefuseInOutage: w.refuseInOutage, LogRetention: testLogRetention,
+			State: StateConfig{KeyLifetime: testKeyLifetime, ClockSkew: testClockSkew},
 		}),
 	})
 
-	p := w.procs[len(w.procs)-1]
-	p.desk.Born()
-	w.flush(p)
+	p := w.processes[len(w.processes)-1]
+	p.coordinator.AnnounceStart()
+	w.takeOutbox(p)
 }
 
-func (w *world) clock(p *process) time.Time { return w.now.Add(p.skew) }
+func (w *testEnv) clock(p *process) time.Time { return w.now.Add(p.clockSkew) }
 
-func (w *world) fleet() Fleet { return w.fleets[len(w.fleets)-1] }
+func (w *testEnv) vmList() Fleet { return w.vmLists[len(w.vmLists)-1] }
 
-func (w *world) change(f Fleet) {
-	f.Version = uint64(len(w.fleets) + 1)
-	w.fleets = append(w.fleets, f)
-	w.changed = append(w.changed, w.now)
+func (w *testEnv) setVMList(f Fleet) {
+	f.Version = uint64(len(w.vmLists) + 1)
+	w.vmLists = append(w.vmLists, f)
+	w.listChangedAt = append(w.listChangedAt, w.now)
 }
 
-// drop takes a VM off the platform's list and puts a new one on.
-func (w *world) drop(vm string) string {
-	fresh := fmt.Sprintf("vm%d", len(w.fleets)+1)
-	vms := slices.DeleteFunc(slices.Clone(w.fleet().VMs), func(v string) bool { return v == vm })
-	w.change(Fleet{VMs: append(vms, fresh)})
+// replaceVM replaces a VM in the platform's list by a new one and returns the
+// new one.
+func (w *testEnv) replaceVM(vm string) string {
+	newVM := fmt.Sprintf("vm%d", len(w.vmLists)+1)
+	vms := slices.DeleteFunc(slices.Clone(w.vmList().VMs), func(v string) bool { return v == vm })
+	w.setVMList(Fleet{VMs: append(vms, newVM)})
 
-	return fresh
+	return newVM
 }
 
-// fetch reads from the log, or finds that records it needs are gone.
-func (w *world) fetch(p *process) {
-	if w.down || p.cut || len(p.fetched) > 0 {
+// fetch reads up to 8 records from the log; if records that it needs are
+// deleted, it restores a snapshot first.
+func (w *testEnv) fetch(p *process) {
+	if w.logDown || p.logUnreachable || len(p.fetched) > 0 {
 		return
 	}
 
-	if p.position < w.first || p.partial {
-		w.recover(p)
+	if p.position < w.firstKept || p.partial {
+		w.restoreSnapshot(p)
 	}
 
 	p.fetched = slices.Clone(w.stream[p.position:min(len(w.stream), p.position+8)])
 	p.fetchEnd = time.Time{}
-	p.fetchFirst = w.first
+	p.fetchFirst = w.firstKept
 
 	if p.position+len(p.fetched) == len(w.stream) {
 		p.fetchEnd = w.clock(p)
 	}
 }
 
-// recover takes the newest snapshot that is kept. Without one the process goes
-// on with what is left, until there is one.
-func (w *world) recover(p *process) {
-	var best *snapshotted
+// restoreSnapshot restores the newest snapshot that is kept. Without one, the
+// process continues with the records that are left until there is one.
+func (w *testEnv) restoreSnapshot(p *process) {
+	var best *storedSnapshot
 
-	for i := range w.snaps {
-		s := &w.snaps[i]
-		if s.covers >= w.first && (best == nil || best.covers <= s.covers) {
+	for i := range w.snapshots {
+		s := &w.snapshots[i]
+		if s.covers >= w.firstKept && (best == nil || best.covers <= s.covers) {
 			best = s
 		}
 	}
 
 	switch {
 	case best != nil:
-		if err := p.desk.Restore(best.data); err != nil {
+		if err := p.coordinator.Restore(best.data); err != nil {
 			panic(err)
 		}
 
 		p.position, p.seen, p.partial = best.covers, maps.Clone(best.seen), false
-	case p.position < w.first:
-		p.position, p.partial = w.first, true
-		p.desk.Gap(uint64(w.first) + 1)
+	case p.position < w.firstKept:
+		p.position, p.partial = w.firstKept, true
+		p.coordinator.ResetAfterGap(uint64(w.firstKept) + 1)
 	}
 }
 
-// handle takes account of what was fetched.
-func (w *world) handle(p *process) {
+// applyFetched applies the fetched records once each.
+func (w *testEnv) applyFetched(p *process) {
 	for _, e := range p.fetched {
 		p.position++
 
@@ -260,7 +264,7 @@
 
 		p.seen[e.writer] = e.sequence
 
-		if err := p.desk.Apply(journal.Record{Offset: uint64(p.position), At: e.at, Data: e.data}); err != nil {
+		if err := p.coordinator.Apply(journal.Record{Offset: uint64(p.position), At: e.at, Data: e.data}); err != nil {
 			panic(err)
 		}
 	}
@@ -268,127 +272,128 @@
 	p.fetched = nil
 
 	if !p.fetchEnd.IsZero() {
-		p.desk.Synced(p.fetchEnd, uint64(p.fetchFirst)+1)
+		p.coordinator.Synced(p.fetchEnd, uint64(p.fetchFirst)+1)
 		p.fetchEnd = time.Time{}
 	}
 }
 
-// tick does what a process's duty does each time.
-func (w *world) tick(p *process) {
+// tick does what a Home does at each tick.
+func (w *testEnv) tick(p *process) {
 	now := w.clock(p)
 
-	// The list lags, but not for ever.
-	for p.listed < len(w.fleets)-1 && w.now.Sub(w.changed[p.listed+1]) > worldListLag {
-		p.listed++
+	// The list lags by a limited time.
+	for p.listIndex < len(w.vmLists)-1 && w.now.Sub(w.listChangedAt[p.listIndex+1]) > testListLag {
+		p.listIndex++
 	}
 
-	f := w.fleets[p.listed]
-	p.desk.Observe(f)
-	p.desk.Tick(now)
+	f := w.vmLists[p.listIndex]
+	p.coordinator.SetVMList(f)
+	p.coordinator.Tick(now)
 
 	switch {
-	case p.desk.silent(now) || p.desk.behind:
-	case p.desk.Home():
-		if now.Sub(p.kept) > worldRetention/4 && !w.down && !p.cut && p.position >= w.first {
-			p.kept = now
-			w.save(p)
-			p.desk.Keep(f, uint64(p.position), p.desk.ledger.Now())
+	case p.coordinator.logUnresponsive(now) || p.coordinator.behind:
+	case p.coordinator.IsOwner():
+		if now.Sub(p.lastRenewal) > testLogRetention/4 && !w.logDown && !p.logUnreachable && p.position >= w.firstKept {
+			p.lastRenewal = now
+			w.writeSnapshot(p)
+			p.coordinator.RenewOwnership(f, uint64(p.position), p.coordinator.state.LogTime())
 		}
 	default:
-		if b, ok := p.next.Next(now, p.desk, f, 0); ok {
-			p.desk.Ask(b, f)
+		if b, ok := p.takeover.Due(now, p.coordinator, f, 0); ok {
+			p.coordinator.RequestOwnership(b, f)
 		}
 	}
 
-	p.desk.Release()
-	w.flush(p)
+	p.coordinator.Release()
+	w.takeOutbox(p)
 }
 
-// save puts a snapshot of what a process knows into the stream.
-func (w *world) save(p *process) {
-	w.snaps = append(w.snaps, snapshotted{
-		covers: p.position, seen: maps.Clone(p.seen), data: p.desk.ledger.Encode(),
+// writeSnapshot adds a snapshot of a process's state to the stream.
+func (w *testEnv) writeSnapshot(p *process) {
+	w.snapshots = append(w.snapshots, storedSnapshot{
+		covers: p.position, seen: maps.Clone(p.seen), data: p.coordinator.state.Encode(),
 	})
 }
 
-func (w *world) flush(p *process) {
-	for _, b := range p.desk.Outbox() {
+func (w *testEnv) takeOutbox(p *process) {
+	for _, b := range p.coordinator.Outbox() {
 		p.sequence++
-		p.out = append(p.out, carried{writer: p.id, sequence: p.sequence, data: b})
+		p.unsent = append(p.unsent, envelope{writer: p.id, sequence: p.sequence, data: b})
 	}
 }
 
-// enter puts records into the stream.
-func (w *world) enter(records ...carried) {
+// appendRecords adds records to the stream.
+func (w *testEnv) appendRecords(records ...envelope) {
 	for _, c := range records {
-		w.stream = append(w.stream, entered{carried: c, at: w.now})
+		w.stream = append(w.stream, storedRecord{envelope: c, at: w.now})
 	}
 }
 
-// submit sends a call to a process.
-func (w *world) submit(p *process, s *send) {
-	run, err := p.desk.Claim(w.clock(p), Request{Organisation: "o", Key: s.key, Fingerprint: s.body})
-	w.flush(p)
+// sendCall sends a call to a process.
+func (w *testEnv) sendCall(p *process, c *call) {
+	run, err := p.coordinator.Claim(w.clock(p), Request{Organisation: "o", Key: c.key, Fingerprint: c.body})
+	w.takeOutbox(p)
 
 	switch {
 	case err != nil:
-		w.refused(s, err)
-	case run.phase == settled:
-		s.answer, s.replayed = strconv.Itoa(run.outcome.Status), true
+		w.recordRefusal(c, err)
+	case run.phase == phaseCompleted:
+		c.response, c.replayed = strconv.Itoa(run.outcome.Status), true
 	default:
-		p.waiting = append(p.waiting, &flight{run: run, send: s})
+		p.waiting = append(p.waiting, &pendingCall{run: run, call: c})
 	}
 }
 
-// refused notes what an error promises.
-func (w *world) refused(s *send, err error) {
+// recordRefusal records what an error says about the call and its key.
+func (w *testEnv) recordRefusal(c *call, err error) {
 	k := failure.KindOf(err)
-	s.answer, s.notRun = k.String(), k.Answer().Ran == failure.NotRun
+	c.response, c.notRun = k.String(), k.Answer().Ran == failure.NotRun
 
 	if k == failure.LogUnavailable || k == failure.QueueFull {
-		w.wit.promises = append(w.wit.promises, promise{key: s.key, before: w.count + 1})
+		w.oracle.nothingRan = append(w.oracle.nothingRan, nothingRanResponse{key: c.key, before: w.lastCall + 1})
 	}
 }
 
-// collect turns the runs that need not wait any more into tickets.
-func (w *world) collect(p *process) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(f *flight) bool {
+// collectDecided removes the decided runs from waiting and moves those that may
+// run to runnable.
+func (w *testEnv) collectDecided(p *process) {
+	p.waiting = slices.DeleteFunc(p.waiting, func(pc *pendingCall) bool {
 		select {
-		case <-f.run.done:
+		case <-pc.run.decided:
 		default:
 			return false
 		}
 
-		if f.run.err != nil {
-			w.refused(f.send, f.run.err)
+		if pc.run.err != nil {
+			w.recordRefusal(pc.call, pc.run.err)
 		} else {
-			p.tickets = append(p.tickets, f)
+			p.runnable = append(p.runnable, pc)
 		}
 
 		return true
 	})
 }
 
-// run lets a target carry out a call.
-func (w *world) run(s *send) {
-	w.wit.runs[s.key] = append(w.wit.runs[s.key], s.number)
+// recordRun records that a target ran a call.
+func (w *testEnv) recordRun(c *call) {
+	w.oracle.runs[c.key] = append(w.oracle.runs[c.key], c.number)
 }
 
-// newSend makes a call with a fresh key.
-func (w *world) newSend(key string) *send {
-	w.count++
-	s := &send{number: w.count, key: key, body: "b" + key, at: w.now}
-	w.wit.sends[key] = append(w.wit.sends[key], s)
-	w.keys = append(w.keys, s)
+// newCall makes the first call with a key.
+func (w *testEnv) newCall(key string) *call {
+	w.lastCall++
+	c := &call{number: w.lastCall, key: key, body: "b" + key, at: w.now}
+	w.oracle.calls[key] = append(w.oracle.calls[key], c)
+	w.firstCalls = append(w.firstCalls, c)
 
-	return s
+	return c
 }
 
-// again makes another call with the key of an earlier one.
-func (w *world) again(s *send) *send {
-	w.count++
-	c := &send{number: w.count, key: s.key, body: s.body}
-	w.wit.sends[s.key] = append(w.wit.sends[s.key], c)
+// repeatCall makes another call with the key of an earlier one.
+func (w *testEnv) repeatCall(earlier *call) *call {
+	w.lastCall++
+	c := &call{number: w.lastCall, key: earlier.key, body: earlier.body}
+	w.oracle.calls[earlier.key] = append(w.oracle.calls[earlier.key], c)
 
 	return c
 }
@@ -412,7 +417,7 @@
 func TestKeyAt(t *testing.T) {
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-	got, ok := Issued(keyAt(at, 7))
+	got, ok := IssueTime(keyAt(at, 7))
 	if !ok || !got.Equal(at) {
 		t.Errorf("got %v %v, want %v", got, ok, at)
 	}
