--- a/directory/holding.go
+++ b/directory/holding.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Kind says what sort of holder has a context. The zero Kind is Engine.
+// Kind is the kind of process that holds blocks of a context. The zero Kind is Engine.
 type Kind uint8
 
 // The kinds of holder.
 const (
-	// Engine holds blocks in its cache, from where they may be evicted at any time.
+	// Engine holds blocks in its KV cache, which may evict them at any time.
 	Engine Kind = iota
-	// Store holds a sealed copy.
+	// Store holds a sealed copy, one that is complete and no longer changes.
 	Store
 )
 
@@ -22,16 +22,17 @@
 	return "engine"
 }
 
-// Source says where a belief comes from. The zero Source is Answered.
+// Source is the kind of evidence for a Holding. The zero Source is Answered.
 type Source uint8
 
-// The sources of a belief, from the weakest to the strongest.
+// The sources, from the weakest evidence to the strongest.
 const (
-	// Answered means that an engine finished a prompt, so that it held the blocks then.
+	// Answered means that an engine completed a prompt and held its blocks at that time.
 	Answered Source = iota
-	// Reported means that an engine's cache events said so, late and maybe with gaps.
+	// Reported means that an engine's cache events listed the blocks. Events are
+	// delayed and may be incomplete.
 	Reported
-	// Sealed means that a store acknowledged the whole copy.
+	// Sealed means that a store acknowledged the complete copy.
 	Sealed
 )
 
@@ -47,30 +48,31 @@
 	}
 }
 
-// Holding is the belief that one holder has the leading blocks of a context.
+// Holding records that one holder has the leading blocks of a context. It may be
+// out of date.
 type Holding struct {
-	// Kind is the sort of holder.
+	// Kind is the kind of holder.
 	Kind Kind
 	// Name is the holder's VM name.
 	Name string
-	// DataCentre is where the holder is.
+	// DataCentre is the holder's data centre.
 	DataCentre string
-	// Blocks is how many leading blocks are held. From Lookup it is how many
-	// of them the chain looked up shares.
+	// Blocks is the number of leading blocks held. In a result of Lookup it is the
+	// number of leading blocks shared with the given chain.
 	Blocks int
 	// Version is the weight version that computed the blocks.
 	Version string
-	// Copy is the id of the sealed copy in a store, empty for an engine.
+	// Copy is the id of the sealed copy in a store; empty for an engine.
 	Copy string
-	// Bytes is the size of what is held.
+	// Bytes is the size of the blocks held, in bytes.
 	Bytes int64
-	// Learned is when the belief was last confirmed.
+	// Learned is when the holding was last confirmed.
 	Learned time.Time
-	// Source is where the belief comes from.
+	// Source is the kind of evidence.
 	Source Source
 }
 
-// Age returns how old the belief is; never less than zero.
+// Age returns the time since the holding was last confirmed; never less than zero.
 func (h Holding) Age(now time.Time) time.Duration {
 	return max(now.Sub(h.Learned), 0)
 }
--- a/directory/owner.go
+++ b/directory/owner.go
@@ -9,37 +9,39 @@
 	"boragehub/prompt"
 )
 
-// Anchor returns the key of the context that opens with text: the rendered
-// prompt up to and with its first user message. The text is hashed to its last
-// byte and not to its last whole block, so that contexts which share a long
-// system message do not all meet under one key.
+// Anchor returns the directory key of a context: the hash of its shared prefix,
+// given as text, which is the rendered prompt up to and including its first user
+// message. All of text is hashed, also the bytes after its last full block:
+// otherwise many contexts that share a long system message would get the same key.
 func Anchor(scope prompt.Scope, text string) prompt.Hash {
 	return prompt.Next(scope.Root(), []byte(text))
 }
 
-// Owners divides anchors among members by rendezvous hashing: a member that
-// goes moves only its own anchors.
+// Owners assigns anchors to members by rendezvous hashing: when a member is
+// removed, only its own anchors get another owner.
 type Owners struct {
-	r *rendezvous.Rendezvous
+	rendezvous *rendezvous.Rendezvous
 }
 
-// NewOwners returns the division among members, which are not empty.
+// NewOwners returns the assignment for the given members. Their names must not be
+// empty.
 func NewOwners(members []string) *Owners {
-	return &Owners{r: rendezvous.New(members, xxh3.HashString)}
+	return &Owners{rendezvous: rendezvous.New(members, xxh3.HashString)}
 }
 
-// Owner returns the member that keeps what is known of anchor, empty without members.
+// Owner returns the member that stores the holdings of anchor; empty when there
+// are no members.
 func (o *Owners) Owner(anchor prompt.Hash) string {
-	return o.r.Lookup(string(anchor[:]))
+	return o.rendezvous.Lookup(string(anchor[:]))
 }
 
-// Owner returns the member that keeps what is known of anchor. Use Owners
-// where the members stay the same over many calls.
+// Owner returns the member that stores the holdings of anchor; empty when there
+// are no members. For many lookups with the same members, create an Owners once.
 func Owner(anchor prompt.Hash, members []string) string {
 	return NewOwners(members).Owner(anchor)
 }
 
-// short is the part of a hash that the table keeps.
-func short(h prompt.Hash) uint64 {
+// hash64 returns the first eight bytes of h, which is what a Table stores of a hash.
+func hash64(h prompt.Hash) uint64 {
 	return binary.LittleEndian.Uint64(h[:])
 }
--- a/directory/table.go
+++ b/directory/table.go
@@ -1,26 +1,29 @@
-// Package directory is what one owner knows of where contexts are.
+// Package directory records which engines and stores hold the KV cache of which
+// contexts.
 //
 // # Model
 //
-// A context is known by its anchor, the hash of its opening up to and with the
-// first user message, which stays the same however often the context returns.
-// Owners divides all anchors among the entries, so that each of them keeps only
-// its part. Under an anchor stand Holdings: engines and stores that are said to
-// have the leading blocks of the context. Several conversations with the same
-// opening share an anchor, so a Holding counts only as far as its blocks and
-// those of the chain looked up are the same.
+// A context is identified by its anchor: the hash of its shared prefix, which is
+// the prompt up to and including the first user message. The anchor stays the
+// same for all later requests of a conversation. Owners distributes the anchors
+// over the entries, so each entry stores only a part of the directory. An anchor
+// has Holdings: the engines and stores that were reported to hold the leading
+// blocks of the context. Several conversations with the same shared prefix have
+// the same anchor, so a Holding is usable only up to the last block that it shares
+// with the chain of the prompt.
 //
-// Everything here is a belief with an age: an engine may have evicted a block
-// since, a store may have died. Whoever relies on a Holding asks the holder,
-// and a wrong belief costs a recomputation and never a wrong answer. The table
-// is soft state: lost with its process, learned again from the side processes.
+// A Holding may be out of date: the engine may have evicted blocks since, or the
+// store may have failed. The holder itself is asked before a Holding is used, so
+// an outdated one leads to recomputation but never to a wrong response. The table
+// is soft state: it is lost when its process ends and rebuilt from the reports of
+// side processes.
 //
 // # Size
 //
-// A chain is kept as marks: the first eight bytes of each Stride-th hash. Since
-// a block's hash covers all before it, one equal mark means that everything up
-// to it is equal, so the shared depth is found by bisection. Holdings of one
-// context share their marks.
+// Of a chain the table stores samples: the first eight bytes of every Stride-th
+// hash. A block's hash covers all blocks before it, so one equal sample means that
+// all blocks up to it are equal, and the number of shared blocks is found by binary
+// search. Holdings of one context share the memory of their samples.
 //
 //	t := directory.NewTable(directory.Config{MaxContexts: 10_000})
 //	t.Learn(now, anchor, chain, directory.Holding{Name: "engine-3", Blocks: len(chain)})
@@ -37,19 +40,19 @@
 	"boragehub/prompt"
 )
 
-// Config bounds a Table. Zero fields take their defaults.
+// Config sets the limits of a Table. Zero fields take their defaults.
 type Config struct {
-	// MaxContexts bounds the anchors kept; 100 000 when zero.
+	// MaxContexts is the maximum number of anchors; 100 000 when zero.
 	MaxContexts int
-	// MaxBytes bounds the memory of the table, as estimated; 64 MiB when zero.
+	// MaxBytes is the maximum estimated memory of the table in bytes; 64 MiB when zero.
 	MaxBytes int64
-	// MaxHoldings bounds the holdings of one context; 16 when zero.
+	// MaxHoldings is the maximum number of holdings of one context; 16 when zero.
 	MaxHoldings int
-	// Stride is how many blocks lie between two marks; 8 when zero.
+	// Stride is the number of blocks between two samples; 8 when zero.
 	Stride int
-	// EngineAge is how long a belief about an engine is kept without being
-	// confirmed; an hour when zero.
-	EngineAge time.Duration
+	// EngineTTL is how long a holding of an engine stays valid after it was last
+	// confirmed; 1 h when zero. Holdings of stores don't expire.
+	EngineTTL time.Duration
 }
 
 // The defaults of Config.
@@ -58,15 +61,15 @@
 	defaultBytes     = 64 << 20
 	defaultHoldings  = 16
 	defaultStride    = 8
-	defaultEngineAge = time.Hour
+	defaultEngineTTL = time.Hour
 )
 
-// The estimated memory of the table's parts, in bytes: map and list element of
-// a context, one holding with its slice header, one mark.
+// The estimated memory of the table's parts, in bytes: the map and list element of
+// a context, one holding with its slice header, and one sample.
 const (
 	contextBytes = 220
 	holdingBytes = 176
-	markBytes    = 8
+	sampleBytes  = 8
 )
 
 func (c Config) withDefaults() Config {
@@ -86,30 +89,32 @@
 		c.Stride = defaultStride
 	}
 
-	if c.EngineAge <= 0 {
-		c.EngineAge = defaultEngineAge
+	if c.EngineTTL <= 0 {
+		c.EngineTTL = defaultEngineTTL
 	}
 
 	return c
 }
 
-// record is what is known of one anchor.
-type record struct {
-	held  []entry
-	bytes int64
+// contextRecord holds the holdings of one anchor.
+type contextRecord struct {
+	holdings []storedHolding
+	bytes    int64
 }
 
-// entry is a Holding with the part of its chain that tells it from others.
-type entry struct {
+// storedHolding is a Holding with the part of its chain that distinguishes it from
+// other conversations under the same anchor.
+type storedHolding struct {
 	Holding
-	marks []uint64
-	tip   uint64
+	samples  []uint64
+	lastHash uint64
 }
 
-// Table is what one owner knows. Use NewTable. It is not safe for concurrent use.
+// Table is one owner's part of the directory. Use NewTable. It is not safe for
+// concurrent use.
 type Table struct {
 	cfg      Config
-	contexts *simplelru.LRU[prompt.Hash, *record]
+	contexts *simplelru.LRU[prompt.Hash, *contextRecord]
 	bytes    int64
 	evicted  uint64
 }
@@ -117,26 +122,27 @@
 // NewTable returns an empty Table.
 func NewTable(cfg Config) *Table {
 	t := &Table{cfg: cfg.withDefaults()}
-	// NewLRU fails only for a size under one, which withDefaults rules out.
-	t.contexts, _ = simplelru.NewLRU[prompt.Hash, *record](t.cfg.MaxContexts, func(_ prompt.Hash, r *record) {
+	// NewLRU fails only for a size below 1, which withDefaults prevents.
+	t.contexts, _ = simplelru.NewLRU[prompt.Hash, *contextRecord](t.cfg.MaxContexts, func(_ prompt.Hash, r *contextRecord) {
 		t.bytes -= r.bytes
 	})
 
 	return t
 }
 
-// Contexts returns the number of anchors known.
+// Contexts returns the number of anchors in the table.
 func (t *Table) Contexts() int { return t.contexts.Len() }
 
-// Bytes returns the estimated memory of the table.
+// Bytes returns the estimated memory of the table in bytes.
 func (t *Table) Bytes() int64 { return t.bytes }
 
-// Evicted returns how many contexts were dropped for want of room.
+// Evicted returns how many contexts were evicted because the table exceeded
+// MaxContexts or MaxBytes.
 func (t *Table) Evicted() uint64 { return t.evicted }
 
-// Learn notes that a holder has the first h.Blocks blocks of chain, as of now.
-// What was believed of the same holder and the same conversation is replaced,
-// also by something shorter. Blocks under one forgets it.
+// Learn records that a holder has the first h.Blocks blocks of chain at now. It
+// replaces the earlier holding of the same holder, copy and conversation, even by a
+// shorter one. With h.Blocks below 1 it only removes the earlier holding.
 func (t *Table) Learn(now time.Time, anchor prompt.Hash, chain prompt.Chain, h Holding) {
 	h.Blocks = min(h.Blocks, len(chain))
 	h.Learned = now
@@ -147,50 +153,51 @@
 			return
 		}
 
-		r = &record{}
+		r = &contextRecord{}
 		t.add(anchor, r)
 	}
 
-	r.replace(t.entryOf(chain, h), t.cfg.MaxHoldings)
-	t.settle(anchor, r)
+	r.put(t.newStored(chain, h), t.cfg.MaxHoldings)
+	t.updateSize(anchor, r)
 }
 
-// Forget drops what is believed of one holder and anchor; an empty id means
-// all copies.
+// Forget removes one holder's holdings under anchor. id selects one sealed copy;
+// an empty id selects all.
 func (t *Table) Forget(anchor prompt.Hash, k Kind, name, id string) {
 	r, ok := t.contexts.Peek(anchor)
 	if !ok {
 		return
 	}
 
-	r.remove(func(e *entry) bool {
-		return e.Kind == k && e.Name == name && (id == "" || e.Copy == id)
+	r.removeIf(func(s *storedHolding) bool {
+		return s.Kind == k && s.Name == name && (id == "" || s.Copy == id)
 	})
-	t.settle(anchor, r)
+	t.updateSize(anchor, r)
 }
 
-// ForgetHolder drops all that is believed of one holder, which died or started
-// anew, and returns the number of contexts concerned. It visits the whole table.
+// ForgetHolder removes all holdings of one holder, which failed or restarted, and
+// returns the number of contexts changed. It scans the whole table.
 func (t *Table) ForgetHolder(k Kind, name string) int {
 	n := 0
 
 	for _, anchor := range t.contexts.Keys() {
 		r, _ := t.contexts.Peek(anchor)
-		before := len(r.held)
-		r.remove(func(e *entry) bool { return e.Kind == k && e.Name == name })
+		before := len(r.holdings)
+		r.removeIf(func(s *storedHolding) bool { return s.Kind == k && s.Name == name })
 
-		if len(r.held) < before {
+		if len(r.holdings) < before {
 			n++
 
-			t.settle(anchor, r)
+			t.updateSize(anchor, r)
 		}
 	}
 
 	return n
 }
 
-// Lookup appends to dst the holdings that share leading blocks with chain, the
-// deepest first and of equal ones the youngest, and returns it.
+// Lookup appends to dst the holdings that share leading blocks with chain and
+// returns it. They are ordered by shared blocks, most first, and then by the time of
+// their last confirmation, newest first.
 func (t *Table) Lookup(now time.Time, anchor prompt.Hash, chain prompt.Chain, dst []Holding) []Holding {
 	r, ok := t.contexts.Get(anchor)
 	if !ok {
@@ -199,35 +206,35 @@
 
 	first := len(dst)
 
-	for i := range r.held {
-		e := &r.held[i]
-		if e.Kind == Engine && e.Age(now) > t.cfg.EngineAge {
+	for i := range r.holdings {
+		s := &r.holdings[i]
+		if s.Kind == Engine && s.Age(now) > t.cfg.EngineTTL {
 			continue
 		}
 
-		h := e.Holding
-		h.Blocks = e.shared(chain, t.cfg.Stride)
+		h := s.Holding
+		h.Blocks = s.sharedBlocks(chain, t.cfg.Stride)
 
 		if h.Blocks > 0 {
-			dst = insert(dst, first, h)
+			dst = insertSorted(dst, first, h)
 		}
 	}
 
 	return dst
 }
 
-// insert puts h into dst[first:], which is and stays ordered.
-func insert(dst []Holding, first int, h Holding) []Holding {
+// insertSorted inserts h into dst[first:], which must be sorted by sortsBefore.
+func insertSorted(dst []Holding, first int, h Holding) []Holding {
 	dst = append(dst, h)
 
-	for i := len(dst) - 1; i > first && before(&dst[i], &dst[i-1]); i-- {
+	for i := len(dst) - 1; i > first && sortsBefore(&dst[i], &dst[i-1]); i-- {
 		dst[i], dst[i-1] = dst[i-1], dst[i]
 	}
 
 	return dst
 }
 
-func before(a, b *Holding) bool {
+func sortsBefore(a, b *Holding) bool {
 	if a.Blocks != b.Blocks {
 		return a.Blocks > b.Blocks
 	}
@@ -235,16 +242,17 @@
 	return a.Learned.After(b.Learned)
 }
 
-func (t *Table) add(anchor prompt.Hash, r *record) {
+func (t *Table) add(anchor prompt.Hash, r *contextRecord) {
 	if t.contexts.Add(anchor, r) {
 		t.evicted++
 	}
 }
 
-// settle brings the estimate of memory up to date after r changed and evicts
-// the contexts that were least recently used until the table fits again.
-func (t *Table) settle(anchor prompt.Hash, r *record) {
-	if len(r.held) == 0 {
+// updateSize updates the memory estimate after r changed, then evicts the least
+// recently used contexts until the table is within MaxBytes. A record without
+// holdings is removed.
+func (t *Table) updateSize(anchor prompt.Hash, r *contextRecord) {
+	if len(r.holdings) == 0 {
 		t.contexts.Remove(anchor)
 		return
 	}
@@ -260,122 +268,124 @@
 	}
 }
 
-// entryOf returns the entry of h. Its strings are made unique, since each
-// message brings its own copy of the same few names.
-func (t *Table) entryOf(chain prompt.Chain, h Holding) entry {
+// newStored returns h with the samples of its chain. Its strings are interned:
+// every message contains its own copies of the same few names.
+func (t *Table) newStored(chain prompt.Chain, h Holding) storedHolding {
 	h.Name = unique.Make(h.Name).Value()
 	h.DataCentre = unique.Make(h.DataCentre).Value()
 	h.Version = unique.Make(h.Version).Value()
-	e := entry{Holding: h}
+	s := storedHolding{Holding: h}
 
 	if h.Blocks < 1 {
-		e.marks = marksOf(chain, t.cfg.Stride)
-		return e
+		s.samples = sampleHashes(chain, t.cfg.Stride)
+		return s
 	}
 
-	e.marks = marksOf(chain[:h.Blocks], t.cfg.Stride)
-	e.tip = short(chain[h.Blocks-1])
+	s.samples = sampleHashes(chain[:h.Blocks], t.cfg.Stride)
+	s.lastHash = hash64(chain[h.Blocks-1])
 
-	return e
+	return s
 }
 
-func marksOf(chain prompt.Chain, stride int) []uint64 {
-	marks := make([]uint64, len(chain)/stride)
-	for i := range marks {
-		marks[i] = short(chain[(i+1)*stride-1])
+func sampleHashes(chain prompt.Chain, stride int) []uint64 {
+	samples := make([]uint64, len(chain)/stride)
+	for i := range samples {
+		samples[i] = hash64(chain[(i+1)*stride-1])
 	}
 
-	return marks
+	return samples
 }
 
-// shared returns how many leading blocks e is known to share with chain: exact
-// when chain goes on from what is held, otherwise down to the last equal mark.
-func (e *entry) shared(chain prompt.Chain, stride int) int {
-	if e.Blocks <= len(chain) && short(chain[e.Blocks-1]) == e.tip {
-		return e.Blocks
+// sharedBlocks returns the number of leading blocks that s shares with chain. It is
+// exact when chain extends the blocks held; otherwise it is rounded down to the last
+// equal sample.
+func (s *storedHolding) sharedBlocks(chain prompt.Chain, stride int) int {
+	if s.Blocks <= len(chain) && hash64(chain[s.Blocks-1]) == s.lastHash {
+		return s.Blocks
 	}
 
-	n := min(len(e.marks), len(chain)/stride)
-	differ := sort.Search(n, func(i int) bool {
-		return e.marks[i] != short(chain[(i+1)*stride-1])
+	n := min(len(s.samples), len(chain)/stride)
+	firstDiff := sort.Search(n, func(i int) bool {
+		return s.samples[i] != hash64(chain[(i+1)*stride-1])
 	})
 
-	return differ * stride
+	return firstDiff * stride
 }
 
-// akin reports whether the marks of a and b are of one conversation, as far as
-// both go.
-func akin(a, b []uint64) bool {
+// sameChain reports whether the samples a and b are equal over their common length,
+// which their last common sample decides. A chain without samples matches any other.
+func sameChain(a, b []uint64) bool {
 	n := min(len(a), len(b))
 
 	return n == 0 || a[n-1] == b[n-1]
 }
 
-// replace puts e in the place of what was believed of its holder and lets akin
-// holdings share one array of marks.
-func (r *record) replace(e entry, most int) {
-	r.remove(func(o *entry) bool {
-		return o.Kind == e.Kind && o.Name == e.Name && o.Copy == e.Copy && akin(o.marks, e.marks)
+// put adds s in place of the earlier holding of its holder, copy and conversation.
+// Holdings of the same conversation share one array of samples. A full record
+// loses its oldest holding.
+func (r *contextRecord) put(s storedHolding, limit int) {
+	r.removeIf(func(other *storedHolding) bool {
+		return other.Kind == s.Kind && other.Name == s.Name && other.Copy == s.Copy && sameChain(other.samples, s.samples)
 	})
 
-	if e.Blocks < 1 {
+	if s.Blocks < 1 {
 		return
 	}
 
-	for i := range r.held {
-		o := &r.held[i]
+	for i := range r.holdings {
+		other := &r.holdings[i]
 
 		switch {
-		case !akin(o.marks, e.marks):
-		case len(o.marks) <= len(e.marks):
-			o.marks = e.marks[:len(o.marks)]
+		case !sameChain(other.samples, s.samples):
+		case len(other.samples) <= len(s.samples):
+			other.samples = s.samples[:len(other.samples)]
 		default:
-			e.marks = o.marks[:len(e.marks)]
+			s.samples = other.samples[:len(s.samples)]
 		}
 	}
 
-	if len(r.held) >= most {
-		r.dropOldest()
+	if len(r.holdings) >= limit {
+		r.removeOldest()
 	}
 
-	r.held = append(r.held, e)
+	r.holdings = append(r.holdings, s)
 }
 
-func (r *record) dropOldest() {
+func (r *contextRecord) removeOldest() {
 	oldest := 0
 
-	for i := range r.held {
-		if r.held[i].Learned.Before(r.held[oldest].Learned) {
+	for i := range r.holdings {
+		if r.holdings[i].Learned.Before(r.holdings[oldest].Learned) {
 			oldest = i
 		}
 	}
 
-	r.held = append(r.held[:oldest], r.held[oldest+1:]...)
+	r.holdings = append(r.holdings[:oldest], r.holdings[oldest+1:]...)
 }
 
-func (r *record) remove(gone func(*entry) bool) {
-	kept := r.held[:0]
+func (r *contextRecord) removeIf(match func(*storedHolding) bool) {
+	kept := r.holdings[:0]
 
-	for i := range r.held {
-		if !gone(&r.held[i]) {
-			kept = append(kept, r.held[i])
+	for i := range r.holdings {
+		if !match(&r.holdings[i]) {
+			kept = append(kept, r.holdings[i])
 		}
 	}
 
-	clear(r.held[len(kept):])
-	r.held = kept
+	clear(r.holdings[len(kept):])
+	r.holdings = kept
 }
 
-func (r *record) size() int64 {
+func (r *contextRecord) size() int64 {
 	longest := 0
-	for i := range r.held {
-		longest = max(longest, len(r.held[i].marks))
+	for i := range r.holdings {
+		longest = max(longest, len(r.holdings[i].samples))
 	}
 
-	return contextBytes + holdingBytes*int64(len(r.held)) + markBytes*int64(longest)
+	return contextBytes + holdingBytes*int64(len(r.holdings)) + sampleBytes*int64(longest)
 }
 
-// Holdings returns all that is believed of an anchor's contexts, for operators.
+// Holdings returns all valid holdings under an anchor, for operators.
 func (t *Table) Holdings(now time.Time, anchor prompt.Hash) []Holding {
 	r, ok := t.contexts.Peek(anchor)
 	if !ok {
@@ -384,9 +394,9 @@
 
 	var all []Holding
 
-	for i := range r.held {
-		if e := &r.held[i]; e.Kind != Engine || e.Age(now) <= t.cfg.EngineAge {
-			all = append(all, e.Holding)
+	for i := range r.holdings {
+		if s := &r.holdings[i]; s.Kind != Engine || s.Age(now) <= t.cfg.EngineTTL {
+			all = append(all, s.Holding)
 		}
 	}
 
--- a/directory/table_test.go
+++ b/directory/table_test.go
@@ -26,8 +26,9 @@
 	return chain
 }
 
-// belief is what the oracle keeps: the whole content held, by holder.
-type belief struct {
+// heldContent is the oracle's record of one holding: the holder and the complete
+// content that it holds.
+type heldContent struct {
 	holder  string
 	content []byte
 }
@@ -41,9 +42,9 @@
 	return n
 }
 
-// An entry routes by what the directory says. If a holding that was forgotten
-// came back, or one were said to be deeper than it is, callers would wait for
-// imports of nothing.
+// The table is compared to an oracle that stores complete contents. A holding that
+// reappears after its removal, or one reported with too many blocks, would make
+// requests wait for imports that can't succeed.
 func TestTableAgainstNaiveOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const stride = 4
@@ -52,7 +53,7 @@
 		anchor := prompt.Hash{1}
 		now := epoch
 
-		var oracle []belief
+		var oracle []heldContent
 
 		contents := rapid.SliceOfN(rapid.ByteRange(0, 1), 0, 24)
 		names := rapid.SampledFrom([]string{"engine-1", "engine-2", "engine-3"})
@@ -65,7 +66,7 @@
 
 				kept := oracle[:0]
 				for _, b := range oracle {
-					// One conversation as far as whole strides tell.
+					// The table compares samples, so only full strides count.
 					n := min(len(b.content), len(content)) / stride * stride
 					if b.holder != name || sharedBytes(b.content, content) < n {
 						kept = append(kept, b)
@@ -74,30 +75,30 @@
 
 				oracle = kept
 				if len(content) > 0 {
-					oracle = append(oracle, belief{name, content})
+					oracle = append(oracle, heldContent{name, content})
 				}
 			},
 			"forget": func(t *rapid.T) {
 				name := names.Draw(t, "name")
 				table.Forget(anchor, Engine, name, "")
-				oracle = without(oracle, name)
+				oracle = withoutHolder(oracle, name)
 			},
 			"forget holder": func(t *rapid.T) {
 				name := names.Draw(t, "name")
 				table.ForgetHolder(Engine, name)
-				oracle = without(oracle, name)
+				oracle = withoutHolder(oracle, name)
 			},
 			"": func(t *rapid.T) {
 				content := contents.Draw(t, "lookup")
 				got := table.Lookup(now, anchor, chainOf(content), nil)
-				check(t, got, oracle, content, stride)
+				checkLookup(t, got, oracle, content, stride)
 			},
 		})
 	})
 }
 
-func without(all []belief, name string) []belief {
-	var kept []belief
+func withoutHolder(all []heldContent, name string) []heldContent {
+	var kept []heldContent
 
 	for _, b := range all {
 		if b.holder != name {
@@ -108,34 +109,34 @@
 	return kept
 }
 
-// check compares a lookup to the oracle: never deeper than the truth, and short
-// of it by less than a stride.
-func check(t *rapid.T, got []Holding, oracle []belief, content []byte, stride int) {
-	sum := map[string]int{}
+// checkLookup compares a lookup to the oracle: a result must not have more blocks than
+// its holder shares with content, and may have fewer by less than one stride.
+func checkLookup(t *rapid.T, got []Holding, oracle []heldContent, content []byte, stride int) {
+	count := map[string]int{}
 	for i, h := range got {
-		sum[h.Name]++
+		count[h.Name]++
 
 		if i > 0 && h.Blocks > got[i-1].Blocks {
-			t.Fatalf("holding %d: got %d blocks after %d, want the deepest first", i, h.Blocks, got[i-1].Blocks)
+			t.Fatalf("holding %d: got %d blocks after %d, want most blocks first", i, h.Blocks, got[i-1].Blocks)
 		}
 
 		ok := false
 
 		for _, b := range oracle {
-			truth := sharedBytes(b.content, content)
-			if b.holder == h.Name && h.Blocks <= truth && h.Blocks > truth-stride {
+			shared := sharedBytes(b.content, content)
+			if b.holder == h.Name && h.Blocks <= shared && h.Blocks > shared-stride {
 				ok = true
 			}
 		}
 
 		if !ok {
-			t.Fatalf("got %s with %d blocks, want none such", h.Name, h.Blocks)
+			t.Fatalf("got %s with %d blocks, want no such holding", h.Name, h.Blocks)
 		}
 	}
 
 	for _, b := range oracle {
-		if sharedBytes(b.content, content) >= stride && sum[b.holder] == 0 {
-			t.Fatalf("got nothing of %s, want its %d blocks", b.holder, len(b.content))
+		if sharedBytes(b.content, content) >= stride && count[b.holder] == 0 {
+			t.Fatalf("got no holding of %s, want its %d blocks", b.holder, len(b.content))
 		}
 	}
 }
@@ -159,7 +160,7 @@
 			}
 
 			if got := table.Evicted(); got == 0 {
-				t.Errorf("evicted: got %d, want some", got)
+				t.Errorf("evicted: got %d, want at least 1", got)
 			}
 
 			if got, want := len(table.Lookup(epoch, prompt.Hash{99}, chain, nil)), 1; got != want {
@@ -174,19 +175,19 @@
 }
 
 func TestOldBeliefsAboutEnginesAreLeftOut(t *testing.T) {
-	table := NewTable(Config{EngineAge: time.Minute})
+	table := NewTable(Config{EngineTTL: time.Minute})
 	chain := chainOf(make([]byte, 8))
 	table.Learn(epoch, prompt.Hash{}, chain, Holding{Name: "e", Blocks: 8})
 	table.Learn(epoch, prompt.Hash{}, chain, Holding{Kind: Store, Name: "s", Copy: "c", Blocks: 8})
 
 	got := table.Lookup(epoch.Add(2*time.Minute), prompt.Hash{}, chain, nil)
 	if len(got) != 1 || got[0].Name != "s" {
-		t.Errorf("got %+v, want the store's copy only", got)
+		t.Errorf("got %+v, want only the store's copy", got)
 	}
 }
 
-// An entry goes: only its own contexts may move, or the whole fleet would lose
-// what it knows at each replacement.
+// When an entry is removed, only its own anchors may get another owner: otherwise
+// each replacement of an entry would invalidate most of the directory.
 func TestOwnerMovesOnlyWhatItHad(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	all, fewer := NewOwners(members), NewOwners(members[:4])
@@ -201,8 +202,9 @@
 	}
 }
 
-// filled returns a table with n contexts of the given blocks and three holdings each.
-func filled(n, blocks int) (*Table, []prompt.Hash, prompt.Chain) {
+// newFilledTable returns a table with n contexts of the given number of blocks, each
+// with three holdings.
+func newFilledTable(n, blocks int) (*Table, []prompt.Hash, prompt.Chain) {
 	table := NewTable(Config{MaxContexts: n, MaxBytes: 1 << 40})
 	anchors := make([]prompt.Hash, n)
 	content := make([]byte, blocks)
@@ -218,9 +220,9 @@
 	return table, anchors, chain
 }
 
-// BenchmarkLookup measures one lookup and the memory of a context in tables of
-// today's size, ten times it, and one owner's part in two years with 420 and
-// with 42 owners.
+// BenchmarkLookup measures one lookup and the memory of a context. The sizes are one
+// owner's contexts today, ten times as many (also one owner's part in two years with
+// 420 owners), and one owner's part in two years with 42 owners.
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{300, 3_100, 31_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -229,7 +231,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 
-			table, anchors, chain := filled(n, 512)
+			table, anchors, chain := newFilledTable(n, 512)
 
 			runtime.GC()
 			runtime.ReadMemStats(&after)
