--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,44 +14,44 @@
 	"boragehub/target"
 )
 
-// try runs j at one target. sent says that the run may have begun there.
-func (j *job) try(ctx context.Context, r routed) (d message.Done, sent bool, err error) {
-	began := time.Now()
-	s := j.e.targets.Sent(began, r.target.VM, r.toCompute(prompt.Tokens(j.text)))
-	j.window = j.reserve(began, r)
-	j.e.pace.begin(r.target.VM)
+// tryTarget runs j at one target. sent reports whether the run may have started there.
+func (j *job) tryTarget(ctx context.Context, r routeChoice) (d message.Done, sent bool, err error) {
+	start := time.Now()
+	attempt := j.e.targets.Sent(start, r.target.VM, r.tokensToPrefill(prompt.Tokens(j.rendered)))
+	j.reservation = j.reserveLink(start, r)
+	j.e.serviceTimes.begin(r.target.VM)
 
-	d, sent, err = j.converse(ctx, r)
+	d, sent, err = j.execute(ctx, r)
 
-	j.imported(0)
+	j.releaseLink(0)
 
 	now := time.Now()
-	j.e.pace.end(j.service, r.target.VM, now.Sub(began), err == nil)
-	j.e.note(j.e.targets.Done(now, s, standing(err, sent)))
+	j.e.serviceTimes.end(j.service, r.target.VM, now.Sub(start), err == nil)
+	j.e.logChanges(j.e.targets.Done(now, attempt, targetOutcome(err, sent)))
 
 	kind := "done"
 	if err != nil {
 		kind = failure.KindOf(err).String()
-		j.suspect(ctx, r, sent, err)
+		j.checkTargetLost(ctx, r, sent, err)
 	} else {
 		j.e.crashes.Completed(now, j.fingerprint)
 	}
 
 	event.Log(j.e.cfg.Log, event.AttemptEnded, "request_id", j.id, "attempt", j.attempt, "vm", r.target.VM, "outcome", kind,
-		"tokens", j.index, "took_ms", now.Sub(began).Milliseconds())
+		"tokens", j.delivered, "took_ms", now.Sub(start).Milliseconds())
 
 	return d, sent, err
 }
 
-// reserve promises the link's time to the import that was decided, so that the
-// next decisions see it.
-func (j *job) reserve(now time.Time, r routed) promised {
+// reserveLink reserves time on the link for the import chosen by r, if any, so that
+// later routing decisions account for it.
+func (j *job) reserveLink(now time.Time, r routeChoice) reservation {
 	i := r.decision.Source()
 	if i < 0 || len(r.copies) == 0 {
-		return promised{}
+		return reservation{}
 	}
 
-	// The chosen copy stands first.
+	// The chosen copy comes first in r.copies.
 	c := r.copies[0]
 
 	event.Log(j.e.cfg.Log.V(1), event.LinkPromised, "request_id", j.id, "from", c.DataCentre, "to", r.target.DataCentre, "bytes", c.Bytes)
@@ -59,20 +59,20 @@
 	return j.e.links.reserve(now, c.DataCentre, r.target.DataCentre, link.Request{
 		Bytes:        c.Bytes,
 		Class:        link.Import,
-		Rank:         priority(j.values.Class),
+		Rank:         enginePriority(j.values.Class),
 		Organisation: j.organisation,
 		Share:        j.values.Share,
 	})
 }
 
-// imported gives the link's time back after so many bytes came over it.
-func (j *job) imported(bytes int64) {
-	j.e.links.done(time.Now(), j.window, bytes)
-	j.window = promised{}
+// releaseLink ends j's link reservation, if any, after bytes were transferred.
+func (j *job) releaseLink(bytes int64) {
+	j.e.links.release(time.Now(), j.reservation, bytes)
+	j.reservation = reservation{}
 }
 
-// standing tells the table of targets what an attempt says of its target.
-func standing(err error, sent bool) target.Outcome {
+// targetOutcome returns what the result of an attempt says about its target.
+func targetOutcome(err error, sent bool) target.Outcome {
 	if err == nil {
 		return target.Succeeded
 	}
@@ -93,25 +93,26 @@
 	}
 }
 
-// suspect counts a target that was lost under j as possibly crashed by it, also
-// when no side process is left to say so.
-func (j *job) suspect(ctx context.Context, r routed, sent bool, err error) {
+// checkTargetLost calls reportCrash if the target was lost after j was sent to it. This
+// covers crashes that no side process is left to report.
+func (j *job) checkTargetLost(ctx context.Context, r routeChoice, sent bool, err error) {
 	if sent && failure.KindOf(err) == failure.TargetLost {
-		j.e.lost(ctx, r.target, j.fingerprint)
+		j.e.reportIfCrashed(ctx, r.target, j.fingerprint)
 	}
 }
 
-// lost finds out whether a target that was lost while it ran a request has died,
-// by a question on a new connection. Without the question a cut line would be
-// taken for a crash, and two of them would quarantine a request that harmed
-// nobody. No answer counts as a crash until the target is heard with the same
-// boot: to spare the next target is worth more than this request. A side process that
-// knows its target to be gone has judged what the target died of, and told so.
-func (e *Entry) lost(ctx context.Context, t target.Target, f quarantine.Fingerprint) {
-	ctx, cancel := context.WithTimeout(ctx, lostTimeout)
+// reportIfCrashed checks on a new connection whether a target that was lost while it ran
+// request f has crashed, and reports the crash if so. Without the check a broken
+// connection would count as a crash, and two of them would quarantine a harmless
+// request. No response counts as a crash until the target reports the same boot again:
+// protecting the next target is worth more than this request. If the side process
+// responds that its target is gone, it has already determined and reported the crash,
+// so nothing is reported here.
+func (e *Entry) reportIfCrashed(ctx context.Context, t target.Target, f quarantine.Fingerprint) {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 
-	if s, err := e.state(ctx, t); err == nil && (s.Ready || s.Gone) && s.Boot == t.BootID {
+	if s, err := e.queryState(ctx, t); err == nil && (s.Ready || s.Gone) && s.Boot == t.BootID {
 		return
 	}
 
@@ -124,24 +125,25 @@
 	}
 }
 
-// converse is the conversation of one attempt.
-func (j *job) converse(ctx context.Context, r routed) (d message.Done, sent bool, err error) {
+// execute sends j to the target's side process and receives the response. sent reports
+// whether the run may have started there.
+func (j *job) execute(ctx context.Context, r routeChoice) (d message.Done, sent bool, err error) {
 	if r.target.SideAddress == "" {
-		return j.direct(ctx, r)
+		return j.executeDirect(ctx, r)
 	}
 
-	s, err := j.e.cfg.Peers.Open(ctx, sideOf(r.target))
+	s, err := j.e.cfg.Peers.Open(ctx, sideAddress(r.target))
 	if err != nil {
 		return d, false, err
 	}
 
 	defer s.Close()
 
-	// The caller's going away ends the run at the engine and frees its place.
+	// When the caller disconnects, the run at the engine is cancelled and its slot freed.
 	stop := context.AfterFunc(ctx, s.Cancel)
 	defer stop()
 
-	if err := s.Send(j.message(ctx, r)); err != nil {
+	if err := s.Send(j.runMessage(ctx, r)); err != nil {
 		return d, true, err
 	}
 
@@ -157,19 +159,19 @@
 	}
 
 	if err == nil {
-		j.record(r, d)
+		j.recordCompletion(r, d)
 	}
 
 	return d, sent, err
 }
 
-// receiver is the part of a conversation that answers come from.
-type receiver interface {
+// messageReceiver is the receiving side of a stream.
+type messageReceiver interface {
 	Receive() (message.Message, error)
 }
 
-// receive passes the tokens on until the answer is whole.
-func (j *job) receive(s receiver) (message.Done, error) {
+// receive delivers tokens to the caller until the response is complete.
+func (j *job) receive(s messageReceiver) (message.Done, error) {
 	for {
 		m, err := s.Receive()
 		if err != nil {
@@ -178,15 +180,15 @@
 
 		switch m := m.(type) {
 		case message.Token:
-			if err := j.take(m); err != nil {
+			if err := j.deliverToken(m); err != nil {
 				return message.Done{}, err
 			}
 		case message.Imported:
-			j.imported(m.Bytes)
+			j.releaseLink(m.Bytes)
 		case message.Crashed:
 			j.e.Crashed(time.Now(), m.Crash)
 		case message.Done:
-			return m, j.complete(m)
+			return m, j.checkTokenCount(m)
 		default:
 			_, err := message.Expect[message.Done](m)
 
@@ -195,45 +197,45 @@
 	}
 }
 
-// take passes one token on. Its index must follow the last one that the caller
-// has: after a resume, or when answers cross, a token could otherwise come twice
-// or be left out, and the caller would have no way to notice.
-func (j *job) take(t message.Token) error {
-	if t.Index != j.index {
-		event.Log(j.e.cfg.Log, event.AnswerCrossed, "request_id", j.id, "index", t.Index, "want", j.index)
+// deliverToken sends one token to the caller. Its index must follow that of the last
+// token delivered: after a resume, or with a response delivered for another request, a
+// token could otherwise be duplicated or missing, which the caller can't detect.
+func (j *job) deliverToken(t message.Token) error {
+	if t.Index != j.delivered {
+		event.Log(j.e.cfg.Log, event.AnswerCrossed, "request_id", j.id, "index", t.Index, "want", j.delivered)
 
-		return failure.New(failure.TargetLost, "token %d came where %d was due", t.Index, j.index)
+		return failure.New(failure.TargetLost, "received token %d, want token %d", t.Index, j.delivered)
 	}
 
-	if j.index == 0 {
-		j.first = time.Since(j.arrived)
-		j.e.metrics.firstToken(j, j.first)
+	if j.delivered == 0 {
+		j.firstTokenTime = time.Since(j.arrived)
+		j.e.metrics.firstToken(j, j.firstTokenTime)
 	}
 
-	if err := j.to.token(t.Text); err != nil {
-		return failure.Wrap(failure.Cancelled, err, "the caller is gone")
+	if err := j.sink.writeToken(t.Text); err != nil {
+		return failure.Wrap(failure.Cancelled, err, "the caller disconnected")
 	}
 
-	j.index++
-	j.answer = append(j.answer, t.Text...)
+	j.delivered++
+	j.deliveredText = append(j.deliveredText, t.Text...)
 
 	return nil
 }
 
-// complete checks that the caller has as many tokens as the target gave.
-func (j *job) complete(d message.Done) error {
-	if d.Tokens != j.index {
-		return failure.New(failure.TargetLost, "the answer has %d tokens of %d", j.index, d.Tokens)
+// checkTokenCount checks that every token of the complete response was delivered.
+func (j *job) checkTokenCount(d message.Done) error {
+	if d.Tokens != j.delivered {
+		return failure.New(failure.TargetLost, "received %d of %d response tokens", j.delivered, d.Tokens)
 	}
 
 	return nil
 }
 
-// message is what the target's side process is asked to run.
-func (j *job) message(ctx context.Context, r routed) message.Run {
-	left := j.values.Timeout
+// runMessage returns the request to the target's side process.
+func (j *job) runMessage(ctx context.Context, r routeChoice) message.Run {
+	timeLeft := j.values.Timeout
 	if deadline, ok := ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
 
 	return message.Run{
@@ -243,16 +245,16 @@
 		Fingerprint:   j.fingerprint,
 		Suspect:       j.standing == quarantine.Suspect,
 		Model:         j.model,
-		Version:       r.view.version,
+		Version:       r.lookup.version,
 		Salt:          j.salt(),
-		Prompt:        j.text,
-		Resume:        string(j.answer),
-		ResumeTokens:  j.index,
+		Prompt:        j.rendered,
+		Resume:        string(j.deliveredText),
+		ResumeTokens:  j.delivered,
 		MaxTokens:     j.maxTokens,
 		Sampling:      j.sampling,
-		Priority:      priority(j.values.Class),
-		TimeoutMS:     left.Milliseconds(),
-		Anchor:        r.view.anchor,
+		Priority:      enginePriority(j.values.Class),
+		TimeoutMS:     timeLeft.Milliseconds(),
+		Anchor:        r.lookup.anchor,
 		Copies:        r.copies,
 		ParkMinTokens: j.values.ParkMinTokens,
 
@@ -262,8 +264,9 @@
 	}
 }
 
-// priority is the engine's number for a class; lower is sooner.
-func priority(c setting.Class) int {
+// enginePriority returns the engine's priority number for a class; the lowest runs
+// first.
+func enginePriority(c setting.Class) int {
 	switch c {
 	case setting.Urgent:
 		return 0
@@ -276,28 +279,29 @@
 	}
 }
 
-// record notes what a finished run tells: the target's load, and that its engine
-// now holds the context up to the end of the answer.
-func (j *job) record(r routed, d message.Done) {
+// recordCompletion records the results of a completed run: the target's load, the
+// token metrics, and a directory update that the engine now holds the context up to
+// the end of the response.
+func (j *job) recordCompletion(r routeChoice, d message.Done) {
 	now := time.Now()
-	j.e.heardLoad(now, r.target, d.Load)
-	j.e.metrics.computed(j, d)
+	j.e.observeLoad(now, r.target, d.Load)
+	j.e.metrics.completed(j, d)
 
-	scope := j.scopeOf(r.view.version)
-	chain := scope.Chain(j.text+string(j.answer), blockTokens(j.e.speeds.get(r.target.VM)))
+	scope := j.scopeOf(r.lookup.version)
+	chain := scope.Chain(j.rendered+string(j.deliveredText), blockTokensOf(j.e.engines.get(r.target.VM)))
 
 	if len(chain) == 0 {
 		return
 	}
 
-	j.e.learns.Offer(learning{m: message.Learn{
-		Anchor: r.view.anchor,
+	j.e.updates.Offer(directoryUpdate{learn: message.Learn{
+		Anchor: r.lookup.anchor,
 		Chain:  chain,
 		Holding: message.Holding{
 			Holder:     r.target.VM,
 			DataCentre: r.target.DataCentre,
 			Blocks:     len(chain),
-			Version:    r.view.version,
+			Version:    r.lookup.version,
 		},
 	}})
 }
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -6,31 +6,32 @@
 	"boragehub/retry"
 )
 
-// budgets has a retry budget for each service, so that a service whose targets
-// fail does not use up the retries of another.
-type budgets struct {
+// retryBudgets holds a retry budget for each service, so that a service with failing
+// targets does not use up the retries of another.
+type retryBudgets struct {
 	mu        sync.Mutex
-	byService map[string]ratioBudget
+	byService map[string]serviceBudget
 }
 
-// ratioBudget is a budget with the ratio that it was made for.
-type ratioBudget struct {
+// serviceBudget is the budget of one service with its configured ratio.
+type serviceBudget struct {
 	ratio  float64
 	budget *retry.Budget
 }
 
-func newBudgets() *budgets {
-	return &budgets{byService: map[string]ratioBudget{}}
+func newRetryBudgets() *retryBudgets {
+	return &retryBudgets{byService: map[string]serviceBudget{}}
 }
 
-// of returns a service's budget; a new ratio in the settings begins a new one.
-func (b *budgets) of(service string, ratio float64) *retry.Budget {
+// forService returns a service's budget. When ratio has changed, it returns a new,
+// unused one.
+func (b *retryBudgets) forService(service string, ratio float64) *retry.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	known, ok := b.byService[service]
 	if !ok || known.ratio != ratio {
-		known = ratioBudget{ratio: ratio, budget: retry.NewBudget(retry.BudgetConfig{Ratio: ratio})}
+		known = serviceBudget{ratio: ratio, budget: retry.NewBudget(retry.BudgetConfig{Ratio: ratio})}
 		b.byService[service] = known
 	}
 
--- a/entry/direct.go
+++ b/entry/direct.go
@@ -16,19 +16,23 @@
 	"boragehub/vm"
 )
 
-// This file serves targets that have no side process beside them. What is lost
-// without one: admission at first hand, so a full target queues instead of
-// refusing; parking and imports, so a context that was evicted is computed anew;
-// the report of a crash, which only the entry that was cut off suspects; the
-// fence before orders; and calls that may run at most once, which are refused
-// since nobody is the home of their keys.
-
-// directBytes bounds a plain service's answer.
-const directBytes = 4 << 20
-
-// directState asks a target itself how it is.
-func (e *Entry) directState(ctx context.Context, t target.Target) (message.State, error) {
-	c := engine.Client{Address: t.Address, HTTP: e.direct}
+// This file serves targets that have no side process. Without one, the following is
+// missing:
+//
+//   - admission at the target: a full target queues requests instead of refusing them;
+//   - parking and imports: an evicted context is recomputed;
+//   - crash reports: only the entry whose connection broke suspects a crash;
+//   - the fence that protects orders;
+//   - calls that must run at most once: they are refused because no process is the
+//     home of their idempotency keys.
+
+// maxDirectResponseBytes is the maximum size of a plain service's response body; the
+// rest is cut off.
+const maxDirectResponseBytes = 4 << 20
+
+// queryDirectState asks the target itself for its state.
+func (e *Entry) queryDirectState(ctx context.Context, t target.Target) (message.State, error) {
+	c := engine.Client{Address: t.Address, HTTP: e.directClient}
 
 	load, err := c.Load(ctx)
 	if err != nil {
@@ -36,7 +40,7 @@
 	}
 
 	s := message.State{
-		VM: t.VM, Service: t.Service, Ready: true, MaxRunning: directRunning, Sequence: uint64(time.Now().UnixNano()),
+		VM: t.VM, Service: t.Service, Ready: true, MaxRunning: directMaxRunning, Sequence: uint64(time.Now().UnixNano()),
 		Load: message.Load{Running: load.Running, Waiting: load.Waiting, WaitingTokens: load.WaitingTokens},
 	}
 
@@ -62,14 +66,14 @@
 	return s, nil
 }
 
-// directRunning is how many calls a plain service is taken to run at once.
-const directRunning = 64
+// directMaxRunning is how many calls a plain service is assumed to run at once.
+const directMaxRunning = 64
 
-// direct runs j at an engine that has no side process.
-func (j *job) direct(ctx context.Context, r routed) (d message.Done, sent bool, err error) {
-	m := j.message(ctx, r)
-	c := engine.Client{Address: r.target.Address, HTTP: j.e.direct}
-	came := 0
+// executeDirect runs j at an engine without a side process.
+func (j *job) executeDirect(ctx context.Context, r routeChoice) (d message.Done, sent bool, err error) {
+	m := j.runMessage(ctx, r)
+	c := engine.Client{Address: r.target.Address, HTTP: j.e.directClient}
+	reported := 0
 
 	err = c.Complete(ctx, engine.Completion{
 		Sampling:      m.Sampling,
@@ -83,7 +87,7 @@
 		ResumeText:    m.Resume,
 	}, func(p engine.Piece) error {
 		if p.Finish != "" {
-			came = p.Usage.CompletionTokens
+			reported = p.Usage.CompletionTokens
 			d = message.Done{
 				Finish:       p.Finish,
 				PromptTokens: p.Usage.PromptTokens,
@@ -95,48 +99,48 @@
 			return nil
 		}
 
-		return j.take(message.Token{Index: j.index, Text: p.Text})
+		return j.deliverToken(message.Token{Index: j.delivered, Text: p.Text})
 	})
-	d.Tokens = j.index
+	d.Tokens = j.delivered
 
-	if err == nil && came != j.index {
-		err = failure.New(failure.Internal, "the engine's answer has %d tokens, and %d came", came, j.index)
+	if err == nil && reported != j.delivered {
+		err = failure.New(failure.Internal, "the engine reported %d tokens but sent %d", reported, j.delivered)
 	}
 
 	if err != nil {
 		return d, failure.KindOf(err).Answer().Ran != failure.NotRun, err
 	}
 
-	j.record(r, d)
+	j.recordCompletion(r, d)
 
 	return d, true, nil
 }
 
-// direct makes a call at a plain service that has no side process.
-func (c *call) direct(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
+// executeDirect makes a call to a plain service without a side process.
+func (c *call) executeDirect(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
 	if c.message.Once {
-		return reply, false, failure.New(failure.Unavailable, "%s has no side process, so nobody can see to it that the call runs once", t.VM).After(c.e.retryAfter())
+		return reply, false, failure.New(failure.Unavailable, "%s has no side process, which is needed to run the call at most once", t.VM).After(c.e.retryAfter())
 	}
 
 	req, err := http.NewRequestWithContext(ctx, c.message.Method, "http://"+t.Address+c.message.Path, bytes.NewReader(c.message.Body))
 	if err != nil {
-		return reply, false, failure.Wrap(failure.BadRequest, err, "path %q", c.message.Path)
+		return reply, false, failure.Wrap(failure.BadRequest, err, "invalid path %q", c.message.Path)
 	}
 
 	req.Header.Set("Content-Type", c.message.ContentType)
 	req.Header.Set(headerRequestID, c.message.RequestID)
 	req.Header.Set("X-Organisation", c.message.Organisation)
 
-	resp, err := c.e.direct.Do(req)
+	resp, err := c.e.directClient.Do(req)
 	if err != nil {
-		return reply, true, failure.Wrap(failure.TargetLost, err, "the service does not answer")
+		return reply, true, failure.Wrap(failure.TargetLost, err, "the service did not respond")
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
-	body, err := io.ReadAll(io.LimitReader(resp.Body, directBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxDirectResponseBytes))
 	if err != nil {
-		return reply, true, failure.Wrap(failure.TargetLost, err, "the service's answer was cut")
+		return reply, true, failure.Wrap(failure.TargetLost, err, "the service's response was interrupted")
 	}
 
 	return message.Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, true, nil
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,21 +1,23 @@
-// Package entry takes callers' requests and is responsible for their outcome.
+// Package entry accepts callers' requests and is responsible for their outcome.
 //
 // # Model
 //
-// A request is read, its organisation found by its credential, and its settings
-// by its path in the tree. It passes the check for crashes (package quarantine) and the gate
-// (package limit), gets a target (package route) and runs there by way of the
-// target's side process. When a target is lost the request goes on at another
-// one, from the token where it stopped, so the caller gets the whole answer once.
+// A request is authenticated, which gives its organisation, and gets the settings
+// that apply to its site, service, organisation and workload. It passes admission
+// control (package limit) and the quarantine check for requests that crash targets
+// (package quarantine), is routed to a target (package route) and runs there through
+// the target's side process. When a target is lost during a prompt, the prompt is
+// resumed at another target after the last token delivered, so the caller gets the
+// complete response exactly once.
 //
-// # Duties
+// # Background tasks
 //
-//	watch    asks side processes how their targets are, within a budget
-//	learn    tells owners what engines hold
+//	pollTargets    asks side processes for the state of their targets, at a limited rate
+//	sendUpdates    reports to directory owners which contexts engines hold
 //
-// Every entry also owns a part of the context directory: which engines and
-// stores hold which context. What it knows is belief, rebuilt by use; losing it
-// costs recomputation and never a wrong answer.
+// Every entry also owns a part of the context directory, which records the engines
+// and stores that hold each context. The directory is soft state that is rebuilt
+// during operation; its loss causes recomputation but never a wrong response.
 package entry
 
 import (
@@ -44,137 +46,139 @@
 	"boragehub/vm"
 )
 
-// Settings gives the published settings in force, nil before there are any;
-// *publication.Follower is one.
+// Settings returns the published settings in force; Current returns nil before the
+// first publication. *publication.Follower implements it.
 type Settings interface {
 	exchange.Keeper
 	Current() *publication.Published
 }
 
-// Opener opens conversations with peers; *peer.Dialer is one.
-type Opener interface {
+// PeerClient opens streams to peers (Open) and sends single requests to them (Ask).
+// *peer.Dialer implements it.
+type PeerClient interface {
 	Open(ctx context.Context, a peer.Address) (*peer.Stream, error)
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
-// Lister knows the platform's list of VMs; *vm.Follower is one.
+// Lister returns the platform's current list of VMs. *vm.Follower implements it.
 type Lister interface {
 	List() *vm.List
 }
 
-// Config says what an entry is.
+// Config configures an Entry.
 type Config struct {
-	// VM, DataCentre and Site are where it runs.
+	// VM, DataCentre and Site say where the entry runs.
 	VM         string
 	DataCentre string
 	Site       string
-	// MaxRequests bounds the requests in work at once.
+	// MaxRequests is the maximum number of requests in flight; zero means no limit.
 	MaxRequests int
-	// Settings are those in force.
+	// Settings returns the settings in force.
 	Settings Settings
-	// Peers opens conversations with side processes and entries.
-	Peers Opener
-	// VMs knows the targets, stores and entries.
+	// Peers connects to side processes and other entries.
+	Peers PeerClient
+	// VMs lists the targets, stores and entries.
 	VMs Lister
-	// Post puts a crash into the log; nil does nothing.
+	// Post writes a crash report to the shared log; nil drops it.
 	Post func(quarantine.Crash)
-	// Views are documents for operators besides the entry's own.
+	// Views are documents for operators in addition to the entry's own.
 	Views []operator.View
-	// Log gets a line for each decision.
+	// Log receives an event for each decision.
 	Log logr.Logger
-	// Seed makes the draws among equal targets repeatable; zero draws one.
+	// Seed seeds the random choices, such as those between equal targets, so that
+	// they are reproducible; zero uses a random seed.
 	Seed uint64
 }
 
-// Sizes of the rings between duties.
-const learnRing = 1024
+// updateQueueSize is the maximum number of directory updates waiting to be sent.
+const updateQueueSize = 1024
 
 // Entry is one entry process. Use New.
 type Entry struct {
-	cfg     Config
-	targets *target.Table
-	gates   *gates
-	crashes *quarantine.Tracker
-	budgets *budgets
-	learns  *ring.Ring[learning]
-	policy  atomic.Pointer[policy]
-	metrics *metrics
-	owned   *owned
-	speeds  speeds
-	homes   *homes
-	links   *links
-	pace    *pace
-	direct  *http.Client // to targets without a side process
-	active  atomic.Int64
-	leaving atomic.Bool
-	seen    atomic.Bool       // the watch has asked all targets once
-	warmed  map[string]string // by entry, the address that the watch connected to
+	cfg          Config
+	targets      *target.Table
+	gates        *gates
+	crashes      *quarantine.Tracker
+	budgets      *retryBudgets
+	updates      *ring.Ring[directoryUpdate]
+	policy       atomic.Pointer[policy]
+	metrics      *metrics
+	owned        *ownedContexts
+	engines      engineTable
+	homes        *shardHomes
+	links        *linkTable
+	serviceTimes *serviceTimes
+	directClient *http.Client // for targets without a side process
+	active       atomic.Int64
+	draining     atomic.Bool
+	polledAll    atomic.Bool       // pollTargets has polled all targets once
+	connected    map[string]string // by entry, the address that pollTargets connected to
 
 	rngMu sync.Mutex
 	rng   *rand.Rand
 }
 
-// policy is one version of the settings with what is made of it.
+// policy is one version of the settings with the register derived from it.
 type policy struct {
 	version  uint64
 	tree     *setting.Tree
 	register *organisation.Register
 }
 
-// New returns an Entry that knows nothing yet.
+// New returns an Entry without settings or known targets.
 func New(cfg Config) *Entry {
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
 
 	e := &Entry{
-		cfg:     cfg,
-		targets: target.NewTable(target.TableConfig{Self: cfg.VM, DataCentre: cfg.DataCentre}),
-		gates:   newGates(cfg.Seed),
-		crashes: quarantine.NewTracker(quarantine.TrackerConfig{}),
-		budgets: newBudgets(),
-		learns:  ring.New[learning](learnRing),
-		metrics: newMetrics(),
-		owned:   newOwned(directory.Config{}),
-		speeds:  speeds{byVM: map[string]speed{}},
-		homes:   newHomes(),
-		warmed:  map[string]string{},
-		links:   newLinks(),
-		pace:    newPace(),
-		direct:  once.NewClient(),
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		cfg:          cfg,
+		targets:      target.NewTable(target.TableConfig{Self: cfg.VM, DataCentre: cfg.DataCentre}),
+		gates:        newGates(cfg.Seed),
+		crashes:      quarantine.NewTracker(quarantine.TrackerConfig{}),
+		budgets:      newRetryBudgets(),
+		updates:      ring.New[directoryUpdate](updateQueueSize),
+		metrics:      newMetrics(),
+		owned:        newOwnedContexts(directory.Config{}),
+		engines:      engineTable{byVM: map[string]engineInfo{}},
+		homes:        newShardHomes(),
+		connected:    map[string]string{},
+		links:        newLinkTable(),
+		serviceTimes: newServiceTimes(),
+		directClient: once.NewClient(),
+		rng:          rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
 	e.cfg.Views = append(e.ownViews(), cfg.Views...)
 
 	return e
 }
 
-// Run does the duties until ctx ends.
+// Run runs the background tasks until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 
-	for _, duty := range []func(context.Context){e.watch, e.learn} {
-		all.Go(func() { duty(ctx) })
+	for _, task := range []func(context.Context){e.pollTargets, e.sendUpdates} {
+		wg.Go(func() { task(ctx) })
 	}
 
-	all.Wait()
+	wg.Wait()
 }
 
-// Ready reports whether callers can be served: settings are in force, the
-// platform's list is known, its targets were asked once and no planned stop has
-// begun.
+// Ready reports whether callers can be served: settings are in force, the platform's
+// VM list is known, the targets in it were polled once and no drain has started.
 func (e *Entry) Ready() bool {
-	return !e.leaving.Load() && e.policy.Load() != nil && e.seen.Load()
+	return !e.draining.Load() && e.policy.Load() != nil && e.polledAll.Load()
 }
 
-// Leave begins a planned stop: /readyz fails from now on, so that the
-// platform's balancer sends no new callers; those that come are still served.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+// Leave starts the drain before a planned stop: /readyz fails from now on, so that
+// the platform's load balancer sends no new callers. Requests that still arrive are
+// served.
+func (e *Entry) Leave() { e.draining.Store(true) }
 
-// Active returns the number of requests in work.
+// Active returns the number of requests in flight.
 func (e *Entry) Active() int64 { return e.active.Load() }
 
-// OnList takes a new list of VMs in.
+// OnList applies a new list of VMs.
 func (e *Entry) OnList(now time.Time, l *vm.List) {
 	listed := make([]target.Listed, 0, len(l.All()))
 	entries := 0
@@ -195,11 +199,11 @@
 		})
 	}
 
-	e.note(e.targets.ObserveList(now, listed))
+	e.logChanges(e.targets.ObserveList(now, listed))
 	e.gates.setEntries(now, max(entries, 1))
 }
 
-// OnSettings takes a new version of the settings in.
+// OnSettings applies a new version of the settings.
 func (e *Entry) OnSettings(now time.Time, p *publication.Published) {
 	drained := make([]string, 0, len(p.Tree().Drains()))
 	for _, d := range p.Tree().Drains() {
@@ -212,18 +216,18 @@
 	}
 
 	e.targets.ObserveDrained(now, drained, evacuated)
-	e.links.set(p.Tree().Links())
+	e.links.configure(p.Tree().Links())
 
-	// Crashes are counted for the whole entry, so the site's values are in force
-	// for them and not those of a workload.
+	// Crashes are counted for the entry as a whole, so the site's values apply and
+	// not those of a workload.
 	v := p.Tree().Effective(setting.Path{Site: e.cfg.Site})
 	e.crashes.Configure(quarantine.TrackerConfig{Crashes: v.QuarantineCrashes, Memory: v.QuarantineMemory})
 	e.policy.Store(&policy{version: p.Version(), tree: p.Tree(), register: organisation.NewRegister(p.Tree())})
 	event.Log(e.cfg.Log, event.PolicyChanged, "version", p.Version(), "author", p.Author())
 }
 
-// note logs changes of targets' standing.
-func (e *Entry) note(changes []target.Change) {
+// logChanges logs changes in the status of targets.
+func (e *Entry) logChanges(changes []target.Change) {
 	for _, c := range changes {
 		if c.Until.IsZero() {
 			event.Log(e.cfg.Log, event.TargetChanged, "vm", c.VM, "reason", c.Reason.String())
@@ -233,8 +237,8 @@
 	}
 }
 
-// seed draws a number for one request.
-func (e *Entry) seed() uint64 {
+// nextSeed returns a random seed for one request.
+func (e *Entry) nextSeed() uint64 {
 	e.rngMu.Lock()
 	defer e.rngMu.Unlock()
 
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -11,40 +11,40 @@
 	"boragehub/target"
 )
 
-// try makes the call at one target. sent says that it may have run there.
-func (c *call) try(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
-	began := time.Now()
-	s := c.e.targets.Sent(began, t.VM, 1)
-	c.e.pace.begin(t.VM)
+// tryTarget makes the call to one target. sent reports whether it may have run there.
+func (c *call) tryTarget(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
+	start := time.Now()
+	attempt := c.e.targets.Sent(start, t.VM, 1)
+	c.e.serviceTimes.begin(t.VM)
 
-	reply, sent, err = c.converse(ctx, t)
+	reply, sent, err = c.execute(ctx, t)
 	now := time.Now()
-	c.e.pace.end(c.service.Name, t.VM, now.Sub(began), err == nil)
-	c.e.note(c.e.targets.Done(now, s, standing(err, sent)))
+	c.e.serviceTimes.end(c.service.Name, t.VM, now.Sub(start), err == nil)
+	c.e.logChanges(c.e.targets.Done(now, attempt, targetOutcome(err, sent)))
 
 	kind := "done"
 	if err != nil {
 		kind = failure.KindOf(err).String()
 
 		if sent && failure.KindOf(err) == failure.TargetLost {
-			c.e.lost(ctx, t, c.message.Fingerprint)
+			c.e.reportIfCrashed(ctx, t, c.message.Fingerprint)
 		}
 	} else {
 		c.e.crashes.Completed(now, c.message.Fingerprint)
-		c.e.heardLoad(now, t, reply.Load)
+		c.e.observeLoad(now, t, reply.Load)
 	}
 
-	event.Log(c.e.cfg.Log, event.AttemptEnded, "request_id", c.request.id, "attempt", c.attempt, "vm", t.VM, "outcome", kind, "took_ms", now.Sub(began).Milliseconds())
+	event.Log(c.e.cfg.Log, event.AttemptEnded, "request_id", c.request.id, "attempt", c.attempt, "vm", t.VM, "outcome", kind, "took_ms", now.Sub(start).Milliseconds())
 
 	return reply, sent, err
 }
 
-func (c *call) converse(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
+func (c *call) execute(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
 	if t.SideAddress == "" {
-		return c.direct(ctx, t)
+		return c.executeDirect(ctx, t)
 	}
 
-	s, err := c.e.cfg.Peers.Open(ctx, sideOf(t))
+	s, err := c.e.cfg.Peers.Open(ctx, sideAddress(t))
 	if err != nil {
 		return reply, false, err
 	}
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -13,14 +13,14 @@
 	"boragehub/vm"
 )
 
-// placesPerRunning is how many requests one entry lets in for each that the
-// targets of a service run at once, shared among the entries: those that run,
-// as many that wait for them, and as many again since callers don't come to all
-// entries alike.
+// placesPerRunning is the number of admission places (see package limit) for each
+// request that the targets of a service can run at once; the entries divide them
+// equally. One is for a running request, one for a waiting request, and one because
+// callers are not spread evenly over the entries.
 const placesPerRunning = 3
 
-// gates has a gate for each service, so that a crowd before one service takes no
-// places from another.
+// gates holds an admission gate for each service, so that overload of one service
+// takes no places from another.
 type gates struct {
 	seed uint64
 
@@ -33,7 +33,7 @@
 	return &gates{seed: seed, entries: 1, byService: map[string]*limit.Gate{}}
 }
 
-func (g *gates) of(service string) *limit.Gate {
+func (g *gates) forService(service string) *limit.Gate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -46,7 +46,7 @@
 	return gate
 }
 
-// setEntries tells the gates among how many entries rates are divided.
+// setEntries sets the number of entries among which the gates divide rate limits.
 func (g *gates) setEntries(now time.Time, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// used returns the places taken at all gates.
+// used returns the number of places in use at all gates.
 func (g *gates) used() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,30 +71,31 @@
 	return sum
 }
 
-// measure sets each gate's places by what its targets run at once.
-func (e *Entry) measure(now time.Time) {
+// updatePlaces sets each gate's places according to how many requests its targets can
+// run at once.
+func (e *Entry) updatePlaces(now time.Time) {
 	entries := max(1, len(e.cfg.VMs.List().Of(vm.Entry, "")))
 
 	for _, service := range e.targets.Services() {
 		running := 0
 		for _, t := range e.targets.Candidates(now, service) {
-			running += e.speeds.get(t.VM).maxRunning
+			running += e.engines.get(t.VM).maxRunning
 		}
 
 		if running > 0 {
-			e.gates.of(service).SetPlaces(now, float64(running*placesPerRunning)/float64(entries))
+			e.gates.forService(service).SetPlaces(now, float64(running*placesPerRunning)/float64(entries))
 		}
 	}
 }
 
-// expectedWait estimates the time until a request that is let in now could
-// begin at the least busy target of a service.
+// expectedWait estimates the time to the first token of a one-token prompt that is
+// admitted now, at the best target of a service; zero when no target is available.
 func (e *Entry) expectedWait(now time.Time, service string, seed uint64) time.Duration {
 	targets := e.targets.Candidates(now, service)
 	candidates := make([]route.Candidate, len(targets))
 
 	for i, t := range targets {
-		candidates[i] = e.candidate(now, t)
+		candidates[i] = e.routeCandidate(now, t)
 	}
 
 	d := route.Decide(now, route.Config{}, route.Request{Tokens: 1, Seed: seed}, candidates)
@@ -105,10 +106,10 @@
 	return d.FirstToken()
 }
 
-// candidate tells a decision what is believed of a target.
-func (e *Entry) candidate(now time.Time, t target.Target) route.Candidate {
-	sp := e.speeds.get(t.VM)
-	mean, _ := e.pace.of(t.Service, t.VM)
+// routeCandidate returns what is known of a target as input for a routing decision.
+func (e *Entry) routeCandidate(now time.Time, t target.Target) route.Candidate {
+	info := e.engines.get(t.VM)
+	mean, _ := e.serviceTimes.get(t.Service, t.VM)
 
 	return route.Candidate{
 		Name:                   t.VM,
@@ -116,23 +117,24 @@
 		Version:                t.WeightVersion,
 		Draining:               t.State == target.Draining,
 		Suspected:              t.Doubted,
-		Delay:                  e.delay(t.DataCentre),
+		Delay:                  e.roundTrip(t.DataCentre),
 		LoadAt:                 now.Add(-t.Load.Age),
 		Running:                t.Load.Running,
 		Waiting:                t.Load.Waiting,
 		WaitingPrefillTokens:   t.Load.WaitingTokens,
 		SentTokens:             t.AheadTokens,
 		SentRequests:           t.Ahead,
-		MaxRunning:             sp.maxRunning,
+		MaxRunning:             info.maxRunning,
 		PlaceTime:              mean,
-		PrefillTokensPerSecond: sp.prefill,
+		PrefillTokensPerSecond: info.prefillRate,
 	}
 }
 
-// admit passes the gate of a service.
-func (e *Entry) admit(q request, service string, v setting.Values, wait time.Duration) (release func(), err error) {
+// admit requests admission at the gate of a service. The caller must call release
+// when an admitted request ends.
+func (e *Entry) admit(q callerRequest, service string, v setting.Values, wait time.Duration) (release func(), err error) {
 	now := time.Now()
-	gate := e.gates.of(service)
+	gate := e.gates.forService(service)
 
 	p, err := gate.Admit(now, limit.Request{
 		Organisation: q.organisation,
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -11,51 +11,51 @@
 	"boragehub/target"
 )
 
-// outcome is how one attempt ended.
-type outcome struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	reply message.Reply
 	sent  bool
 	err   error
 }
 
-// hedged makes the call at t and, when it may be repeated and takes longer than
-// the settings say, a second time at another target; the first answer counts
-// and the other attempt is cancelled.
-func (c *call) hedged(ctx context.Context, t target.Target) (message.Reply, bool, error) {
+// tryHedged makes the call to t. If the call is idempotent and takes longer than the
+// setting hedge_after, it makes a second call to another target, returns the first
+// successful response and cancels the other attempt.
+func (c *call) tryHedged(ctx context.Context, t target.Target) (message.Reply, bool, error) {
 	after := c.values.HedgeAfter
 	if c.message.Once || after <= 0 {
-		ctx, cancel := c.share(ctx)
+		ctx, cancel := c.withAttemptTimeout(ctx)
 		defer cancel()
 
-		return c.try(ctx, t)
+		return c.tryTarget(ctx, t)
 	}
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	answers := make(chan outcome, 2)
+	results := make(chan attemptResult, 2)
 	attempt := func(t target.Target) {
-		reply, sent, err := c.try(ctx, t)
-		answers <- outcome{reply, sent, err}
+		reply, sent, err := c.tryTarget(ctx, t)
+		results <- attemptResult{reply, sent, err}
 	}
 
 	go attempt(t)
 
-	began := time.Now()
+	start := time.Now()
 
 	wait := time.NewTimer(after)
 	defer wait.Stop()
 
 	for running := 1; ; {
 		select {
-		case o := <-answers:
+		case result := <-results:
 			running--
 
-			if o.err == nil || running == 0 {
-				return o.reply, o.sent, o.err
+			if result.err == nil || running == 0 {
+				return result.reply, result.sent, result.err
 			}
 		case <-wait.C:
-			if other, ok := c.second(ctx, time.Since(began), t); ok {
+			if other, ok := c.hedgeTarget(ctx, time.Since(start), t); ok {
 				running++
 
 				go attempt(other)
@@ -64,11 +64,12 @@
 	}
 }
 
-// second returns the target of a hedge, if there may be one.
-func (c *call) second(ctx context.Context, waited time.Duration, first target.Target) (target.Target, bool) {
+// hedgeTarget returns a target for the hedge, if the retry rules and the budget allow
+// one and a target is available.
+func (c *call) hedgeTarget(ctx context.Context, waited time.Duration, first target.Target) (target.Target, bool) {
 	now := time.Now()
 	standing, _ := c.e.crashes.Check(now, c.message.Fingerprint)
-	may := retry.MayHedge(retry.Hedge{
+	allowed := retry.MayHedge(retry.Hedge{
 		Idempotent: true,
 		Suspect:    standing != quarantine.Clear,
 		Waited:     waited,
@@ -76,7 +77,7 @@
 		Left:       time.Until(c.request.arrived.Add(c.values.Timeout)),
 	})
 
-	if !may || !c.budget.Allow(now) {
+	if !allowed || !c.budget.Allow(now) {
 		return target.Target{}, false
 	}
 
@@ -85,14 +86,14 @@
 	return c.route(ctx, now)
 }
 
-// share bounds one attempt of a call that may be repeated to its part of the
-// timeout, so that a target that falls silent leaves time for the others.
-func (c *call) share(ctx context.Context) (context.Context, context.CancelFunc) {
+// withAttemptTimeout limits one attempt of an idempotent call to its share of the
+// timeout, so that an unresponsive target leaves time for attempts at others.
+func (c *call) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if c.message.Once {
 		return context.WithCancel(ctx)
 	}
 
-	part := c.values.Timeout / time.Duration(max(1, c.values.MaxAttempts))
+	timeout := c.values.Timeout / time.Duration(max(1, c.values.MaxAttempts))
 
-	return context.WithTimeoutCause(ctx, part, failure.New(failure.TargetLost, "the target took longer than its part of the timeout"))
+	return context.WithTimeoutCause(ctx, timeout, failure.New(failure.TargetLost, "the target exceeded its share of the timeout"))
 }
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -10,82 +10,86 @@
 	"boragehub/target"
 )
 
-// shardOf names one shard of a service's idempotency keys.
-type shardOf struct {
+// shardID identifies one shard of a service's idempotency keys.
+type shardID struct {
 	service string
 	shard   int
 }
 
-// homes holds which VM's side process said last that it is the home of a shard.
-type homes struct {
+// shardHomes records the home of each shard: the VM whose side process keeps the claims
+// of the shard's idempotency keys, as last reported by that side process.
+type shardHomes struct {
 	mu   sync.Mutex
-	byID map[shardOf]string
+	vmOf map[shardID]string
 
-	asked map[string]time.Time // by service, when its targets were last asked
+	queried map[string]time.Time // by service, when its targets were last queried
 }
 
-// askAgain is the least time between two rounds of questions for a service's homes.
-const askAgain = time.Second
+// homesQueryInterval is the minimum time between two queries of a service's targets for
+// their homes.
+const homesQueryInterval = time.Second
 
-func newHomes() *homes {
-	return &homes{byID: map[shardOf]string{}, asked: map[string]time.Time{}}
+func newShardHomes() *shardHomes {
+	return &shardHomes{vmOf: map[shardID]string{}, queried: map[string]time.Time{}}
 }
 
-// mayAsk reports whether a service's targets may be asked for their homes now.
-// Callers come by the hundred when a home is gone; one of them asks for all.
-func (h *homes) mayAsk(now time.Time, service string) bool {
+// mayQuery reports whether a service's targets may be queried for their homes now, and
+// records the query if so. When a home is lost, hundreds of calls need it at once; only
+// the first of them queries.
+func (h *shardHomes) mayQuery(now time.Time, service string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if now.Sub(h.asked[service]) < askAgain {
+	if now.Sub(h.queried[service]) < homesQueryInterval {
 		return false
 	}
 
-	h.asked[service] = now
+	h.queried[service] = now
 
 	return true
 }
 
-func (h *homes) get(service string, shard int) (vm string, known bool) {
+func (h *shardHomes) get(service string, shard int) (vm string, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	vm, known = h.byID[shardOf{service, shard}]
+	vm, known = h.vmOf[shardID{service, shard}]
 
 	return vm, known
 }
 
-// set notes the shards of which vm says that it is the home, and forgets those
-// of which it no longer does.
-func (h *homes) set(service, vm string, shards []int) {
+// set records vm as the home of the given shards and removes it from all other shards
+// of the service.
+func (h *shardHomes) set(service, vm string, shards []int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	for id, home := range h.byID {
+	for id, home := range h.vmOf {
 		if id.service == service && home == vm {
-			delete(h.byID, id)
+			delete(h.vmOf, id)
 		}
 	}
 
 	for _, s := range shards {
-		h.byID[shardOf{service, s}] = vm
+		h.vmOf[shardID{service, s}] = vm
 	}
 }
 
-// home returns the target beside which the key's home runs. Homes are told with
-// a target's state, which is asked for only now and then; so when the home is not
-// known, or was tried and isn't it any more, the service's targets are asked now.
-func (c *call) home(ctx context.Context, targets []target.Target) (target.Target, bool) {
+// shardHome returns the target whose side process is the home of the call's key. Homes
+// are reported with the state of a target, which is polled only at intervals. So when
+// the home is not known, or was tried without success, the service's targets are polled
+// at once, at most once per homesQueryInterval.
+func (c *call) shardHome(ctx context.Context, targets []target.Target) (target.Target, bool) {
 	shard := claim.Shard(c.request.organisation, c.message.Key, claim.DefaultShards)
 
-	t, found := c.homeAmong(targets, shard)
-	if !found && c.e.homes.mayAsk(time.Now(), c.service.Name) {
-		ctx, cancel := context.WithTimeout(ctx, homesTimeout)
+	t, found := c.knownHome(targets, shard)
+	if !found && c.e.homes.mayQuery(time.Now(), c.service.Name) {
+		ctx, cancel := context.WithTimeout(ctx, homesQueryTimeout)
 		defer cancel()
 
-		c.e.askAll(ctx, targets)
+		c.e.pollAll(ctx, targets)
 
-		t, found = c.homeAmong(targets, shard)
+		t, found = c.knownHome(targets, shard)
 	}
 
 	if found {
@@ -97,10 +101,10 @@
 	return t, found
 }
 
-// homesTimeout bounds the question for homes, which a caller waits for.
-const homesTimeout = 500 * time.Millisecond
+// homesQueryTimeout limits a query for homes, since a caller waits for its result.
+const homesQueryTimeout = 500 * time.Millisecond
 
-func (c *call) homeAmong(targets []target.Target, shard int) (target.Target, bool) {
+func (c *call) knownHome(targets []target.Target, shard int) (target.Target, bool) {
 	vm, known := c.e.homes.get(c.service.Name, shard)
 
 	for _, t := range targets {
--- a/entry/http.go
+++ b/entry/http.go
@@ -20,26 +20,26 @@
 	"boragehub/setting"
 )
 
-// Headers that callers send and get.
+// Headers of requests and responses.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerTraceParent = "Traceparent"
-	headerWorkload    = "X-Workload"
-	headerKey         = "Idempotency-Key"
-	headerRetryAfter  = "Retry-After"
-	headerRan         = "X-Request-Ran"
-	headerReplayed    = "Idempotency-Replayed"
+	headerRequestID      = "X-Request-Id"
+	headerTraceParent    = "Traceparent"
+	headerWorkload       = "X-Workload"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRetryAfter     = "Retry-After"
+	headerRan            = "X-Request-Ran"
+	headerReplayed       = "Idempotency-Replayed"
 )
 
-// Bounds of headers that callers choose.
+// The maximum lengths of header values set by callers, in bytes.
 const (
-	maxRequestID = 128
-	maxWorkload  = 64
-	maxKey       = 255
+	maxRequestID      = 128
+	maxWorkload       = 64
+	maxIdempotencyKey = 255
 )
 
-// request is what every call has in common.
-type request struct {
+// callerRequest is what all kinds of request have in common.
+type callerRequest struct {
 	id           string
 	organisation string
 	workload     string
@@ -47,18 +47,18 @@
 	policy       *policy
 }
 
-// Handler returns the callers' API.
+// Handler returns the handler of the callers' API.
 func (e *Entry) Handler() http.Handler {
 	c := restful.NewContainer()
 	c.DoNotRecover(false)
 	c.ServiceErrorHandler(func(_ restful.ServiceError, r *restful.Request, w *restful.Response) {
-		e.unknown(w.ResponseWriter, r.Request)
+		e.notFound(w.ResponseWriter, r.Request)
 	})
 	c.Add(e.routes())
 
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, apiPrefix+"/") {
-			e.unknown(w, r)
+			e.notFound(w, r)
 
 			return
 		}
@@ -67,37 +67,38 @@
 	})
 }
 
-// apiPrefix is where the OpenAI API and the plain services are.
+// apiPrefix is the path prefix of the OpenAI API and of plain services.
 const apiPrefix = "/v1"
 
 func (e *Entry) routes() *restful.WebService {
 	ws := new(restful.WebService)
 
-	// Without it every call that names what it accepts would be refused with 406,
-	// and each official client names it.
+	// Without Produces, go-restful refuses every request that has an Accept header
+	// with status 406, and all official clients send one.
 	ws.Path(apiPrefix).Produces("*/*")
-	ws.Route(ws.POST("/chat/completions").To(e.serve(e.chat)))
-	ws.Route(ws.POST("/completions").To(e.serve(e.text)))
-	ws.Route(ws.GET("/models").To(e.serve(e.models)))
+	ws.Route(ws.POST("/chat/completions").To(e.serve(e.serveChat)))
+	ws.Route(ws.POST("/completions").To(e.serve(e.serveText)))
+	ws.Route(ws.GET("/models").To(e.serve(e.serveModels)))
 
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
-		ws.Route(ws.Method(method).Path("/services/{service}/{path:*}").To(e.serve(e.plain)))
+		ws.Route(ws.Method(method).Path("/services/{service}/{path:*}").To(e.serve(e.serveCall)))
 	}
 
 	return ws
 }
 
-// unknown answers a path or method that doesn't exist in the one shape of errors.
-func (e *Entry) unknown(w http.ResponseWriter, r *http.Request) {
+// notFound responds to an unknown path or method with the API's error object.
+func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	id := requestID(r)
 	w.Header().Set(headerRequestID, id)
-	e.fail(w, id, failure.New(failure.UnknownPath, "there is no %s %s", r.Method, r.URL.Path))
+	e.writeError(w, id, failure.New(failure.UnknownPath, "unknown method or path: %s %s", r.Method, r.URL.Path))
 }
 
-// handler serves one authenticated call.
-type handler func(ctx context.Context, q request, r *http.Request, w http.ResponseWriter) error
+// handler serves one authenticated request.
+type handler func(ctx context.Context, q callerRequest, r *http.Request, w http.ResponseWriter) error
 
-// serve reads what every call has in common and turns errors into answers.
+// serve reads what all kinds of request have in common, calls h and writes an error
+// response if it fails.
 func (e *Entry) serve(h handler) restful.RouteFunction {
 	return func(req *restful.Request, resp *restful.Response) {
 		e.active.Add(1)
@@ -111,32 +112,33 @@
 			w.Header().Set(headerTraceParent, t)
 		}
 
-		q, err := e.read(id, req.Request)
+		q, err := e.readRequest(id, req.Request)
 		if err == nil {
 			err = h(req.Request.Context(), q, req.Request, w)
 		}
 
 		if err != nil {
-			e.fail(w, id, err)
+			e.writeError(w, id, err)
 		}
 	}
 }
 
-// read finds a call's organisation and the settings in force.
-func (e *Entry) read(id string, r *http.Request) (request, error) {
-	q := request{id: id, arrived: time.Now(), policy: e.policy.Load()}
+// readRequest authenticates a request and returns its organisation, workload and the
+// settings in force.
+func (e *Entry) readRequest(id string, r *http.Request) (callerRequest, error) {
+	q := callerRequest{id: id, arrived: time.Now(), policy: e.policy.Load()}
 
 	if q.policy == nil {
 		return q, failure.New(failure.NotReady, "no settings are in force yet").After(e.retryAfter())
 	}
 
 	if n := e.cfg.MaxRequests; n > 0 && e.active.Load() > int64(n) {
-		return q, failure.New(failure.QueueFull, "this entry has %d requests in work", n).After(e.retryAfter())
+		return q, failure.New(failure.QueueFull, "this entry has reached its limit of %d requests in flight", n).After(e.retryAfter())
 	}
 
 	credential, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return q, failure.New(failure.Unauthenticated, "an API key is needed: Authorization: Bearer …")
+		return q, failure.New(failure.Unauthenticated, "API key is missing: send Authorization: Bearer …")
 	}
 
 	name, err := q.policy.register.Authenticate(credential)
@@ -148,7 +150,7 @@
 	q.workload = r.Header.Get(headerWorkload)
 
 	if len(q.workload) > maxWorkload {
-		return q, failure.New(failure.BadRequest, "%s is longer than %d", headerWorkload, maxWorkload)
+		return q, failure.New(failure.BadRequest, "%s is longer than %d bytes", headerWorkload, maxWorkload)
 	}
 
 	event.Log(e.cfg.Log.V(1), event.RequestArrived, "request_id", id, "organisation", name, "workload", q.workload, "path", r.URL.Path)
@@ -156,7 +158,7 @@
 	return q, nil
 }
 
-// requestID returns the caller's id when it is one, otherwise a new one.
+// requestID returns the caller's request ID if it is valid, otherwise a new one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(headerRequestID)
 	if id != "" && len(id) <= maxRequestID && strings.IndexFunc(id, unprintable) < 0 {
@@ -168,8 +170,8 @@
 
 func unprintable(r rune) bool { return r <= ' ' || r > '~' }
 
-// values returns the settings for a call of a service.
-func (e *Entry) values(q request, service string) setting.Values {
+// settingValues returns the settings in force for a request to a service.
+func (e *Entry) settingValues(q callerRequest, service string) setting.Values {
 	return q.policy.tree.Effective(setting.Path{
 		Site:         e.cfg.Site,
 		Service:      service,
@@ -178,36 +180,36 @@
 	})
 }
 
-// body reads a body of at most n bytes.
-func body(r *http.Request, n int64) ([]byte, error) {
+// readBody returns a request body of at most n bytes.
+func readBody(r *http.Request, n int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, n+1))
 	if err != nil {
-		return nil, failure.Wrap(failure.BadRequest, err, "the body could not be read")
+		return nil, failure.Wrap(failure.BadRequest, err, "the request body could not be read")
 	}
 
 	if int64(len(b)) > n {
-		return nil, failure.New(failure.TooLarge, "the body is over %d bytes", n)
+		return nil, failure.New(failure.TooLarge, "the request body is larger than %d bytes", n)
 	}
 
 	return b, nil
 }
 
-func (e *Entry) chat(ctx context.Context, q request, r *http.Request, w http.ResponseWriter) error {
-	return e.servePrompt(ctx, q, r, w, chatShape)
+func (e *Entry) serveChat(ctx context.Context, q callerRequest, r *http.Request, w http.ResponseWriter) error {
+	return e.servePrompt(ctx, q, r, w, chatAPI)
 }
 
-func (e *Entry) text(ctx context.Context, q request, r *http.Request, w http.ResponseWriter) error {
-	return e.servePrompt(ctx, q, r, w, textShape)
+func (e *Entry) serveText(ctx context.Context, q callerRequest, r *http.Request, w http.ResponseWriter) error {
+	return e.servePrompt(ctx, q, r, w, textAPI)
 }
 
-// servePrompt serves one prompt.
-func (e *Entry) servePrompt(ctx context.Context, q request, r *http.Request, w http.ResponseWriter, s shape) error {
-	b, err := body(r, e.values(q, "").MaxBodyBytes)
+// servePrompt serves a request of the completions or the chat completions API.
+func (e *Entry) servePrompt(ctx context.Context, q callerRequest, r *http.Request, w http.ResponseWriter, api apiKind) error {
+	b, err := readBody(r, e.settingValues(q, "").MaxBodyBytes)
 	if err != nil {
 		return err
 	}
 
-	c, err := parseCompletion(s, b)
+	c, err := parseCompletion(api, b)
 	if err != nil {
 		return err
 	}
@@ -221,23 +223,23 @@
 		return err
 	}
 
-	v := e.values(q, service)
+	v := e.settingValues(q, service)
 
-	release, err := e.admit(q, service, v, e.expectedWait(q.arrived, service, e.seed()))
+	release, err := e.admit(q, service, v, e.expectedWait(q.arrived, service, e.nextSeed()))
 	if err != nil {
 		return err
 	}
 
 	defer release()
 
-	j := e.newJob(q, service, c, s, v)
-	j.to = newSink(head{shape: s, id: q.id, model: c.Model, created: q.arrived}, w, c)
+	j := e.newJob(q, service, c, api, v)
+	j.sink = newSink(responseMeta{api: api, id: q.id, model: c.Model, created: q.arrived}, w, c)
 
-	return e.finish(ctx, j, w)
+	return e.runJob(ctx, j, w)
 }
 
-func (e *Entry) newJob(q request, service string, c completionRequest, s shape, v setting.Values) *job {
-	text, opening := c.text(s)
+func (e *Entry) newJob(q callerRequest, service string, c completionRequest, api apiKind, v setting.Values) *job {
+	rendered, sharedPrefix := c.render(api)
 
 	return &job{
 		e:            e,
@@ -247,43 +249,44 @@
 		service:      service,
 		model:        c.Model,
 		values:       v,
-		text:         text,
-		opening:      opening,
+		rendered:     rendered,
+		sharedPrefix: sharedPrefix,
 		maxTokens:    min(c.maxTokens(), v.MaxOutputTokens),
 		sampling:     c.Sampling,
-		fingerprint:  quarantine.Of(q.organisation, []byte(c.Model+"\x00"+text)),
-		seed:         e.seed(),
+		fingerprint:  quarantine.Of(q.organisation, []byte(c.Model+"\x00"+rendered)),
+		seed:         e.nextSeed(),
 		arrived:      q.arrived,
 		tried:        map[string]bool{},
 	}
 }
 
-func newSink(h head, w http.ResponseWriter, c completionRequest) sink {
+func newSink(meta responseMeta, w http.ResponseWriter, c completionRequest) sink {
 	if c.Stream {
-		return newStreamSink(h, w, c.StreamOptions.IncludeUsage)
+		return newStreamSink(meta, w, c.StreamOptions.IncludeUsage)
 	}
 
-	return &wholeSink{head: h, w: w}
+	return &bufferedSink{responseMeta: meta, w: w}
 }
 
-// finish runs a job and ends its answer.
-func (e *Entry) finish(ctx context.Context, j *job, w http.ResponseWriter) error {
+// runJob runs a job and ends its response. An error of the job is returned only if
+// nothing has been written to the caller yet; otherwise it is written to the stream.
+func (e *Entry) runJob(ctx context.Context, j *job, w http.ResponseWriter) error {
 	d, err := j.run(ctx)
 	if err == nil {
 		event.Log(e.cfg.Log, event.RequestAnswered, "request_id", j.id, "organisation", j.organisation, "workload", j.workload,
 			"prompt_tokens", d.PromptTokens, "cached_tokens", d.CachedTokens, "imported_tokens", d.ImportedTokens, "tokens", d.Tokens,
-			"first_token_ms", j.first.Milliseconds(), "attempts", j.attempt, "anchor", j.views[0].anchor.String(), "took_ms", time.Since(j.arrived).Milliseconds())
+			"first_token_ms", j.firstTokenTime.Milliseconds(), "attempts", j.attempt, "anchor", j.lookups[0].anchor.String(), "took_ms", time.Since(j.arrived).Milliseconds())
 
-		return j.to.done(d)
+		return j.sink.finish(d)
 	}
 
-	if !j.to.begun() {
+	if !j.sink.hasWritten() {
 		return err
 	}
 
-	// The caller has a part of the answer already, under status 200. It gets the
-	// error as an event of the stream and no end mark, so that a client library
-	// takes the answer for what it is: broken off.
+	// The caller already has part of the response, with status 200. The error is sent
+	// as an event of the stream without the end mark, so that client libraries
+	// recognise the response as incomplete.
 	e.logFailure(j.id, err)
 
 	b, _ := json.Marshal(errorBody(err))
@@ -292,7 +295,7 @@
 	return nil
 }
 
-// serviceOf returns the service that serves a model.
+// serviceOf returns the name of the service that serves a model.
 func serviceOf(t *setting.Tree, model string) (string, bool) {
 	for _, s := range t.Services() {
 		for _, m := range s.Models {
@@ -305,8 +308,8 @@
 	return "", false
 }
 
-// models lists the models that the organisation may use.
-func (e *Entry) models(_ context.Context, q request, _ *http.Request, w http.ResponseWriter) error {
+// serveModels lists the models that the organisation may use.
+func (e *Entry) serveModels(_ context.Context, q callerRequest, _ *http.Request, w http.ResponseWriter) error {
 	type model struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -334,13 +337,13 @@
 	return json.NewEncoder(w).Encode(list)
 }
 
-// apiError is the OpenAI error shape with what callers of boragehub may rely on.
+// apiError is the error object of the OpenAI API, extended by Ran.
 type apiError struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 	Param   any    `json:"param"`
-	// Ran is "not_run" only when the request was not and will not be run.
+	// Ran is "not_run" only if the request was not run and will not be run.
 	Ran string `json:"ran"`
 }
 
@@ -355,8 +358,9 @@
 	return apiErrorBody{Error: apiError{Message: f.Message(), Type: a.Type, Code: a.Code, Ran: a.Ran.String()}}
 }
 
-// fail answers with an error, at once.
-func (e *Entry) fail(w http.ResponseWriter, id string, err error) {
+// writeError writes an error response. A retryable error without a delay of its own
+// gets the one of retryAfter.
+func (e *Entry) writeError(w http.ResponseWriter, id string, err error) {
 	e.logFailure(id, err)
 
 	f := failure.As(err)
@@ -380,7 +384,7 @@
 
 func (e *Entry) logFailure(id string, err error) {
 	f := failure.As(err)
-	e.metrics.refused(f.Kind())
+	e.metrics.failed(f.Kind())
 
 	if errors.Is(err, context.Canceled) {
 		err = nil
--- a/entry/job.go
+++ b/entry/job.go
@@ -16,7 +16,7 @@
 	"boragehub/target"
 )
 
-// job is a prompt on its way through this entry.
+// job is a prompt that this entry serves, from admission to the end of its response.
 type job struct {
 	e            *Entry
 	id           string
@@ -25,63 +25,63 @@
 	service      string
 	model        string
 	values       setting.Values
-	text         string
-	opening      string
+	rendered     string
+	sharedPrefix string
 	maxTokens    int
 	sampling     engine.Sampling
 	fingerprint  quarantine.Fingerprint
 	standing     quarantine.Standing
 	seed         uint64
 	arrived      time.Time
-	to           sink
-
-	attempt int
-	tried   map[string]bool
-	views   []*contextView
-	window  promised
-	budget  *retry.Budget
-	index   int    // tokens passed on to the caller
-	answer  []byte // their text
-	first   time.Duration
+	sink         sink
+
+	attempt        int
+	tried          map[string]bool
+	lookups        []*contextLookup
+	reservation    reservation
+	budget         *retry.Budget
+	delivered      int    // tokens sent to the caller
+	deliveredText  []byte // their text
+	firstTokenTime time.Duration
 }
 
-// salt keeps the organisation's blocks apart from all others'.
+// salt returns the salt of the block hashes, which keeps the cached blocks of
+// organisations separate.
 func (j *job) salt() string { return "organisation/" + j.organisation }
 
-// run serves j until its answer is whole or it is given up. A request given up
-// on is answered at once: waiting longer would only keep its caller from asking
-// elsewhere.
+// run serves j until its response is complete or it fails. A failed request gets its
+// error response at once, so that its caller can retry elsewhere without delay.
 func (j *job) run(ctx context.Context) (message.Done, error) {
 	ctx, cancel := context.WithTimeout(ctx, j.values.Timeout)
 	defer cancel()
 
-	j.budget = j.e.budgets.of(j.service, j.values.RetryRatio)
+	j.budget = j.e.budgets.forService(j.service, j.values.RetryRatio)
 	j.budget.First(time.Now())
 
-	var last error
+	var lastErr error
 
 	for j.attempt = 1; ; j.attempt++ {
-		if err := j.check(time.Now()); err != nil {
+		if err := j.checkQuarantine(time.Now()); err != nil {
 			return message.Done{}, err
 		}
 
 		r, found := j.route(ctx)
 		if !found {
-			return message.Done{}, j.noTarget(last)
+			return message.Done{}, j.noTargetError(lastErr)
 		}
 
-		d, sent, err := j.try(ctx, r)
+		d, sent, err := j.tryTarget(ctx, r)
 		if err == nil {
 			return d, nil
 		}
 
-		last = err
+		lastErr = err
 
 		if !j.shouldRetry(ctx, sent, err) {
 			return message.Done{}, err
 		}
 
-		if j.e.refreshed(ctx, r.target, err) {
+		if j.e.refreshTarget(ctx, r.target, err) {
 			continue
 		}
 
@@ -89,22 +89,22 @@
 	}
 }
 
-// refreshed asks a target anew whose refusal shows that the entry was wrong about
-// it, and reports whether it may take the request after all: one that has moved
-// to another weight version serves that.
-func (e *Entry) refreshed(ctx context.Context, t target.Target, err error) bool {
+// refreshTarget polls a target again when its refusal shows that the entry's view of it
+// was out of date. It reports whether the target may accept the request after all: one
+// that has another weight version by now can run the request with that version.
+func (e *Entry) refreshTarget(ctx context.Context, t target.Target, err error) bool {
 	switch failure.KindOf(err) {
 	case failure.WrongVersion:
-		ctx, cancel := context.WithTimeout(ctx, lostTimeout)
+		ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 		defer cancel()
 
-		e.ask(ctx, t)
+		e.pollTarget(ctx, t)
 
-		now, ok := e.targets.Target(time.Now(), t.VM)
+		current, ok := e.targets.Target(time.Now(), t.VM)
 
-		return ok && now.WeightVersion != t.WeightVersion
+		return ok && current.WeightVersion != t.WeightVersion
 	case failure.NotReady, failure.Draining:
-		go e.ask(context.WithoutCancel(ctx), t)
+		go e.pollTarget(context.WithoutCancel(ctx), t)
 
 		return false
 	default:
@@ -112,8 +112,9 @@
 	}
 }
 
-// check refuses a request that has crashed its targets.
-func (j *job) check(now time.Time) error {
+// checkQuarantine updates j.standing and returns an error if j is quarantined because it
+// crashed targets.
+func (j *job) checkQuarantine(now time.Time) error {
 	var err error
 
 	j.standing, err = j.e.crashes.Check(now, j.fingerprint)
@@ -121,34 +122,38 @@
 	return err
 }
 
-// noTarget is the answer when no target is left to try.
-func (j *job) noTarget(last error) error {
-	if last != nil {
-		return last
+// noTargetError returns the error for a job that no target is left for: the error of the
+// last attempt if there was one.
+func (j *job) noTargetError(lastErr error) error {
+	if lastErr != nil {
+		return lastErr
 	}
 
-	return failure.New(failure.Unavailable, "no engine of %s can take the request", j.service).After(j.e.retryAfter())
+	return failure.New(failure.Unavailable, "no engine of service %s can accept the request", j.service).After(j.e.retryAfter())
 }
 
-// retryAfter spreads callers over the second in which something may have changed.
+// retryAfter returns a random delay between 1 s and 2 s, after which the cause of a
+// refusal may have passed. It spreads the retries of callers refused at the same time.
 func (e *Entry) retryAfter() time.Duration {
-	return time.Second + time.Duration(e.seed()%uint64(time.Second))
+	return time.Second + time.Duration(e.nextSeed()%uint64(time.Second))
 }
 
-// shouldRetry decides whether a failed attempt is followed by another.
+// shouldRetry decides whether a failed attempt is retried, and waits for the backoff if
+// so. It reports false if ctx ends first.
 func (j *job) shouldRetry(ctx context.Context, sent bool, err error) bool {
 	kind := failure.KindOf(err)
-	may := ctx.Err() == nil && retry.May(retry.Attempt{
+	allowed := ctx.Err() == nil && retry.May(retry.Attempt{
 		Idempotent: true,
 		Sent:       sent,
 		Kind:       kind,
 		Number:     j.attempt,
 		Most:       j.values.MaxAttempts,
-		// An answer that doesn't add up can't be gone on with from where it is.
-		Answered: kind == failure.Internal && j.index > 0,
+		// After a response with an inconsistent token count the text already delivered
+		// can't be continued.
+		Answered: kind == failure.Internal && j.delivered > 0,
 	})
 
-	if !may {
+	if !allowed {
 		event.Log(j.e.cfg.Log, event.RepeatRefused, "request_id", j.id, "attempt", j.attempt, "kind", kind.String(), "reason", "not_allowed")
 
 		return false
@@ -162,7 +167,7 @@
 
 	wait := retry.BackoffConfig{}.Backoff(j.attempt, rand.New(rand.NewPCG(j.seed, uint64(j.attempt))))
 	if standing, _ := j.e.crashes.Check(time.Now(), j.fingerprint); standing != quarantine.Clear {
-		wait = max(wait, newsTime)
+		wait = max(wait, crashReportDelay)
 	}
 
 	event.Log(j.e.cfg.Log, event.RequestRepeated, "request_id", j.id, "attempt", j.attempt, "kind", kind.String(), "wait_ms", wait.Milliseconds())
@@ -171,8 +176,8 @@
 	return pause.For(ctx, wait)
 }
 
-// newsTime is how long a request under suspicion waits before it is repeated, so
-// that what other entries saw of it has come: its caller may have sent it to
-// several at once, each of which has lost one target by it, and a third must not
-// be lost. Reports take some hundredths of a second.
-const newsTime = 500 * time.Millisecond
+// crashReportDelay is the minimum delay before a suspect request is retried, so that
+// crash reports of other entries arrive first. The caller may have sent the request to
+// several entries at once, each of which has lost one target to it; without the delay a
+// further target would be lost. Reports take some hundredths of a second.
+const crashReportDelay = 500 * time.Millisecond
--- a/entry/links.go
+++ b/entry/links.go
@@ -8,39 +8,41 @@
 	"boragehub/setting"
 )
 
-// Rates where the settings say nothing, in bytes a second.
+// The rates of links that the settings don't list, within a data centre and between
+// two, in bytes a second.
 const (
 	localBytesPerSecond  = 10e9
 	remoteBytesPerSecond = 1e9
 )
 
-// links is what this entry has promised on the links between data centres. It
-// does not know what others promised; the rate that it measures tells.
-type links struct {
-	mu    sync.Mutex
-	table *link.Table
-	known map[[2]string]setting.Link
+// linkTable holds this entry's reservations on the links between data centres.
+// Reservations of other entries are not known here; they show only in the measured
+// rates.
+type linkTable struct {
+	mu         sync.Mutex
+	table      *link.Table
+	configured map[[2]string]setting.Link
 }
 
-func newLinks() *links {
-	return &links{
-		table: link.NewTable(link.Config{BytesPerSecond: localBytesPerSecond}, link.Config{BytesPerSecond: remoteBytesPerSecond}),
-		known: map[[2]string]setting.Link{},
+func newLinkTable() *linkTable {
+	return &linkTable{
+		table:      link.NewTable(link.Config{BytesPerSecond: localBytesPerSecond}, link.Config{BytesPerSecond: remoteBytesPerSecond}),
+		configured: map[[2]string]setting.Link{},
 	}
 }
 
-// set takes the links of new settings in; those that did not change keep what is
-// promised on them.
-func (l *links) set(all []setting.Link) {
+// configure applies the links of new settings. Links that did not change keep their
+// reservations.
+func (l *linkTable) configure(all []setting.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	for _, s := range all {
-		if l.known[s.Between] == s {
+		if l.configured[s.Between] == s {
 			continue
 		}
 
-		l.known[s.Between] = s
+		l.configured[s.Between] = s
 		l.table.Set(s.Between[0], s.Between[1], link.Config{
 			BytesPerSecond: float64(s.BytesPerSecond),
 			Latency:        time.Duration(s.Delay),
@@ -49,35 +51,35 @@
 }
 
 // Way implements route.Links.
-func (l *links) Way(now time.Time, from, to string) (time.Duration, float64) {
+func (l *linkTable) Way(now time.Time, from, to string) (time.Duration, float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	return l.table.Way(now, from, to)
 }
 
-// promised is a window on a link; the zero promised is none.
-type promised struct {
+// reservation identifies a reserved window on a link; the zero reservation is none.
+type reservation struct {
 	from, to string
 	id       uint64
 }
 
-func (l *links) reserve(now time.Time, from, to string, q link.Request) promised {
+func (l *linkTable) reserve(now time.Time, from, to string, q link.Request) reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	w, ok := l.table.Between(from, to).Reserve(now, q)
 	if !ok {
-		return promised{}
+		return reservation{}
 	}
 
-	return promised{from: from, to: to, id: w.ID}
+	return reservation{from: from, to: to, id: w.ID}
 }
 
-// done ends a promise after so many bytes came over the link, from which its
-// rate is learned; none when nothing did.
-func (l *links) done(now time.Time, p promised, bytes int64) {
-	if p.id == 0 {
+// release ends a reservation after bytes were transferred and updates the measured rate
+// of the link. With zero bytes it cancels the reservation without a measurement.
+func (l *linkTable) release(now time.Time, r reservation, bytes int64) {
+	if r.id == 0 {
 		return
 	}
 
@@ -85,10 +87,10 @@
 	defer l.mu.Unlock()
 
 	if bytes == 0 {
-		l.table.Between(p.from, p.to).Cancel(now, p.id)
+		l.table.Between(r.from, r.to).Cancel(now, r.id)
 
 		return
 	}
 
-	l.table.Between(p.from, p.to).Done(now, p.id, bytes)
+	l.table.Between(r.from, r.to).Done(now, r.id, bytes)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,16 +9,17 @@
 	"boragehub/message"
 )
 
-// metrics are an entry's measures. Labels are bounded: services and workloads
-// come from the settings, kinds from the closed list, and organisations are no
-// label, since there are ten thousand of them.
+// metrics are an entry's metrics. The number of label values must stay bounded: services
+// come from the settings and kinds are a closed list. Workloads are expected to be those
+// of the settings, but the callers' header that names them is not checked. Organisations
+// are not a label because there are ten thousand of them.
 type metrics struct {
 	firstTokens *prometheus.HistogramVec
 	prompts     *prometheus.CounterVec
 	cached      *prometheus.CounterVec
 	imported    *prometheus.CounterVec
-	answers     *prometheus.CounterVec
-	refusals    *prometheus.CounterVec
+	responses   *prometheus.CounterVec
+	failures    *prometheus.CounterVec
 	retries     prometheus.Counter
 }
 
@@ -38,16 +39,16 @@
 			Help:      "Time from a prompt's arrival to its first token.",
 			Buckets:   []float64{.01, .025, .05, .1, .2, .35, .5, .7, .92, 1.3, 2, 4, 8, 16, 32, 64},
 		}, labels),
-		prompts:  counter("prompt_tokens_total", "Tokens of the prompts answered.", labels...),
-		cached:   counter("cached_tokens_total", "Prompt tokens that were not computed.", labels...),
-		imported: counter("imported_tokens_total", "Prompt tokens that were imported from a store for their run.", labels...),
-		answers:  counter("answers_total", "Whole answers given.", labels...),
-		refusals: counter("failures_total", "Requests answered with an error, by kind.", "kind"),
-		retries:  prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Attempts beyond the first."}),
+		prompts:   counter("prompt_tokens_total", "Tokens of the prompts answered.", labels...),
+		cached:    counter("cached_tokens_total", "Prompt tokens that were not computed.", labels...),
+		imported:  counter("imported_tokens_total", "Prompt tokens that were imported from a store for their run.", labels...),
+		responses: counter("answers_total", "Whole answers given.", labels...),
+		failures:  counter("failures_total", "Requests answered with an error, by kind.", "kind"),
+		retries:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Attempts beyond the first."}),
 	}
 }
 
-// Collectors returns the entry's metrics for a registry.
+// Collectors returns the entry's metrics for registration.
 func (e *Entry) Collectors() []prometheus.Collector {
 	m := e.metrics
 	gauge := func(name, help string, get func() float64) prometheus.Collector {
@@ -55,24 +56,24 @@
 	}
 
 	return []prometheus.Collector{
-		m.firstTokens, m.prompts, m.cached, m.imported, m.answers, m.refusals, m.retries,
+		m.firstTokens, m.prompts, m.cached, m.imported, m.responses, m.failures, m.retries,
 		gauge("requests_in_work", "Requests in work now.", func() float64 { return float64(e.active.Load()) }),
 		gauge("places_used", "Places of the gate that are taken.", e.gates.used),
 		gauge("targets_known", "Targets held in the table.", func() float64 { return float64(e.targets.Len()) }),
 		gauge("contexts_owned", "Contexts that this entry keeps for the directory.", func() float64 { return float64(e.owned.contexts()) }),
 		gauge("settings_version", "Version of the settings in force.", func() float64 { return float64(e.version()) }),
-		gauge("learnings_refused_total", "Reports of holdings dropped for want of room.", func() float64 { return float64(e.learns.Refused()) }),
+		gauge("learnings_refused_total", "Reports of holdings dropped for want of room.", func() float64 { return float64(e.updates.Refused()) }),
 	}
 }
 
-func (o *owned) contexts() int {
+func (o *ownedContexts) contexts() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	return o.table.Contexts()
 }
 
-// version returns the version of the settings in force, zero before any.
+// version returns the version of the settings in force; zero before the first.
 func (e *Entry) version() uint64 {
 	if p := e.policy.Load(); p != nil {
 		return p.version
@@ -85,13 +86,13 @@
 	m.firstTokens.WithLabelValues(j.service, j.workload).Observe(d.Seconds())
 }
 
-func (m *metrics) computed(j *job, d message.Done) {
+func (m *metrics) completed(j *job, d message.Done) {
 	m.prompts.WithLabelValues(j.service, j.workload).Add(float64(d.PromptTokens))
 	m.cached.WithLabelValues(j.service, j.workload).Add(float64(d.CachedTokens))
 	m.imported.WithLabelValues(j.service, j.workload).Add(float64(d.ImportedTokens))
-	m.answers.WithLabelValues(j.service, j.workload).Inc()
+	m.responses.WithLabelValues(j.service, j.workload).Inc()
 }
 
-func (m *metrics) refused(k failure.Kind) {
-	m.refusals.WithLabelValues(k.String()).Inc()
+func (m *metrics) failed(k failure.Kind) {
+	m.failures.WithLabelValues(k.String()).Inc()
 }
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -24,7 +24,7 @@
 	N *int `json:"n"`
 }
 
-// promptText is a prompt: one text, or a list with one text.
+// promptText is the prompt of a completion: a JSON string or a list of one string.
 type promptText string
 
 func (p *promptText) UnmarshalJSON(b []byte) error {
@@ -41,7 +41,7 @@
 	}
 
 	if len(list) != 1 {
-		return failure.New(failure.BadRequest, "prompt must be one text")
+		return failure.New(failure.BadRequest, "prompt must be a single string")
 	}
 
 	*p = promptText(list[0])
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// chatMessage is a message whose content is a text or a list of text parts.
+// chatMessage is a chat message whose content is a string or a list of text parts.
 type chatMessage struct {
 	Role    string  `json:"role"`
 	Content content `json:"content"`
@@ -74,46 +74,47 @@
 		return err
 	}
 
-	var whole strings.Builder
+	var joined strings.Builder
 
 	for _, p := range parts {
 		if p.Type != "text" {
-			return failure.New(failure.BadRequest, "content of type %q is not served", p.Type)
+			return failure.New(failure.BadRequest, "content parts of type %q are not supported", p.Type)
 		}
 
-		whole.WriteString(p.Text)
+		joined.WriteString(p.Text)
 	}
 
-	*c = content(whole.String())
+	*c = content(joined.String())
 
 	return nil
 }
 
-// shape tells the two kinds of completion apart.
-type shape uint8
+// apiKind distinguishes the two completion APIs.
+type apiKind uint8
 
 const (
-	textShape shape = iota
-	chatShape
+	textAPI apiKind = iota
+	chatAPI
 )
 
-// defaultMaxTokens bounds an answer where the caller says nothing.
+// defaultMaxTokens is the maximum length of a response, in tokens, if the caller sets
+// none.
 const defaultMaxTokens = 256
 
-// parseCompletion reads and checks a body.
-func parseCompletion(s shape, body []byte) (completionRequest, error) {
+// parseCompletion decodes and validates a request body.
+func parseCompletion(api apiKind, body []byte) (completionRequest, error) {
 	var q completionRequest
 
 	if err := json.Unmarshal(body, &q); err != nil {
-		return q, failure.Wrap(failure.BadRequest, err, "the body is not the JSON of a completion: %s", err)
+		return q, failure.Wrap(failure.BadRequest, err, "the request body is not a valid completion request: %s", err)
 	}
 
 	switch {
 	case q.Model == "":
 		return q, failure.New(failure.BadRequest, "model is missing")
-	case s == chatShape && len(q.Messages) == 0:
+	case api == chatAPI && len(q.Messages) == 0:
 		return q, failure.New(failure.BadRequest, "messages is missing")
-	case s == textShape && q.Prompt == "":
+	case api == textAPI && q.Prompt == "":
 		return q, failure.New(failure.BadRequest, "prompt is missing")
 	case q.N != nil && *q.N != 1:
 		return q, failure.New(failure.BadRequest, "n must be 1")
@@ -135,36 +136,37 @@
 	}
 }
 
-// text returns the prompt that the engine runs and its opening, which names the
-// context: all up to and with the first user message.
-func (q *completionRequest) text(s shape) (text, opening string) {
-	if s == textShape {
-		return string(q.Prompt), openingOf(string(q.Prompt))
+// render returns the prompt as the engine runs it, and its shared prefix, which
+// identifies the context: for a chat, all up to and including the first user message.
+func (q *completionRequest) render(api apiKind) (rendered, sharedPrefix string) {
+	if api == textAPI {
+		return string(q.Prompt), sharedPrefixOf(string(q.Prompt))
 	}
 
-	all := make([]prompt.Message, len(q.Messages))
+	messages := make([]prompt.Message, len(q.Messages))
 	first := len(q.Messages)
 
 	for i, m := range q.Messages {
-		all[i] = prompt.Message{Role: m.Role, Content: string(m.Content)}
+		messages[i] = prompt.Message{Role: m.Role, Content: string(m.Content)}
 
 		if m.Role == "user" && first == len(q.Messages) {
 			first = i + 1
 		}
 	}
 
-	return prompt.Render(all), prompt.Render(all[:first])
+	return prompt.Render(messages), prompt.Render(messages[:first])
 }
 
-// openingBytes is how much of a plain text prompt names its context.
-const openingBytes = 1024
+// sharedPrefixBytes is the length of the shared prefix of a plain text prompt, in bytes.
+const sharedPrefixBytes = 1024
 
-func openingOf(text string) string {
-	return text[:min(len(text), openingBytes)]
+func sharedPrefixOf(text string) string {
+	return text[:min(len(text), sharedPrefixBytes)]
 }
 
-// The answers' shapes.
+// The types below are the JSON objects in responses.
 
+// usage is the token usage in a response.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -175,14 +177,14 @@
 }
 
 type choice struct {
-	Index        int            `json:"index"`
-	Text         *string        `json:"text,omitempty"`
-	Message      *answerMessage `json:"message,omitempty"`
-	Delta        *answerMessage `json:"delta,omitempty"`
-	FinishReason *string        `json:"finish_reason"`
+	Index        int              `json:"index"`
+	Text         *string          `json:"text,omitempty"`
+	Message      *responseMessage `json:"message,omitempty"`
+	Delta        *responseMessage `json:"delta,omitempty"`
+	FinishReason *string          `json:"finish_reason"`
 }
 
-type answerMessage struct {
+type responseMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
@@ -196,32 +198,32 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (s shape) id(requestID string) string {
-	if s == chatShape {
+func (k apiKind) id(requestID string) string {
+	if k == chatAPI {
 		return "chatcmpl-" + requestID
 	}
 
 	return "cmpl-" + requestID
 }
 
-func (s shape) object(stream bool) string {
+func (k apiKind) object(stream bool) string {
 	switch {
-	case s == chatShape && stream:
+	case k == chatAPI && stream:
 		return "chat.completion.chunk"
-	case s == chatShape:
+	case k == chatAPI:
 		return "chat.completion"
 	default:
 		return "text_completion"
 	}
 }
 
-// piece returns the choice for one piece of a stream.
-func (s shape) piece(text string, first bool, finish *string) choice {
-	if s == textShape {
+// chunkChoice returns the choice for one chunk of a stream.
+func (k apiKind) chunkChoice(text string, first bool, finish *string) choice {
+	if k == textAPI {
 		return choice{Text: &text, FinishReason: finish}
 	}
 
-	d := &answerMessage{Content: text}
+	d := &responseMessage{Content: text}
 	if first {
 		d.Role = "assistant"
 	}
@@ -229,11 +231,11 @@
 	return choice{Delta: d, FinishReason: finish}
 }
 
-// whole returns the choice of a whole answer.
-func (s shape) whole(text, finish string) choice {
-	if s == textShape {
+// fullChoice returns the choice for a complete response.
+func (k apiKind) fullChoice(text, finish string) choice {
+	if k == textAPI {
 		return choice{Text: &text, FinishReason: &finish}
 	}
 
-	return choice{Message: &answerMessage{Role: "assistant", Content: text}, FinishReason: &finish}
+	return choice{Message: &responseMessage{Role: "assistant", Content: text}, FinishReason: &finish}
 }
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -14,24 +14,24 @@
 	"boragehub/vm"
 )
 
-// Timeouts of the directory.
+// Timeouts of requests to directory owners.
 const (
-	// locateTimeout bounds what asking an owner may add to the first token.
+	// locateTimeout limits how long the lookup at an owner delays the first token.
 	locateTimeout = 150 * time.Millisecond
-	learnTimeout  = 2 * time.Second
+	updateTimeout = 2 * time.Second
 )
 
-// owned is the part of the context directory that this entry keeps.
-type owned struct {
+// ownedContexts is the part of the context directory that this entry owns.
+type ownedContexts struct {
 	mu    sync.Mutex
 	table *directory.Table
 }
 
-func newOwned(cfg directory.Config) *owned {
-	return &owned{table: directory.NewTable(cfg)}
+func newOwnedContexts(cfg directory.Config) *ownedContexts {
+	return &ownedContexts{table: directory.NewTable(cfg)}
 }
 
-func (o *owned) learn(now time.Time, m message.Learn) {
+func (o *ownedContexts) update(now time.Time, m message.Learn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -57,7 +57,7 @@
 	})
 }
 
-func (o *owned) locate(now time.Time, anchor prompt.Hash, chain prompt.Chain) []message.Holding {
+func (o *ownedContexts) locate(now time.Time, anchor prompt.Hash, chain prompt.Chain) []message.Holding {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -80,23 +80,24 @@
 	return holdings
 }
 
-// all returns every holding under an anchor.
-func (o *owned) all(now time.Time, anchor prompt.Hash) []directory.Holding {
+// holdings returns all holdings under an anchor.
+func (o *ownedContexts) holdings(now time.Time, anchor prompt.Hash) []directory.Holding {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	return o.table.Holdings(now, anchor)
 }
 
-// forgetHolder drops what is believed of an engine that started anew.
-func (o *owned) forgetHolder(name string) {
+// removeHolder removes the holdings of an engine that restarted.
+func (o *ownedContexts) removeHolder(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	o.table.ForgetHolder(directory.Engine, name)
 }
 
-// owner returns the entry that keeps what is known of anchor.
+// owner returns the entry of this data centre that owns anchor. self reports whether it
+// is this one, in which case the address is empty.
 func (e *Entry) owner(anchor prompt.Hash) (a peer.Address, self bool) {
 	entries := e.cfg.VMs.List().Of(vm.Entry, e.cfg.DataCentre)
 	names := make([]string, len(entries))
@@ -119,14 +120,15 @@
 	return peer.Address{VM: name, Addr: m.SideAddress}, false
 }
 
-// locate asks who holds leading blocks of a context. It returns nothing when the
-// owner is silent: the prompt is then computed anew, which is slow and not wrong.
+// locate returns the holders of the leading blocks of a context, as recorded by its
+// owner. If the owner does not respond in time it returns none: the prompt is then
+// recomputed, which is slow but correct.
 func (e *Entry) locate(ctx context.Context, requestID string, anchor prompt.Hash, chain prompt.Chain) []message.Holding {
-	began := time.Now()
+	start := time.Now()
 
 	owner, self := e.owner(anchor)
 	if self {
-		return e.owned.locate(began, anchor, chain)
+		return e.owned.locate(start, anchor, chain)
 	}
 
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
@@ -138,7 +140,7 @@
 
 		l, err = message.Expect[message.Located](m)
 		if err == nil {
-			event.Log(e.cfg.Log.V(1), event.ContextLocated, "request_id", requestID, "owner", owner.VM, "holdings", len(l.Holdings), "took_us", time.Since(began).Microseconds())
+			event.Log(e.cfg.Log.V(1), event.ContextLocated, "request_id", requestID, "owner", owner.VM, "holdings", len(l.Holdings), "took_us", time.Since(start).Microseconds())
 
 			return l.Holdings
 		}
@@ -149,32 +151,32 @@
 	return nil
 }
 
-// learning is something that an owner should know.
-type learning struct {
-	m message.Learn
+// directoryUpdate is an update to be sent to the owner of its anchor.
+type directoryUpdate struct {
+	learn message.Learn
 }
 
-// learn tells owners what engines hold, until ctx ends.
-func (e *Entry) learn(ctx context.Context) {
+// sendUpdates sends the queued directory updates to their owners until ctx ends.
+func (e *Entry) sendUpdates(ctx context.Context) {
 	for {
-		l, ok := e.learns.Take(ctx)
+		update, ok := e.updates.Take(ctx)
 		if !ok {
 			return
 		}
 
-		e.tell(ctx, l.m)
+		e.sendUpdate(ctx, update.learn)
 	}
 }
 
-func (e *Entry) tell(ctx context.Context, m message.Learn) {
+func (e *Entry) sendUpdate(ctx context.Context, m message.Learn) {
 	owner, self := e.owner(m.Anchor)
 	if self {
-		e.owned.learn(time.Now(), m)
+		e.owned.update(time.Now(), m)
 
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 
 	if _, err := e.cfg.Peers.Ask(ctx, owner, m); err != nil && ctx.Err() == nil {
@@ -182,7 +184,7 @@
 	}
 }
 
-// Handle answers one conversation of another process.
+// Handle serves one stream opened by another process.
 func (e *Entry) Handle(_ context.Context, from peer.Identity, t *peer.Stream) {
 	m, err := t.Receive()
 	if err != nil {
@@ -195,14 +197,14 @@
 	case message.Locate:
 		err = t.Send(message.Located{Holdings: e.owned.locate(now, m.Anchor, m.Chain)})
 	case message.Learn:
-		e.owned.learn(now, m)
+		e.owned.update(now, m)
 		err = t.Send(message.Ack{})
 	case message.Crashed:
 		e.Crashed(now, m.Crash)
 		err = t.Send(message.Ack{})
 	default:
-		answers := operator.Responder{Settings: e.cfg.Settings, Views: e.cfg.Views}
-		err = t.Send(answers.Answer(now, from, m))
+		responder := operator.Responder{Settings: e.cfg.Settings, Views: e.cfg.Views}
+		err = t.Send(responder.Answer(now, from, m))
 	}
 
 	if err != nil {
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// pace is how long the requests of each service keep their places, and how many
-// calls this entry has open at each target; by it an old load report is brought up
-// to date.
-type pace struct {
-	mu     sync.Mutex
-	mean   map[string]time.Duration // by service
-	flying map[string]int           // by VM
+// serviceTimes measures the mean time that the requests of each service take and counts
+// the requests of this entry in flight at each target. Routing uses both to correct
+// outdated load reports.
+type serviceTimes struct {
+	mu       sync.Mutex
+	mean     map[string]time.Duration // by service
+	inFlight map[string]int           // by VM
 }
 
-func newPace() *pace {
-	return &pace{mean: map[string]time.Duration{}, flying: map[string]int{}}
+func newServiceTimes() *serviceTimes {
+	return &serviceTimes{mean: map[string]time.Duration{}, inFlight: map[string]int{}}
 }
 
-// paceWeight is the weight of one request against those before.
-const paceWeight = 0.05
+// meanWeight is the weight of one request in the exponential moving average.
+const meanWeight = 0.05
 
-// begin notes a request that goes to a target.
-func (p *pace) begin(vm string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// begin counts a request sent to a target.
+func (s *serviceTimes) begin(vm string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	p.flying[vm]++
+	s.inFlight[vm]++
 }
 
-// end notes that it ended, and how long it took when it was answered.
-func (p *pace) end(service, vm string, took time.Duration, answered bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// end counts a request that has ended. Only the time of a successful one enters the mean.
+func (s *serviceTimes) end(service, vm string, took time.Duration, succeeded bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if p.flying[vm]--; p.flying[vm] <= 0 {
-		delete(p.flying, vm)
+	if s.inFlight[vm]--; s.inFlight[vm] <= 0 {
+		delete(s.inFlight, vm)
 	}
 
-	if !answered {
+	if !succeeded {
 		return
 	}
 
-	mean, ok := p.mean[service]
+	mean, ok := s.mean[service]
 	if !ok {
 		mean = took
 	}
 
-	p.mean[service] = mean + time.Duration(paceWeight*float64(took-mean))
+	s.mean[service] = mean + time.Duration(meanWeight*float64(took-mean))
 }
 
-// of returns the mean time of a service's requests, zero when none was answered
-// yet, and how many this entry has open at a target.
-func (p *pace) of(service, vm string) (mean time.Duration, flying int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// get returns the mean time of a service's requests, zero before the first success, and
+// the number of requests of this entry in flight at a target.
+func (s *serviceTimes) get(service, vm string) (mean time.Duration, inFlight int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	return p.mean[service], p.flying[vm]
+	return s.mean[service], s.inFlight[vm]
 }
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -1,13 +1,12 @@
-// Package placement is the duty of the entry that places weights in one data
-// centre.
+// Package placement manages the model weights of the engines in one data centre.
 //
 // # Model
 //
-// The entries of a data centre share one lease. Its holder, the leader, asks the
-// side processes of the data centre's engines what they have, compares it with
-// the settings (package weights) and sends the orders, each with the lease's
-// fencing number. Leaders come and go without handing anything over: all that
-// counts is read from the engines, and side processes refuse an old fence.
+// The entries of a data centre share one lease. Its holder, the leader, asks the side
+// processes of the data centre's engines for their state, compares it with the settings
+// (package weights) and sends orders that carry the lease's fencing number. A new
+// leader takes over without a handover: it reads all state from the engines, and side
+// processes refuse orders with an old fencing number.
 package placement
 
 import (
@@ -29,106 +28,110 @@
 	"boragehub/weights"
 )
 
-// Timing of the leader. A round asks each engine of the data centre once, about
-// 420 bytes each; between rolls it is slow, so that 155 engines cost 540 bytes a
-// second.
+// A round polls each engine of the data centre once, which takes about 420 bytes on the
+// wire for each. Between rollouts rounds are rare: at idleInterval 155 engines cost
+// 540 bytes a second.
 const (
-	busyEvery  = 2 * time.Second
-	idleEvery  = 2 * time.Minute
-	askTimeout = 2 * time.Second
-	askAtOnce  = 16
+	activeInterval       = 2 * time.Second
+	idleInterval         = 2 * time.Minute
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 16
 )
 
-// Asker opens conversations; *peer.Dialer is one.
-type Asker interface {
+// PeerClient sends single requests to peers. *peer.Dialer implements it.
+type PeerClient interface {
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
-// Lister knows the platform's list of VMs; *vm.Follower is one.
+// Lister returns the platform's current list of VMs. *vm.Follower implements it.
 type Lister interface {
 	List() *vm.List
 }
 
-// Settings gives the published settings in force, nil before there are any.
+// Settings returns the published settings in force; Current returns nil before the
+// first publication.
 type Settings interface {
 	Current() *publication.Published
 }
 
-// Fence tells whether this process leads, and under which fencing number;
-// *lease.Keeper is one.
-type Fence interface {
+// Lease reports the fencing number and whether this process holds the lease at now.
+// *lease.Keeper implements it.
+type Lease interface {
 	Fence(now time.Time) (uint64, bool)
 }
 
-// Config says where a Leader leads.
+// Config configures a Leader.
 type Config struct {
-	// DataCentre is the data centre.
+	// DataCentre is the data centre whose engines are managed.
 	DataCentre string
-	// Lease tells whether this process leads.
-	Lease Fence
-	// Peers, VMs and Settings are the entry's.
-	Peers    Asker
+	// Lease reports whether this process is the leader.
+	Lease Lease
+	// Peers, VMs and Settings are those of the entry.
+	Peers    PeerClient
 	VMs      Lister
 	Settings Settings
-	// Log gets a line for each order.
+	// Log receives an event for each order and each change of a rollout.
 	Log logr.Logger
 }
 
-// Name returns the lease's name for a data centre.
-func Name(dataCentre string) string { return "placement/" + dataCentre }
+// LeaseName returns the name of a data centre's lease.
+func LeaseName(dataCentre string) string { return "placement/" + dataCentre }
 
-// NewKeeper returns the keeper of a data centre's lease for one process.
+// NewKeeper returns the lease keeper of one process, named holder, for a data centre's
+// lease.
 func NewKeeper(log journal.Log, dataCentre, holder string, l logr.Logger) *lease.Keeper {
 	return lease.NewKeeper(lease.Config{
 		Log:    log,
-		Stream: "leases." + dataCentre, // read by the entries of this data centre alone
-		Name:   Name(dataCentre),
+		Stream: "leases." + dataCentre, // read only by the entries of this data centre
+		Name:   LeaseName(dataCentre),
 		Holder: holder,
 		Logger: l,
 	})
 }
 
-// Leader places weights while this process holds the lease. Use New.
+// Leader manages the weights of a data centre's engines while this process holds the
+// lease. Use New.
 type Leader struct {
-	cfg       Config
-	inventory *weights.Inventory
-	fence     uint64
-	since     time.Time
+	cfg        Config
+	inventory  *weights.Inventory
+	fence      uint64
+	fenceSince time.Time
 
 	mu       sync.Mutex
 	progress []weights.Progress
 }
 
-// New returns a Leader.
+// New returns a Leader without any state of engines.
 func New(cfg Config) *Leader {
 	return &Leader{cfg: cfg, inventory: weights.NewInventory(weights.InventoryConfig{})}
 }
 
-// Roll is how far one model's roll is, as operators see it.
-type Roll struct {
+// Rollout is the progress of one model's rollout, as shown to operators.
+type Rollout struct {
 	// Model and WeightVersion say what is rolled out.
 	Model         string `json:"model"`
 	WeightVersion string `json:"weight_version"`
-	// FellBack says that the wanted version failed and this is the one before.
+	// FellBack says that the wanted version failed and WeightVersion is the fallback.
 	FellBack bool `json:"fell_back"`
-	// Done, Loading, Left and Ready count engines.
+	// Done, Loading, Left and Ready are numbers of engines: with the version, loading,
+	// still to be ordered, and able to serve with any version.
 	Done    int `json:"done"`
 	Loading int `json:"loading"`
 	Left    int `json:"left"`
 	Ready   int `json:"ready"`
-	// Halt is why nothing goes on, "none" when something does.
+	// Halt is the reason why the rollout is stopped; "none" when it is not.
 	Halt string `json:"halt"`
 }
 
-// Rolls returns how far the rolls are; empty while another process leads.
-func (l *Leader) Rolls() []Roll {
+// Rolls returns the progress of all rollouts; empty while another process leads.
+func (l *Leader) Rolls() []Rollout {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	all := make([]Roll, len(l.progress))
+	all := make([]Rollout, len(l.progress))
 
 	for i, p := range l.progress {
-		all[i] = Roll{
+		all[i] = Rollout{
 			Model: p.Model, WeightVersion: p.Version, FellBack: p.FellBack,
 			Done: p.Done, Loading: p.Loading, Left: p.Left, Ready: p.Ready, Halt: p.Halt.String(),
 		}
@@ -137,9 +140,9 @@
 	return all
 }
 
-// Run leads whenever this process holds the lease, until ctx ends.
+// Run manages the weights whenever this process holds the lease, until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
-	t := time.NewTimer(busyEvery)
+	t := time.NewTimer(activeInterval)
 	defer t.Stop()
 
 	for {
@@ -153,40 +156,42 @@
 	}
 }
 
-// round does one round and returns the time until the next.
+// round polls the engines, sends the orders that are due and returns the time until the
+// next round.
 func (l *Leader) round(ctx context.Context) time.Duration {
 	now := time.Now()
-	fence, leads := l.cfg.Lease.Fence(now)
+	fence, leading := l.cfg.Lease.Fence(now)
 	settings := l.cfg.Settings.Current()
-	l.note(now, fence, leads)
+	l.updateFence(now, fence, leading)
 
-	if !leads || settings == nil {
-		l.report(nil)
+	if !leading || settings == nil {
+		l.setProgress(nil)
 
-		return busyEvery
+		return activeInterval
 	}
 
 	engines := l.engines()
-	l.hear(ctx, engines)
+	l.pollEngines(ctx, engines)
 
-	wanted := Wanted(settings.Tree(), count(engines))
-	r := weights.Plan(time.Now(), l.config(settings.Tree()), l.inventory.View(time.Now(), wanted, l.fence, l.since))
-	l.report(r.Progress)
+	wanted := Wanted(settings.Tree(), countByService(engines))
+	r := weights.Plan(time.Now(), l.planConfig(settings.Tree()), l.inventory.View(time.Now(), wanted, l.fence, l.fenceSince))
+	l.setProgress(r.Progress)
 
 	for _, o := range r.Orders {
-		l.send(ctx, o)
+		l.sendOrder(ctx, o)
 	}
 
 	if idle(r) {
-		return idleEvery
+		return idleInterval
 	}
 
-	return busyEvery
+	return activeInterval
 }
 
-// note logs when leading begins or ends.
-func (l *Leader) note(now time.Time, fence uint64, leads bool) {
-	if !leads {
+// updateFence records and logs the start and the end of leadership. A fence of zero
+// means that this process does not lead.
+func (l *Leader) updateFence(now time.Time, fence uint64, leading bool) {
+	if !leading {
 		fence = 0
 	}
 
@@ -194,11 +199,11 @@
 		return
 	}
 
-	l.fence, l.since = fence, now
-	event.Log(l.cfg.Log, event.PlacementLeader, "held", leads, "fence", fence)
+	l.fence, l.fenceSince = fence, now
+	event.Log(l.cfg.Log, event.PlacementLeader, "held", leading, "fence", fence)
 }
 
-func (l *Leader) report(p []weights.Progress) {
+func (l *Leader) setProgress(p []weights.Progress) {
 	l.mu.Lock()
 	before := l.progress
 	l.progress = p
@@ -207,32 +212,32 @@
 	for _, now := range p {
 		i := slices.IndexFunc(before, func(b weights.Progress) bool { return b.Model == now.Model })
 		if i < 0 {
-			l.tell(weights.Progress{Model: now.Model, Version: now.Version}, now)
+			l.logProgress(weights.Progress{Model: now.Model, Version: now.Version}, now)
 		} else if before[i] != now {
-			l.tell(before[i], now)
+			l.logProgress(before[i], now)
 		}
 	}
 }
 
-// tell logs how a roll has changed since the round before.
-func (l *Leader) tell(before, now weights.Progress) {
-	log, about := l.cfg.Log, []any{"model", now.Model, "weight_version", now.Version}
+// logProgress logs how a rollout has changed since the previous round.
+func (l *Leader) logProgress(before, now weights.Progress) {
+	log, fields := l.cfg.Log, []any{"model", now.Model, "weight_version", now.Version}
 
-	event.Log(log, event.RollProgressed, append(about, "done", now.Done, "loading", now.Loading, "left", now.Left, "ready", now.Ready, "halt", now.Halt.String())...)
+	event.Log(log, event.RollProgressed, append(fields, "done", now.Done, "loading", now.Loading, "left", now.Left, "ready", now.Ready, "halt", now.Halt.String())...)
 
 	switch {
 	case now.Halt != before.Halt && now.Halt == weights.VersionFailed:
-		event.Log(log, event.RollHalted, about...)
+		event.Log(log, event.RollHalted, fields...)
 	case now.Halt != before.Halt && now.Halt == weights.Settling:
 		event.Log(log, event.LeaderSettling, "fence", l.fence)
 	case now.FellBack && !before.FellBack:
-		event.Log(log, event.RollFellBack, append(about, "fallback", now.Version)...)
+		event.Log(log, event.RollFellBack, append(fields, "fallback", now.Version)...)
 	case now.Left+now.Loading == 0 && before.Left+before.Loading > 0:
-		event.Log(log, event.RollCompleted, about...)
+		event.Log(log, event.RollCompleted, fields...)
 	}
 }
 
-// idle reports that nothing is under way or left to do.
+// idle reports whether no engine is loading or has yet to load, and no order is due.
 func idle(r weights.Result) bool {
 	for _, p := range r.Progress {
 		if p.Left > 0 || p.Loading > 0 {
@@ -256,35 +261,35 @@
 	return all
 }
 
-// hear asks all engines how they are.
-func (l *Leader) hear(ctx context.Context, engines []vm.VM) {
-	var all sync.WaitGroup
+// pollEngines polls all engines concurrently and records their reports.
+func (l *Leader) pollEngines(ctx context.Context, engines []vm.VM) {
+	var wg sync.WaitGroup
 
-	room := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 
 	for _, m := range engines {
-		room <- struct{}{}
+		slots <- struct{}{}
 
-		all.Go(func() {
-			l.ask(ctx, m)
+		wg.Go(func() {
+			l.pollEngine(ctx, m)
 
-			<-room
+			<-slots
 		})
 	}
 
-	all.Wait()
+	wg.Wait()
 }
 
-func (l *Leader) ask(ctx context.Context, m vm.VM) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (l *Leader) pollEngine(ctx context.Context, m vm.VM) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 
-	answer, err := l.cfg.Peers.Ask(ctx, sideOf(m), message.Ask{})
+	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.Ask{})
 	if err != nil {
 		return
 	}
 
-	s, err := message.Expect[message.State](answer)
+	s, err := message.Expect[message.State](response)
 	if err != nil {
 		return
 	}
@@ -308,7 +313,7 @@
 	})
 }
 
-func sideOf(m vm.VM) peer.Address { return peer.Address{VM: m.Name, Addr: m.SideAddress} }
+func sideAddress(m vm.VM) peer.Address { return peer.Address{VM: m.Name, Addr: m.SideAddress} }
 
 func stateOf(s message.State) weights.State {
 	switch {
@@ -321,12 +326,12 @@
 	}
 }
 
-// send gives one order. The lease is looked at once more just before: a process
-// that was paused since the plan was made must not send it.
-func (l *Leader) send(ctx context.Context, o weights.Order) {
+// sendOrder sends one order. It checks the lease again first: a process that was paused
+// after the plan was made must not send it.
+func (l *Leader) sendOrder(ctx context.Context, o weights.Order) {
 	now := time.Now()
 
-	if fence, leads := l.cfg.Lease.Fence(now); !leads || fence != o.Fence {
+	if fence, leading := l.cfg.Lease.Fence(now); !leading || fence != o.Fence {
 		return
 	}
 
@@ -339,10 +344,10 @@
 		"adapter", o.Adapter, "role", o.Role, "fence", o.Fence, "number", o.Number)
 	l.inventory.Ordered(now, o)
 
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 
-	answer, err := l.cfg.Peers.Ask(ctx, sideOf(m), message.Order{
+	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.Order{
 		Fence:   o.Fence,
 		Number:  o.Number,
 		Kind:    string(o.Kind),
@@ -351,7 +356,7 @@
 		Role:    o.Role,
 	})
 	if err == nil {
-		_, err = message.Expect[message.Ack](answer)
+		_, err = message.Expect[message.Ack](response)
 	}
 
 	l.inventory.Answered(time.Now(), o, err)
@@ -361,18 +366,18 @@
 	}
 }
 
-func (l *Leader) config(t *setting.Tree) weights.Config {
+func (l *Leader) planConfig(t *setting.Tree) weights.Config {
 	d, _ := t.DataCentre(l.cfg.DataCentre)
 
 	return weights.Config{Loads: d.ConcurrentLoads}
 }
 
-// spareShare is the part of a data centre's engines that a roll may take out at
-// once; one always.
-const spareShare = 4
+// unavailableDivisor limits how many engines of a service a rollout may take out of
+// service at once: one in unavailableDivisor, but at least one.
+const unavailableDivisor = 4
 
-// count returns the number of engines by service.
-func count(engines []vm.VM) map[string]int {
+// countByService returns the number of engines of each service.
+func countByService(engines []vm.VM) map[string]int {
 	n := map[string]int{}
 	for _, m := range engines {
 		n[m.Service]++
@@ -381,9 +386,10 @@
 	return n
 }
 
-// Wanted returns what the settings ask of the models of one data centre, whose
-// engines are counted by service. A roll that failed goes back to the service's
-// own version.
+// Wanted returns what the settings require of the models in one data centre. engines is
+// the number of its engines for each service. The fallback of a rollout that fails is
+// the service's own version. Services without a weight version, and those whose rollout
+// is paused, are left out.
 func Wanted(t *setting.Tree, engines map[string]int) []weights.Wanted {
 	var all []weights.Wanted
 
@@ -407,7 +413,7 @@
 		n := engines[s.Name]
 
 		for _, model := range s.Models {
-			all = append(all, weights.Wanted{Model: model, Version: version, Fallback: fallback, MinReady: n - max(1, n/spareShare)})
+			all = append(all, weights.Wanted{Model: model, Version: version, Fallback: fallback, MinReady: n - max(1, n/unavailableDivisor)})
 		}
 	}
 
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -18,10 +18,10 @@
 	"boragehub/target"
 )
 
-// call is a call of a plain service on its way through this entry.
+// call is a call to a plain service that this entry serves.
 type call struct {
 	e       *Entry
-	request request
+	request callerRequest
 	service setting.Service
 	values  setting.Values
 	message message.Call
@@ -31,8 +31,8 @@
 	budget  *retry.Budget
 }
 
-// plain serves one call of a plain service.
-func (e *Entry) plain(ctx context.Context, q request, r *http.Request, w http.ResponseWriter) error {
+// serveCall serves one call to a plain service.
+func (e *Entry) serveCall(ctx context.Context, q callerRequest, r *http.Request, w http.ResponseWriter) error {
 	c, err := e.newCall(q, r)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (e *Entry) newCall(q request, r *http.Request) (*call, error) {
+func (e *Entry) newCall(q callerRequest, r *http.Request) (*call, error) {
 	name, path, err := splitPath(r.URL)
 	if err != nil {
 		return nil, err
@@ -85,21 +85,21 @@
 		return nil, err
 	}
 
-	c := &call{e: e, request: q, service: service, values: e.values(q, name), seed: e.seed(), tried: map[string]bool{}}
+	c := &call{e: e, request: q, service: service, values: e.settingValues(q, name), seed: e.nextSeed(), tried: map[string]bool{}}
 
-	b, err := body(r, c.values.MaxBodyBytes)
+	b, err := readBody(r, c.values.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
 
-	key := r.Header.Get(headerKey)
+	key := r.Header.Get(headerIdempotencyKey)
 	once := !idempotent(service, c.values, r.Method, path)
 
 	switch {
 	case once && key == "":
-		return nil, failure.New(failure.KeyRequired, "%s %s may not be repeated: send %s", r.Method, path, headerKey)
-	case len(key) > maxKey:
-		return nil, failure.New(failure.BadRequest, "%s is longer than %d", headerKey, maxKey)
+		return nil, failure.New(failure.KeyRequired, "%s %s is not idempotent: it needs the header %s", r.Method, path, headerIdempotencyKey)
+	case len(key) > maxIdempotencyKey:
+		return nil, failure.New(failure.BadRequest, "%s is longer than %d bytes", headerIdempotencyKey, maxIdempotencyKey)
 	}
 
 	content := append([]byte(name+" "+r.Method+" "+path+"\x00"), b...)
@@ -119,11 +119,11 @@
 	return c, nil
 }
 
-// splitPath takes /v1/services/{service}/{path} apart.
+// splitPath splits /v1/services/{service}/{path}. The returned path includes the query.
 func splitPath(u *url.URL) (service, path string, err error) {
 	rest, ok := strings.CutPrefix(u.EscapedPath(), "/v1/services/")
 	if !ok {
-		return "", "", failure.New(failure.UnknownPath, "path %q", u.Path)
+		return "", "", failure.New(failure.UnknownPath, "unknown path %q", u.Path)
 	}
 
 	service, path, _ = strings.Cut(rest, "/")
@@ -136,7 +136,7 @@
 	return service, path, nil
 }
 
-// idempotent reports whether a call may be repeated.
+// idempotent reports whether a call may run more than once.
 func idempotent(s setting.Service, v setting.Values, method, path string) bool {
 	if slices.Contains(v.IdempotentMethods, method) {
 		return true
@@ -151,12 +151,12 @@
 	return false
 }
 
-// run serves c until it is answered or given up.
+// run serves c until it gets a response or fails.
 func (c *call) run(ctx context.Context) (message.Reply, error) {
-	c.budget = c.e.budgets.of(c.service.Name, c.values.RetryRatio)
+	c.budget = c.e.budgets.forService(c.service.Name, c.values.RetryRatio)
 	c.budget.First(time.Now())
 
-	var last error
+	var lastErr error
 
 	for c.attempt = 1; ; c.attempt++ {
 		now := time.Now()
@@ -167,33 +167,34 @@
 
 		t, found := c.route(ctx, now)
 		if !found {
-			if last == nil {
-				last = failure.New(failure.Unavailable, "no target of %s can take the call", c.service.Name).After(c.e.retryAfter())
+			if lastErr == nil {
+				lastErr = failure.New(failure.Unavailable, "no target of service %s can accept the call", c.service.Name).After(c.e.retryAfter())
 			}
 
-			return message.Reply{}, last
+			return message.Reply{}, lastErr
 		}
 
-		reply, sent, err := c.hedged(ctx, t)
+		reply, sent, err := c.tryHedged(ctx, t)
 		if err == nil {
 			return reply, nil
 		}
 
-		// This is the answer too when no other target is found.
-		last = c.truthful(sent, err)
+		// Also the result if no other target is found for the next attempt.
+		lastErr = c.callerError(sent, err)
 		c.tried[t.VM] = true
 
 		if !c.shouldRetry(ctx, sent, err) {
-			return message.Reply{}, last
+			return message.Reply{}, lastErr
 		}
 	}
 }
 
-// truthful makes sure that the answer to a call that may run once promises no more
-// than is known: once it was sent and no refusal came back, it may have run.
-func (c *call) truthful(sent bool, err error) error {
+// callerError returns the error for the caller of a failed attempt, which must not claim
+// more than is known: a non-idempotent call that was sent without a definite refusal may
+// have run.
+func (c *call) callerError(sent bool, err error) error {
 	if !sent && failure.KindOf(err) == failure.TargetLost {
-		return failure.Wrap(failure.Unavailable, err, "the service can't be reached").After(c.e.retryAfter())
+		return failure.Wrap(failure.Unavailable, err, "the service is unreachable").After(c.e.retryAfter())
 	}
 
 	if !c.message.Once || !sent || failure.KindOf(err).Answer().Ran == failure.NotRun {
@@ -204,12 +205,12 @@
 		return err
 	}
 
-	return failure.Wrap(failure.OutcomeUnknown, err, "the call may have run; it will not be run again")
+	return failure.Wrap(failure.OutcomeUnknown, err, "the call may have run and is not retried")
 }
 
 func (c *call) shouldRetry(ctx context.Context, sent bool, err error) bool {
 	kind := failure.KindOf(err)
-	may := ctx.Err() == nil && retry.May(retry.Attempt{
+	allowed := ctx.Err() == nil && retry.May(retry.Attempt{
 		Idempotent: !c.message.Once,
 		Sent:       sent,
 		Kind:       kind,
@@ -217,8 +218,8 @@
 		Most:       c.values.MaxAttempts,
 	})
 
-	if !may || !c.budget.Allow(time.Now()) {
-		event.Log(c.e.cfg.Log, event.RepeatRefused, "request_id", c.request.id, "attempt", c.attempt, "kind", kind.String(), "reason", refusedBecause(may))
+	if !allowed || !c.budget.Allow(time.Now()) {
+		event.Log(c.e.cfg.Log, event.RepeatRefused, "request_id", c.request.id, "attempt", c.attempt, "kind", kind.String(), "reason", refusalReason(allowed))
 
 		return false
 	}
@@ -229,40 +230,40 @@
 	return true
 }
 
-func refusedBecause(may bool) string {
-	if may {
+func refusalReason(allowed bool) string {
+	if allowed {
 		return "budget"
 	}
 
 	return "not_allowed"
 }
 
-// route picks the target. A call that may run once goes to the home of its key,
-// the one side process that knows whether it ran.
+// route chooses the target. A non-idempotent call goes to the home of its key, the only
+// side process that knows whether it has run.
 func (c *call) route(ctx context.Context, now time.Time) (target.Target, bool) {
 	targets := c.e.targets.Candidates(now, c.service.Name)
 
 	if c.message.Once {
-		return c.home(ctx, targets)
+		return c.shardHome(ctx, targets)
 	}
 
 	candidates := make([]route.CallCandidate, len(targets))
 
 	for i, t := range targets {
-		mean, flying := c.e.pace.of(c.service.Name, t.VM)
+		mean, inFlight := c.e.serviceTimes.get(c.service.Name, t.VM)
 		candidates[i] = route.CallCandidate{
 			Name:         t.VM,
 			Draining:     t.State == target.Draining,
 			Suspected:    t.Doubted,
 			Tried:        c.tried[t.VM],
-			Delay:        c.e.delay(t.DataCentre),
+			Delay:        c.e.roundTrip(t.DataCentre),
 			LoadAt:       now.Add(-t.Load.Age),
 			Running:      t.Load.Running,
 			Waiting:      t.Load.Waiting,
 			SentRequests: t.Ahead,
-			InFlight:     flying,
+			InFlight:     inFlight,
 			CallTime:     mean,
-			AtOnce:       c.e.speeds.get(t.VM).maxRunning,
+			AtOnce:       c.e.engines.get(t.VM).maxRunning,
 		}
 	}
 
--- a/entry/router.go
+++ b/entry/router.go
@@ -16,39 +16,42 @@
 	"boragehub/vm"
 )
 
-// Delays of a round trip where nothing is measured yet.
+// The round-trip times assumed within a data centre, and to another one that the
+// settings list no link to.
 const (
-	nearDelay = time.Millisecond
-	farDelay  = 5 * time.Millisecond
+	localRoundTrip  = time.Millisecond
+	remoteRoundTrip = 5 * time.Millisecond
 )
 
-// contextView is what is known of a prompt's context for one weight version: every
-// version has its own chain, since no block of one is of use to another.
-type contextView struct {
+// contextLookup is the result of looking up a prompt's context in the directory for one
+// weight version. Each version has its own chain because cached blocks can't be used
+// with another version.
+type contextLookup struct {
 	version  string
 	anchor   prompt.Hash
 	chain    prompt.Chain
 	holdings []message.Holding
-	// blockTokens is the size of the chain's blocks.
+	// blockTokens is the number of tokens in a block of the chain.
 	blockTokens int
 }
 
-// routed is where a prompt goes.
-type routed struct {
+// routeChoice is the target chosen for a prompt, with the routing decision, the context
+// lookup and the sealed copies that can be imported.
+type routeChoice struct {
 	target   target.Target
-	view     *contextView
+	lookup   *contextLookup
 	decision route.Decision
 	copies   []message.Holding
 }
 
-// toCompute returns how many of the prompt's tokens its engine is to compute.
-func (r *routed) toCompute(tokens int) int {
+// tokensToPrefill returns how many of the prompt's tokens the engine has to prefill.
+func (r *routeChoice) tokensToPrefill(tokens int) int {
 	c := r.decision.Cost(r.decision.Target())
 	held := 0
 
 	switch c.How {
 	case route.Warm:
-		for _, h := range r.view.holdings {
+		for _, h := range r.lookup.holdings {
 			if !h.Store && h.Holder == r.target.VM {
 				held = max(held, h.Blocks)
 			}
@@ -60,50 +63,51 @@
 	default:
 	}
 
-	return max(0, tokens-held*r.view.blockTokens)
+	return max(0, tokens-held*r.lookup.blockTokens)
 }
 
-// scopeOf is the scope of j's blocks under a weight version.
+// scopeOf returns the scope of j's blocks for a weight version.
 func (j *job) scopeOf(version string) prompt.Scope {
 	return prompt.Scope{Salt: j.salt(), Model: j.model, Version: version}
 }
 
-// view returns what is known of j's context for a version, asking its owner the
-// first time.
-func (j *job) view(ctx context.Context, version string, blockTokens int) *contextView {
-	for _, v := range j.views {
-		if v.version == version {
-			return v
+// lookup returns the lookup of j's context for a version. It asks the owner the first
+// time and returns the stored result afterwards.
+func (j *job) lookup(ctx context.Context, version string, blockTokens int) *contextLookup {
+	for _, l := range j.lookups {
+		if l.version == version {
+			return l
 		}
 	}
 
 	scope := j.scopeOf(version)
-	v := &contextView{version: version, anchor: directory.Anchor(scope, j.opening), chain: scope.Chain(j.text, blockTokens), blockTokens: blockTokens}
+	l := &contextLookup{version: version, anchor: directory.Anchor(scope, j.sharedPrefix), chain: scope.Chain(j.rendered, blockTokens), blockTokens: blockTokens}
 
-	if len(v.chain) > 0 {
-		v.holdings = j.e.locate(ctx, j.id, v.anchor, v.chain)
+	if len(l.chain) > 0 {
+		l.holdings = j.e.locate(ctx, j.id, l.anchor, l.chain)
 	}
 
-	j.views = append(j.views, v)
+	j.lookups = append(j.lookups, l)
 
-	return v
+	return l
 }
 
-// route decides where j goes next. found is false when no target can take it.
-func (j *job) route(ctx context.Context) (r routed, found bool) {
+// route chooses the target of the next attempt, over all weight versions among the
+// targets. found is false when no target is available.
+func (j *job) route(ctx context.Context) (r routeChoice, found bool) {
 	now := time.Now()
-	targets := j.candidates(now)
-	best := routed{}
+	targets := j.usableTargets(now)
+	best := routeChoice{}
 
 	for _, version := range versions(targets) {
-		sp := j.e.speeds.get(firstOf(targets, version))
-		v := j.view(ctx, version, blockTokens(sp))
-		candidates := j.describe(now, targets, v)
-		copies := j.copies(v)
-		d := j.decide(now, candidates, v, copies, sp)
+		info := j.e.engines.get(firstVM(targets, version))
+		lookup := j.lookup(ctx, version, blockTokensOf(info))
+		candidates := j.routeCandidates(now, targets, lookup)
+		copies := j.copies(lookup)
+		d := j.decide(now, candidates, lookup, copies, info)
 
 		if d.Found() && (!found || d.Cost(d.Target()).Total < best.decision.Cost(best.decision.Target()).Total) {
-			best = routed{target: targets[d.Target()], view: v, decision: d, copies: moveToFront(copies, d.Source())}
+			best = routeChoice{target: targets[d.Target()], lookup: lookup, decision: d, copies: moveToFront(copies, d.Source())}
 			found = true
 		}
 
@@ -114,7 +118,7 @@
 }
 
 // moveToFront returns copies with the one at index i first, so that the side process
-// tries the one whose link was weighed before the others.
+// tries the copy of the routing decision before the others.
 func moveToFront(copies []message.Holding, i int) []message.Holding {
 	if i <= 0 || i >= len(copies) {
 		return copies
@@ -134,9 +138,10 @@
 	event.Log(j.e.cfg.Log, e, append([]any{"request_id", j.id, "attempt", j.attempt}, d.Fields(candidates)...)...)
 }
 
-// candidates returns the targets that may take j. A request under suspicion has
-// one home among them: its callers must not lose several targets at once by it.
-func (j *job) candidates(now time.Time) []target.Target {
+// usableTargets returns the targets that may run j. For a suspect request it is at most
+// one, so that copies of the request sent through several entries don't crash several
+// targets at once.
+func (j *job) usableTargets(now time.Time) []target.Target {
 	all := j.e.targets.Candidates(now, j.service)
 	usable := all[:0]
 
@@ -150,26 +155,26 @@
 		return usable
 	}
 
-	return j.home(usable)
+	return j.suspectTarget(usable)
 }
 
-// home returns the one target on which a request under suspicion may run: not
-// one that died while it ran there, nor one that it was tried at.
-func (j *job) home(usable []target.Target) []target.Target {
-	died := j.e.crashes.Places(j.fingerprint)
+// suspectTarget returns the one target that may run a suspect request. Targets that
+// crashed while they ran the request, and those already tried, are excluded.
+func (j *job) suspectTarget(usable []target.Target) []target.Target {
+	crashed := j.e.crashes.Places(j.fingerprint)
 
 	var names []string
 
 	for _, t := range usable {
-		if !j.tried[t.VM] && !slices.Contains(died, t.VM) {
+		if !j.tried[t.VM] && !slices.Contains(crashed, t.VM) {
 			names = append(names, t.VM)
 		}
 	}
 
-	home := quarantine.Home(j.fingerprint, names)
+	chosen := quarantine.Home(j.fingerprint, names)
 
 	for _, t := range usable {
-		if t.VM == home {
+		if t.VM == chosen {
 			return []target.Target{t}
 		}
 	}
@@ -177,18 +182,19 @@
 	return nil
 }
 
-// versions returns the weight versions among targets, in order of appearance.
+// versions returns the distinct weight versions of targets, in order of appearance.
+// Targets whose version is not known are skipped.
 func versions(targets []target.Target) []string {
 	var all []string
 
 	for _, t := range targets {
-		known := t.WeightVersion == ""
+		skip := t.WeightVersion == ""
 
 		for _, v := range all {
-			known = known || v == t.WeightVersion
+			skip = skip || v == t.WeightVersion
 		}
 
-		if !known {
+		if !skip {
 			all = append(all, t.WeightVersion)
 		}
 	}
@@ -196,7 +202,7 @@
 	return all
 }
 
-func firstOf(targets []target.Target, version string) string {
+func firstVM(targets []target.Target, version string) string {
 	for _, t := range targets {
 		if t.WeightVersion == version {
 			return t.VM
@@ -206,25 +212,26 @@
 	return ""
 }
 
-func blockTokens(s speed) int {
-	if s.blockTokens > 0 {
-		return s.blockTokens
+func blockTokensOf(info engineInfo) int {
+	if info.blockTokens > 0 {
+		return info.blockTokens
 	}
 
 	return prompt.DefaultBlockTokens
 }
 
-// describe tells the decision what is believed of each target.
-func (j *job) describe(now time.Time, targets []target.Target, v *contextView) []route.Candidate {
+// routeCandidates returns the targets as input for the routing decision, with the tokens
+// of j's context that each one holds.
+func (j *job) routeCandidates(now time.Time, targets []target.Target, lookup *contextLookup) []route.Candidate {
 	all := make([]route.Candidate, len(targets))
 
 	for i, t := range targets {
-		c := j.e.candidate(now, t)
+		c := j.e.routeCandidate(now, t)
 		c.Tried = j.tried[t.VM]
 
-		for _, h := range v.holdings {
+		for _, h := range lookup.holdings {
 			if !h.Store && h.Holder == t.VM {
-				c.Warm = h.Blocks * blockTokens(j.e.speeds.get(t.VM))
+				c.Warm = h.Blocks * blockTokensOf(j.e.engines.get(t.VM))
 				c.WarmAt = now.Add(-time.Duration(h.AgeMS) * time.Millisecond)
 			}
 		}
@@ -235,14 +242,14 @@
 	return all
 }
 
-// copies returns the sealed copies that may be imported, deepest first, with
-// the addresses of their stores as the platform now lists them.
-func (j *job) copies(v *contextView) []message.Holding {
+// copies returns the sealed copies that can be imported, in the order of the lookup,
+// with the current addresses of their stores from the VM list.
+func (j *job) copies(lookup *contextLookup) []message.Holding {
 	var all []message.Holding
 
 	list := j.e.cfg.VMs.List()
 
-	for _, h := range v.holdings {
+	for _, h := range lookup.holdings {
 		if !h.Store {
 			continue
 		}
@@ -259,24 +266,24 @@
 	return all
 }
 
-func (j *job) decide(now time.Time, candidates []route.Candidate, v *contextView, copies []message.Holding, sp speed) route.Decision {
+func (j *job) decide(now time.Time, candidates []route.Candidate, lookup *contextLookup, copies []message.Holding, info engineInfo) route.Decision {
 	q := route.Request{
-		Tokens:        prompt.Tokens(j.text) + j.index,
-		Version:       v.version,
-		BytesPerToken: int64(sp.bytesPerToken),
+		Tokens:        prompt.Tokens(j.rendered) + j.delivered,
+		Version:       lookup.version,
+		BytesPerToken: int64(info.bytesPerToken),
 		Seed:          j.seed,
 		Links:         j.e.links,
 	}
 
-	for _, h := range v.holdings {
-		q.Computed = max(q.Computed, h.Blocks*blockTokens(sp))
+	for _, h := range lookup.holdings {
+		q.Computed = max(q.Computed, h.Blocks*blockTokensOf(info))
 	}
 
 	for _, h := range copies {
 		q.Sources = append(q.Sources, route.Source{
 			Name:       h.Holder,
 			DataCentre: h.DataCentre,
-			Tokens:     h.Blocks * blockTokens(sp),
+			Tokens:     h.Blocks * blockTokensOf(info),
 			Store:      true,
 			Learned:    now.Add(-time.Duration(h.AgeMS) * time.Millisecond),
 		})
@@ -288,10 +295,10 @@
 	}, q, candidates)
 }
 
-// delay returns the round trip to a data centre by the settings.
-func (e *Entry) delay(dataCentre string) time.Duration {
+// roundTrip returns the round-trip time to a data centre according to the settings.
+func (e *Entry) roundTrip(dataCentre string) time.Duration {
 	if dataCentre == e.cfg.DataCentre {
-		return nearDelay
+		return localRoundTrip
 	}
 
 	if p := e.policy.Load(); p != nil {
@@ -300,7 +307,7 @@
 		}
 	}
 
-	return farDelay
+	return remoteRoundTrip
 }
 
 func fingerprintText(f quarantine.Fingerprint) string { return fmt.Sprintf("%x", f[:]) }
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -9,30 +9,30 @@
 	"boragehub/message"
 )
 
-// sink takes an answer on its way to the caller.
+// sink writes a response to the caller.
 type sink interface {
-	// token passes one token on; an error means that the caller is gone.
-	token(text string) error
-	// done ends a whole answer.
-	done(d message.Done) error
-	// begun reports whether the caller has got anything yet.
-	begun() bool
+	// writeToken writes one token; an error means that the caller has disconnected.
+	writeToken(text string) error
+	// finish ends a complete response.
+	finish(d message.Done) error
+	// hasWritten reports whether any part of the response was written to the caller.
+	hasWritten() bool
 }
 
-// head is what all pieces of an answer share.
-type head struct {
-	shape   shape
+// responseMeta is what all chunks of a response have in common.
+type responseMeta struct {
+	api     apiKind
 	id      string
 	model   string
 	created time.Time
 }
 
-func (h head) completion(stream bool, choices []choice, u *usage) completion {
+func (m responseMeta) completion(stream bool, choices []choice, u *usage) completion {
 	return completion{
-		ID:      h.shape.id(h.id),
-		Object:  h.shape.object(stream),
-		Created: h.created.Unix(),
-		Model:   h.model,
+		ID:      m.api.id(m.id),
+		Object:  m.api.object(stream),
+		Created: m.created.Unix(),
+		Model:   m.model,
 		Choices: choices,
 		Usage:   u,
 	}
@@ -45,66 +45,66 @@
 	return u
 }
 
-// wholeSink collects an answer and writes it only when it is whole.
-type wholeSink struct {
-	head
+// bufferedSink buffers a response and writes it when it is complete.
+type bufferedSink struct {
+	responseMeta
 	w    http.ResponseWriter
 	text strings.Builder
 }
 
-func (s *wholeSink) token(text string) error {
+func (s *bufferedSink) writeToken(text string) error {
 	_, err := s.text.WriteString(text)
 
 	return err
 }
 
-func (s *wholeSink) begun() bool { return false }
+func (s *bufferedSink) hasWritten() bool { return false }
 
-func (s *wholeSink) done(d message.Done) error {
+func (s *bufferedSink) finish(d message.Done) error {
 	s.w.Header().Set("Content-Type", "application/json")
 
-	return json.NewEncoder(s.w).Encode(s.completion(false, []choice{s.shape.whole(s.text.String(), d.Finish)}, usageOf(d)))
+	return json.NewEncoder(s.w).Encode(s.completion(false, []choice{s.api.fullChoice(s.text.String(), d.Finish)}, usageOf(d)))
 }
 
-// streamSink writes an answer as server-sent events.
+// streamSink writes a response as server-sent events.
 type streamSink struct {
-	head
+	responseMeta
 	w         http.ResponseWriter
 	flush     func() error
 	withUsage bool
 	started   bool
 }
 
-func newStreamSink(h head, w http.ResponseWriter, withUsage bool) *streamSink {
-	return &streamSink{head: h, w: w, flush: http.NewResponseController(w).Flush, withUsage: withUsage}
+func newStreamSink(meta responseMeta, w http.ResponseWriter, withUsage bool) *streamSink {
+	return &streamSink{responseMeta: meta, w: w, flush: http.NewResponseController(w).Flush, withUsage: withUsage}
 }
 
-func (s *streamSink) begun() bool { return s.started }
+func (s *streamSink) hasWritten() bool { return s.started }
 
-func (s *streamSink) token(text string) error {
+func (s *streamSink) writeToken(text string) error {
 	first := !s.started
-	s.start()
+	s.writeHeader()
 
-	return s.write(s.completion(true, []choice{s.shape.piece(text, first, nil)}, nil))
+	return s.writeChunk(s.completion(true, []choice{s.api.chunkChoice(text, first, nil)}, nil))
 }
 
-func (s *streamSink) done(d message.Done) error {
-	s.start()
+func (s *streamSink) finish(d message.Done) error {
+	s.writeHeader()
 
-	if err := s.write(s.completion(true, []choice{s.shape.piece("", false, &d.Finish)}, nil)); err != nil {
+	if err := s.writeChunk(s.completion(true, []choice{s.api.chunkChoice("", false, &d.Finish)}, nil)); err != nil {
 		return err
 	}
 
 	if s.withUsage {
-		if err := s.write(s.completion(true, []choice{}, usageOf(d))); err != nil {
+		if err := s.writeChunk(s.completion(true, []choice{}, usageOf(d))); err != nil {
 			return err
 		}
 	}
 
-	return s.raw("[DONE]")
+	return s.writeData("[DONE]")
 }
 
-func (s *streamSink) start() {
+func (s *streamSink) writeHeader() {
 	if s.started {
 		return
 	}
@@ -115,16 +115,16 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *streamSink) write(v any) error {
+func (s *streamSink) writeChunk(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
 
-	return s.raw(string(b))
+	return s.writeData(string(b))
 }
 
-func (s *streamSink) raw(data string) error {
+func (s *streamSink) writeData(data string) error {
 	if _, err := s.w.Write([]byte("data: " + data + "\n\n")); err != nil {
 		return err
 	}
--- a/entry/view.go
+++ b/entry/view.go
@@ -7,7 +7,7 @@
 	"boragehub/prompt"
 )
 
-// targetView is a target as operators see it.
+// targetView is a target as shown to operators.
 type targetView struct {
 	VM            string `json:"vm"`
 	DataCentre    string `json:"data_centre"`
@@ -24,7 +24,7 @@
 	HeardMS       int64  `json:"heard_ms"`
 }
 
-// fleetView is the fleet as one entry sees it.
+// fleetView is the fleet as known to one entry.
 type fleetView struct {
 	VM              string       `json:"vm"`
 	DataCentre      string       `json:"data_centre"`
@@ -35,7 +35,7 @@
 	Targets         []targetView `json:"targets"`
 }
 
-// contextDocument is what an entry tells of a context.
+// contextDocument describes a context and the holdings recorded by this entry.
 type contextDocument struct {
 	Anchor   string            `json:"anchor"`
 	Owner    string            `json:"owner"`
@@ -53,7 +53,7 @@
 	AgeMS         int64  `json:"age_ms"`
 }
 
-// Views returns the documents that operators may ask of an entry.
+// Views returns the documents that operators may request from an entry.
 func (e *Entry) Views() []operator.View { return e.cfg.Views }
 
 func (e *Entry) ownViews() []operator.View {
@@ -64,7 +64,8 @@
 	}
 }
 
-// context tells what this entry knows of the context with an anchor.
+// context returns the holdings that this entry has recorded for an anchor, given in
+// hexadecimal.
 func (e *Entry) context(now time.Time, text string) contextDocument {
 	d := contextDocument{Anchor: text, Holdings: []holdingDocument{}}
 
@@ -79,7 +80,7 @@
 		d.Owner = owner.VM
 	}
 
-	for _, h := range e.owned.all(now, anchor) {
+	for _, h := range e.owned.holdings(now, anchor) {
 		d.Holdings = append(d.Holdings, holdingDocument{
 			Holder:        h.Name,
 			Kind:          h.Kind.String(),
