--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -23,52 +23,53 @@
 	"boragehub/vault"
 )
 
-var errNobody = errors.New("no entry is known")
+var errNoEntries = errors.New("no known entries")
 
-// asked is how many entries are asked at once: one of them may be as cut off as
-// this process is.
-const asked = 3
+// fetchFanout is the number of entries that Fetch asks at once, since one of them may be cut off
+// from the log like this process.
+const fetchFanout = 3
 
 const (
-	// callTimeout is how long a call to another process may stand still; they are
-	// milliseconds apart.
+	// callTimeout is how long a connection attempt may take, and a call without a received byte.
+	// The round-trip time between processes is a few milliseconds.
 	callTimeout = 400 * time.Millisecond
-	// transferMost bounds an answer that keeps coming.
-	transferMost = 3 * time.Second
+	// maxTransfer bounds the time of a call whose response keeps arriving.
+	maxTransfer = 3 * time.Second
 )
 
-// Saying hello: an entry asks a few others which entries they know. Asking all would
-// take as many calls as there are entries, with answers of that length.
+// Gossip: in each round, an entry asks a few others which entries they know. Asking all of them
+// would take as many calls as there are entries, with responses of that length.
 const (
-	// helloEvery is the pause between two rounds. What was heard of an entry spreads
-	// to all others in a few rounds, and is remembered for twenty seconds.
-	helloEvery = 2 * time.Second
-	// helloAsked is how many are asked in one round.
-	helloAsked = 4
-	// initialHelloEvery replaces helloEvery until the view of another entry is equal, for at
-	// most initialHelloWindow after the start. With an incomplete view, an entry may select
+	// gossipPause is the pause between two rounds. Information about an entry reaches all others
+	// in a few rounds, and is kept for memberTTL, 20 s.
+	gossipPause = 2 * time.Second
+	// gossipFanout is the number of entries asked in one round.
+	gossipFanout = 4
+	// initialGossipPause replaces gossipPause until the view of another entry is equal, for at
+	// most initialGossipWindow after the start. With an incomplete view, an entry may select
 	// itself as a reader of the log.
-	initialHelloEvery  = 300 * time.Millisecond
-	initialHelloWindow = 3 * time.Second
-	// unansweredHelloEvery replaces initialHelloEvery until an entry has answered, for at most
-	// unansweredHelloWindow after the start. If all processes start at once, the seeds may not
+	initialGossipPause  = 300 * time.Millisecond
+	initialGossipWindow = 3 * time.Second
+	// noResponseGossipPause replaces initialGossipPause until an entry has responded, for at most
+	// noResponseGossipWindow after the start. If all processes start at once, the seeds may not
 	// be listening yet in the first rounds.
-	unansweredHelloEvery  = 50 * time.Millisecond
-	unansweredHelloWindow = time.Second
+	noResponseGossipPause  = 50 * time.Millisecond
+	noResponseGossipWindow = time.Second
 )
 
-// Client asks entries. It implements mirror.Peers and loader.Entries.
+// Client calls other entries. It implements mirror.Peers, mirror.Relay, loader.Entries and
+// RegistrationPeers.
 type Client struct {
-	members      *Members
-	http         *http.Client
-	answered     chan struct{} // closed once another entry has returned its members
-	answeredOnce sync.Once     // guards the closing of answered
-	converged    chan struct{} // closed once the view of another entry is equal
+	members       *Members
+	http          *http.Client
+	responded     chan struct{} // closed once another entry has returned its members
+	respondedOnce sync.Once     // guards the closing of responded
+	converged     chan struct{} // closed once the view of another entry is equal
 }
 
-// NewClient returns a Client that asks members.
+// NewClient returns a Client that calls the entries in m.
 func NewClient(m *Members) *Client {
-	return &Client{members: m, answered: make(chan struct{}), converged: make(chan struct{}), http: &http.Client{Transport: &http.Transport{
+	return &Client{members: m, responded: make(chan struct{}), converged: make(chan struct{}), http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: callTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     12 * time.Second,
@@ -77,25 +78,25 @@
 	}}}
 }
 
-// Newer returns what entries hold of a topic from an offset on: the newest of
-// their answers.
-func (c *Client) Newer(ctx context.Context, topic string, from int64) (mirror.Batch, error) {
-	all := c.some(asked)
+// Fetch requests the records of a topic from an offset on from fetchFanout entries, and returns
+// the newest response. It returns an error if none of them responds.
+func (c *Client) Fetch(ctx context.Context, topic string, from int64) (mirror.Batch, error) {
+	all := c.randomPeers(fetchFanout)
 	if len(all) == 0 {
-		return mirror.Batch{}, errNobody
+		return mirror.Batch{}, errNoEntries
 	}
 
 	var (
-		wg   sync.WaitGroup
-		mu   sync.Mutex
-		best mirror.Batch
-		errg errs.Group
-		got  bool
+		wg    sync.WaitGroup
+		mu    sync.Mutex
+		best  mirror.Batch
+		errg  errs.Group
+		found bool
 	)
 
 	for _, a := range all {
 		wg.Go(func() {
-			b, err := c.records(ctx, a, topic, from, 0)
+			b, err := c.fetchRecords(ctx, a, topic, from, 0)
 
 			mu.Lock()
 			defer mu.Unlock()
@@ -106,31 +107,31 @@
 				return
 			}
 
-			if !got || b.End > best.End || (b.End == best.End && b.AsOf.After(best.AsOf)) {
-				best, got = b, true
+			if !found || b.End > best.End || (b.End == best.End && b.AsOf.After(best.AsOf)) {
+				best, found = b, true
 			}
 		})
 	}
 
 	wg.Wait()
 
-	if !got {
+	if !found {
 		return mirror.Batch{}, errg.Err()
 	}
 
 	return best, nil
 }
 
-// some returns so many of the known entries, drawn anew each time.
-func (c *Client) some(n int) []string {
-	all := c.members.Ask(time.Now())
+// randomPeers returns up to n random live entries and seeds, chosen anew on each call.
+func (c *Client) randomPeers(n int) []string {
+	all := c.members.LiveAndSeeds(time.Now())
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 
 	return all[:min(n, len(all))]
 }
 
-// errNotLoaded says that an entry has not read the whole topic yet.
-var errNotLoaded = errors.New("the reader has not read the topic yet")
+// errNotLoaded is returned for a poll of an entry that has not loaded the topic yet.
+var errNotLoaded = errors.New("the entry has not loaded the topic yet")
 
 // Assignment returns how this process gets a topic.
 func (c *Client) Assignment(topic string) mirror.Assignment {
@@ -138,7 +139,7 @@
 }
 
 // subscriberWait is how long one poll of a Subscriber waits for new records.
-const subscriberWait = maxHold
+const subscriberWait = maxWait
 
 // Subscriber gets topics from entries for a process that doesn't serve them itself. It
 // implements mirror.Relay.
@@ -157,14 +158,16 @@
 	return mirror.Assignment{Addresses: s.members.Preferred(time.Now(), s.name), Wait: subscriberWait}
 }
 
-// Follow waits at an entry for what is newer than an offset.
-func (c *Client) Follow(ctx context.Context, reader, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
-	return c.records(ctx, reader, topic, from, wait)
+// Poll requests the records of a topic from an offset on from an entry, which waits for the first
+// one, up to the given time. It returns an error if the entry has not loaded the topic.
+func (c *Client) Poll(ctx context.Context, reader, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
+	return c.fetchRecords(ctx, reader, topic, from, wait)
 }
 
-// records asks one entry. With a wait it has to have read the whole topic.
-func (c *Client) records(ctx context.Context, address, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
-	at := time.Now()
+// fetchRecords requests records from one entry. If wait is positive, it returns an error unless the
+// entry has loaded the topic.
+func (c *Client) fetchRecords(ctx context.Context, address, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
+	sentAt := time.Now()
 	q := url.Values{"topic": {topic}, "from": {strconv.FormatInt(from, 10)}, "self": {c.members.Self()}}
 
 	if wait > 0 {
@@ -181,30 +184,31 @@
 		return mirror.Batch{}, err
 	}
 
-	c.members.Saw(time.Now(), address)
+	c.members.MarkAlive(time.Now(), address)
 
 	if wait > 0 && !r.Loaded {
 		return mirror.Batch{}, errNotLoaded
 	}
 
-	records, err := r.unpack()
+	records, err := r.decodeRecords()
 	if err != nil {
 		return mirror.Batch{}, err
 	}
 
 	b := mirror.Batch{Records: records, End: r.End, Whole: false}
 	if r.AgeMs >= 0 {
-		// The answer was made after the question had been held for so long, so it
-		// can't be older than that.
-		b.AsOf = at.Add(time.Duration(r.HeldMs-r.AgeMs) * time.Millisecond)
+		// The response was created at least HeldMs after the request was sent, and its records
+		// were AgeMs old then.
+		b.AsOf = sentAt.Add(time.Duration(r.HeldMs-r.AgeMs) * time.Millisecond)
 	}
 
 	return b, nil
 }
 
-// call makes a call whose answer may be held back for so long.
-func (c *Client) call(ctx context.Context, method, address, path string, body []byte, held time.Duration) ([]byte, error) {
-	ctx, cancel := pause.Patient(ctx, callTimeout+held, held+transferMost)
+// call makes a call to an entry and returns the decompressed response body. The entry may hold the
+// request for the given wait.
+func (c *Client) call(ctx context.Context, method, address, path string, body []byte, wait time.Duration) ([]byte, error) {
+	ctx, cancel := pause.Patient(ctx, callTimeout+wait, wait+maxTransfer)
 	defer cancel()
 
 	req, err := newRequest(ctx, method, "http://"+address+path, body)
@@ -217,18 +221,18 @@
 		return nil, err
 	}
 
-	answer, err := io.ReadAll(pause.Reader(ctx, io.LimitReader(resp.Body, maxMessage)))
+	respBody, err := io.ReadAll(pause.Reader(ctx, io.LimitReader(resp.Body, maxMessage)))
 	err = errs.Combine(err, resp.Body.Close())
 
 	if err == nil && resp.StatusCode/100 != 2 {
-		err = errs.New("%s answered %d", address, resp.StatusCode)
+		err = errs.New("%s responded with status %d", address, resp.StatusCode)
 	}
 
 	if err == nil && resp.Header.Get(contentEncodingHeader) == encodingDeflate {
-		return decompress(answer)
+		return decompress(respBody)
 	}
 
-	return answer, err
+	return respBody, err
 }
 
 // HTTP headers that declare and negotiate compression.
@@ -265,44 +269,46 @@
 	return req, nil
 }
 
-// tellPatience is how long Tell waits for answers. An entry that stands still would
-// otherwise hold up the load of weights that it is told of, and those whose turn
-// comes after it would load beside it.
-const tellPatience = 50 * time.Millisecond
+// announceTimeout is how long Tell waits for responses. Otherwise a paused entry would delay the
+// announced load of weights, and engines in later rollout slots would load at the same time.
+const announceTimeout = 50 * time.Millisecond
 
-// Tell tells all entries what the engine at an address is about to do, or has
-// done. One that can't be told finds out from the engine's refusals and answers.
+// Tell announces to all entries that the engine at an address is about to load a version of a
+// model's weights or, if loaded is set, has loaded it. It returns after announceTimeout at the
+// latest. An entry that doesn't receive the message learns of the change from the engine's refusals
+// and responses.
 func (c *Client) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
-	told := make(chan struct{})
+	done := make(chan struct{})
 
 	go func() {
-		defer close(told)
+		defer close(done)
 
-		post(ctx, c, noticePath, Notice{Address: address, Model: model, Version: version, Loaded: loaded})
+		broadcast(ctx, c, noticePath, Notice{Address: address, Model: model, Version: version, Loaded: loaded})
 	}()
 
 	select {
-	case <-told:
-	case <-time.After(tellPatience):
+	case <-done:
+	case <-time.After(announceTimeout):
 	}
 }
 
-// TellCrash tells all entries what was on a target as it crashed. One that can't be
-// told finds out when the request crashes a target under its own hands.
+// TellCrash reports to all entries which requests were running on a target when it crashed. An
+// entry that doesn't receive the report learns of a request that crashes targets only when it sends
+// that request to a target itself.
 func (c *Client) TellCrash(crash quarantine.Crash) {
-	post(context.Background(), c, crashPath, crash)
+	broadcast(context.Background(), c, crashPath, crash)
 }
 
-// post sends a message to all known entries.
-func post[T any](ctx context.Context, c *Client, path string, message T) {
+// broadcast sends a message to all live entries and seeds, and waits for their responses.
+func broadcast[T any](ctx context.Context, c *Client, path string, message T) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		return // a struct of strings and numbers always has a form
+		return // not expected: structs of strings and numbers can be encoded
 	}
 
 	var wg sync.WaitGroup
 
-	for _, a := range c.members.Ask(time.Now()) {
+	for _, a := range c.members.LiveAndSeeds(time.Now()) {
 		wg.Go(func() {
 			//nolint:errcheck,gosec // see Tell and TellCrash
 			c.call(ctx, http.MethodPost, a, path, body, 0)
@@ -312,26 +318,27 @@
 	wg.Wait()
 }
 
-// Watchers returns which entries follow the stores for all.
+// Watchers returns the entries to ask about the stores, in order of preference. Self reports
+// whether this process follows the stores directly.
 func (c *Client) Watchers() (others []string, self bool) {
 	return c.members.Watchers(time.Now())
 }
 
-// Ask asks an entry what changed in stores.
+// Ask requests the changes of stores since the given positions from an entry.
 func (c *Client) Ask(ctx context.Context, peer string, positions []vault.Position) ([]vault.Update, error) {
 	body, err := cbor.Marshal(positions)
 	if err != nil {
 		return nil, err
 	}
 
-	answer, err := c.call(ctx, http.MethodPost, peer, vaultsPath, body, 0)
+	respBody, err := c.call(ctx, http.MethodPost, peer, vaultsPath, body, 0)
 	if err != nil {
 		return nil, err
 	}
 
 	var updates []vault.Update
 
-	err = decoder.Unmarshal(answer, &updates)
+	err = decoder.Unmarshal(respBody, &updates)
 
 	return updates, err
 }
@@ -355,33 +362,34 @@
 	return err
 }
 
-// Knows reports whether an entry has read a topic up to and with an offset.
+// Knows reports whether an entry has read a topic up to and including an offset. It returns false
+// if the entry doesn't respond.
 func (c *Client) Knows(ctx context.Context, peer, topic string, offset int64) bool {
-	b, err := c.records(ctx, peer, topic, offset, 0)
+	b, err := c.fetchRecords(ctx, peer, topic, offset, 0)
 
 	return err == nil && b.End > offset
 }
 
-// Hello asks a few known entries for the others that they know. It reports whether at least one
-// of them answered, and whether the view of at least one of them is equal.
-func (c *Client) Hello(ctx context.Context) (answered, equal bool) {
+// GossipRound asks a few entries for the entries that they know. It reports whether at least one of
+// them responded, and whether the view of at least one of them is equal.
+func (c *Client) GossipRound(ctx context.Context) (responded, equal bool) {
 	var (
-		wg                    sync.WaitGroup
-		anyAnswered, anyEqual atomic.Bool
+		wg                     sync.WaitGroup
+		anyResponded, anyEqual atomic.Bool
 	)
 
 	viewHash, needAll := c.members.ViewHash(time.Now())
 
-	for i, a := range c.some(helloAsked) {
+	for i, a := range c.randomPeers(gossipFanout) {
 		wg.Go(func() {
 			// One complete list per round is sufficient.
 			equal, err := c.requestMembers(ctx, a, viewHash, needAll && i == 0)
 			if err != nil {
-				return // an entry that does not answer expires
+				return // an entry that does not respond expires
 			}
 
-			anyAnswered.Store(true)
-			c.answeredOnce.Do(func() { close(c.answered) })
+			anyResponded.Store(true)
+			c.respondedOnce.Do(func() { close(c.responded) })
 
 			if equal {
 				anyEqual.Store(true)
@@ -392,7 +400,7 @@
 	wg.Wait()
 	c.members.EndRound(anyEqual.Load())
 
-	return anyAnswered.Load(), anyEqual.Load()
+	return anyResponded.Load(), anyEqual.Load()
 }
 
 // requestMembers asks one entry for the entries that it knows, and reports whether its view is
@@ -414,21 +422,21 @@
 	}
 
 	now := time.Now()
-	c.members.Saw(now, address)
-	c.members.Heard(now, r.Members)
-	c.members.HeardAges(now, viewHash, r.Ages)
+	c.members.MarkAlive(now, address)
+	c.members.Merge(now, r.Members)
+	c.members.MergeAges(now, viewHash, r.Ages)
 
 	return r.Ages != nil, nil
 }
 
-// Run says hello now and then until ctx ends.
+// Run makes gossip rounds until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	began := time.Now()
-	answered, converged := false, false
+	responded, converged := false, false
 
 	for {
-		roundAnswered, roundEqual := c.Hello(ctx)
-		answered = answered || roundAnswered
+		roundResponded, roundEqual := c.GossipRound(ctx)
+		responded = responded || roundResponded
 
 		if roundEqual && !converged {
 			converged = true
@@ -436,29 +444,29 @@
 			close(c.converged)
 		}
 
-		if !pause.For(ctx, helloInterval(time.Since(began), answered, converged)) {
+		if !pause.For(ctx, nextGossipPause(time.Since(began), responded, converged)) {
 			return
 		}
 	}
 }
 
-// helloInterval returns the pause before the next round, given the time since the start and
-// whether any entry has answered and any view has been equal so far.
-func helloInterval(elapsed time.Duration, answered, converged bool) time.Duration {
+// nextGossipPause returns the pause before the next round, given the time since the start and
+// whether any entry has responded and any view has been equal so far.
+func nextGossipPause(elapsed time.Duration, responded, converged bool) time.Duration {
 	switch {
-	case converged || elapsed >= initialHelloWindow:
-		return helloEvery
-	case answered || elapsed >= unansweredHelloWindow:
-		return initialHelloEvery
+	case converged || elapsed >= initialGossipWindow:
+		return gossipPause
+	case responded || elapsed >= noResponseGossipWindow:
+		return initialGossipPause
 	default:
-		return unansweredHelloEvery
+		return noResponseGossipPause
 	}
 }
 
 // WaitAnswered waits until Run has received the members of another entry, the timeout has passed
 // or ctx ends.
 func (c *Client) WaitAnswered(ctx context.Context, timeout time.Duration) {
-	waitForClose(ctx, c.answered, timeout)
+	waitForClose(ctx, c.responded, timeout)
 }
 
 // WaitConverged waits until Run finds an entry whose view is equal, the timeout has passed or
--- a/mirror/exchange/pack.go
+++ b/mirror/exchange/compress.go
@@ -11,57 +11,60 @@
 	"boragehub/mirror"
 )
 
-// packAbove is the length in bytes from which records are packed. Heartbeats and small
-// changes aren't worth the time; a configuration with thousands of routes, 320 KB, takes
-// a tenth of its room packed. A quarter of a second on the smallest link becomes 30 ms,
-// and a reader that serves two dozen others has two more links' worth to spare.
-const packAbove = 8 << 10
-
-// packer packs records and keeps the last result of each topic: all who wait for a
-// change ask for it in the same moment. The zero value is ready.
-type packer struct {
+// compressRecordsAbove is the size in bytes from which records are compressed. Heartbeats and small
+// changes aren't worth the time. A configuration with thousands of routes shrinks from 320 KB to a
+// tenth, and its transfer over the slowest link from 0.25 s to 30 ms. A reader that serves two dozen
+// processes gains the bandwidth of two more links.
+const compressRecordsAbove = 8 << 10
+
+// recordCompressor compresses records and caches the latest result of each topic, since all clients
+// that wait for a change get it at the same time. The zero value is ready for use.
+type recordCompressor struct {
 	mu   sync.Mutex
-	last map[string]packed
+	last map[string]compressedBatch
 }
 
-type packed struct {
+// compressedBatch is the result for a batch of records that starts at offset from.
+type compressedBatch struct {
 	from, end int64
 	body      []byte
 }
 
-// pack returns records as they are, or packed when they are long.
-func (p *packer) pack(topic string, from int64, b mirror.Batch) (records []mirror.Record, body []byte) {
+// encode returns the records of a batch or, if they have at least compressRecordsAbove bytes, their
+// compressed form.
+func (c *recordCompressor) encode(topic string, from int64, b mirror.Batch) (records []mirror.Record, body []byte) {
 	size := 0
 	for _, r := range b.Records {
 		size += len(r.Value)
 	}
 
-	if size < packAbove {
+	if size < compressRecordsAbove {
 		return b.Records, nil
 	}
 
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	if x, ok := p.last[topic]; ok && x.from == from && x.end == b.End {
+	if x, ok := c.last[topic]; ok && x.from == from && x.end == b.End {
 		return nil, x.body
 	}
 
-	body, err := deflate(b.Records)
+	body, err := marshalCompressed(b.Records)
 	if err != nil {
-		return b.Records, nil // sent as they are, which takes longer
+		return b.Records, nil // uncompressed records only take longer to send
 	}
 
-	if p.last == nil {
-		p.last = make(map[string]packed)
+	if c.last == nil {
+		c.last = make(map[string]compressedBatch)
 	}
 
-	p.last[topic] = packed{from, b.End, body}
+	c.last[topic] = compressedBatch{from, b.End, body}
 
 	return nil, body
 }
 
-func deflate(records []mirror.Record) ([]byte, error) {
+// marshalCompressed returns the records encoded as CBOR and compressed.
+func marshalCompressed(records []mirror.Record) ([]byte, error) {
 	body, err := cbor.Marshal(records)
 	if err != nil {
 		return nil, err
@@ -114,13 +117,13 @@
 	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxMessage))
 }
 
-// unpack returns the records of a reply.
-func (r Reply) unpack() ([]mirror.Record, error) {
-	if len(r.Packed) == 0 {
+// decodeRecords returns the records of a reply, decompressed if necessary.
+func (r Reply) decodeRecords() ([]mirror.Record, error) {
+	if len(r.Compressed) == 0 {
 		return r.Records, nil
 	}
 
-	body, err := decompress(r.Packed)
+	body, err := decompress(r.Compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/mirror/exchange/pack_test.go
+++ b/mirror/exchange/compress_test.go
@@ -13,7 +13,7 @@
 	"boragehub/vault"
 )
 
-// routes is a configuration of so many routes, as operators write it.
+// routes returns a configuration with n routes, in the format that operators use.
 func routes(n int) []byte {
 	var b bytes.Buffer
 	for i := range n {
@@ -23,35 +23,35 @@
 	return b.Bytes()
 }
 
-// Each change of a configuration with thousands of routes goes to two dozen entries
-// within a moment. Whole, it fills the links of those that pass it on and the smallest
-// ones, and is in force too late there.
+// Guards against configurations that are applied too late. Each change of a configuration with
+// thousands of routes is sent to two dozen entries at the same time. Uncompressed, it saturates the
+// links of the readers and the slowest links.
 func TestLongRecordsTakeLittleOfALink(t *testing.T) {
 	value := routes(2200)
 
-	var p packer
+	var c recordCompressor
 
 	b := mirror.Batch{Records: []mirror.Record{{Key: "config", Value: value, Offset: 9}}, End: 10}
 
-	records, body := p.pack("t", 9, b)
+	records, body := c.encode("t", 9, b)
 	if len(records) != 0 || len(body) == 0 || len(body) > len(value)/6 {
-		t.Fatalf("got %d records and %d bytes for %d, want a sixth at most", len(records), len(body), len(value))
+		t.Fatalf("got %d records and %d bytes for %d, want at most a sixth", len(records), len(body), len(value))
 	}
 
-	if _, again := p.pack("t", 9, b); &again[0] != &body[0] {
-		t.Error("for the next one who asks: got it packed anew")
+	if _, again := c.encode("t", 9, b); &again[0] != &body[0] {
+		t.Error("second call: got the records compressed again")
 	}
 
-	got, err := Reply{Packed: body}.unpack()
+	got, err := Reply{Compressed: body}.decodeRecords()
 	if err != nil || len(got) != 1 || got[0].Key != "config" || got[0].Offset != 9 || !bytes.Equal(got[0].Value, value) {
-		t.Errorf("got %d records, %v, want what was packed", len(got), err)
+		t.Errorf("got %d records, %v, want the original record", len(got), err)
 	}
 }
 
 func TestShortRecordsGoAsTheyAre(t *testing.T) {
-	var p packer
+	var c recordCompressor
 
-	records, body := p.pack("t", 0, mirror.Batch{Records: []mirror.Record{{Key: "a", Value: []byte("b")}}})
+	records, body := c.encode("t", 0, mirror.Batch{Records: []mirror.Record{{Key: "a", Value: []byte("b")}}})
 	if len(records) != 1 || body != nil {
 		t.Errorf("got %v and %d bytes, want the record", records, len(body))
 	}
@@ -59,7 +59,7 @@
 
 func TestBrokenPackIsRefused(t *testing.T) {
 	for _, body := range [][]byte{{1, 2, 3}, bytes.Repeat([]byte{0xff}, 100)} {
-		if got, err := (Reply{Packed: body}).unpack(); err == nil {
+		if got, err := (Reply{Compressed: body}).decodeRecords(); err == nil {
 			t.Errorf("got %v, want an error", got)
 		}
 	}
@@ -70,7 +70,7 @@
 	value := routes(2200)
 	e.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: value, Offset: 0}}, End: 1, Whole: true, AsOf: time.Now()})
 
-	b, err := NewClient(NewMembers("", nil)).Follow(context.Background(), e.address, "t", 0, time.Second)
+	b, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 0, time.Second)
 	if err != nil || len(b.Records) != 1 || !bytes.Equal(b.Records[0].Value, value) {
 		t.Errorf("got %d records, %v, want the configuration", len(b.Records), err)
 	}
--- a/mirror/exchange/exchange.go
+++ b/mirror/exchange/exchange.go
@@ -1,17 +1,18 @@
-// Package exchange passes between the system's processes what they mirror of the
-// log, and what side processes say of their engines.
+// Package exchange implements the calls between the system's processes that replicate topics of the
+// log, and those that announce changes of engines' weights, report crashes, replicate the contents
+// of stores and register entries.
 //
 // # Model
 //
-// The log may be down, or turn single processes away while it serves others. A
-// process that can't read it asks the entries, and takes what is newer than what
-// it has; offsets decide, so nothing ever reverts.
+// The log may be down, or refuse single processes while it serves others. A process that can't read
+// it fetches newer records from the entries. Offsets determine which records are newer, so a key
+// never reverts to an older record.
 //
-// Entries find each other by asking: each asks those that its settings name and
-// says where it can be asked itself; answers tell of the others. Who has not
-// asked for a while is forgotten.
+// Entries discover each other by gossip: each entry calls the seeds from its settings and sends its
+// own address with its requests. The responses contain other entries. An entry that is not known to
+// have been alive for a while is removed.
 //
-// Messages are CBOR over HTTP on a port that only the system's machines reach.
+// Messages are CBOR over HTTP on a port that only the system's machines can reach.
 package exchange
 
 import (
@@ -20,7 +21,7 @@
 	"boragehub/mirror"
 )
 
-// Paths of the calls.
+// Paths of the HTTP calls.
 const (
 	recordsPath = "/records"
 	noticePath  = "/notice"
@@ -29,53 +30,55 @@
 	entriesPath = "/entries"
 )
 
-// Reply is the answer to a question for records.
+// Reply is the response to a request for records of a topic, or for members.
 type Reply struct {
-	// Records are those from the asked offset on.
+	// Records are the records from the requested offset on.
 	Records []mirror.Record `cbor:"1,keyasint"`
 	// End is the offset after the last record covered.
 	End int64 `cbor:"2,keyasint"`
-	// AgeMs is how long ago the answer was surely up to date; negative for never.
+	// AgeMs is how long ago the records are known to have been up to date, in milliseconds;
+	// negative if there is no such time.
 	AgeMs int64 `cbor:"3,keyasint"`
-	// Loaded says that the answer covers every key that exists.
+	// Loaded is set if the responding process has loaded the topic, so that its records cover every
+	// key that exists.
 	Loaded bool `cbor:"4,keyasint"`
-	// Members are some of the entries that the one asked knows, or all on request.
+	// Members are some of the live entries that the responding one knows, or all on request.
 	Members []Member `cbor:"5,keyasint,omitempty"`
-	// HeldMs is how long the question was held before it was answered.
+	// HeldMs is how long the request was held before the response, in milliseconds.
 	HeldMs int64 `cbor:"6,keyasint,omitempty"`
-	// Packed are the records in place of Records when they are long.
-	Packed []byte `cbor:"7,keyasint,omitempty"`
+	// Compressed replaces Records if they are long. It holds the encoded records in DEFLATE format.
+	Compressed []byte `cbor:"7,keyasint,omitempty"`
 	// Ages replaces Members when the entry that asks has an equal view. It holds how long ago
 	// each entry of the view was last known to be alive, in order of address, in units of 0.1 s
 	// and capped at 25.5 s.
 	Ages []byte `cbor:"8,keyasint,omitempty"`
 }
 
-// Member is an entry that another one knows.
+// Member is an entry known to another one.
 type Member struct {
 	_ struct{} `cbor:",toarray"`
-	// Address is where it can be asked.
+	// Address is where the entry accepts calls.
 	Address string
-	// AgeMs is how long ago it was surely alive.
+	// AgeMs is how long ago it was last known to be alive, in milliseconds.
 	AgeMs int64
 }
 
-// Notice is what a side process says of its engine.
+// Notice announces a change of an engine's weights.
 type Notice struct {
-	// Address is the engine's.
+	// Address is the engine's address.
 	Address string `cbor:"1,keyasint"`
-	// Model and Version are what it loads or has.
+	// Model and Version identify the weights.
 	Model   string `cbor:"2,keyasint"`
 	Version int64  `cbor:"3,keyasint"`
-	// Loaded says that it has the version; otherwise it is about to load it.
+	// Loaded is set if the engine has loaded the version; otherwise it is about to load it.
 	Loaded bool `cbor:"4,keyasint"`
 }
 
-// maxMessage bounds what is read of one message: a configuration with thousands
-// of routes.
+// maxMessage bounds the bytes read of one message, before and after decompression. It suffices for
+// a configuration with thousands of routes.
 const maxMessage = 16 << 20
 
-// decoder bounds what a message may hold.
+// decoder bounds the number of elements and the nesting of a message.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -16,8 +16,8 @@
 	"boragehub/vault"
 )
 
-// entry is a process that answers others.
-type entry struct {
+// testEntry is an entry that serves calls over HTTP.
+type testEntry struct {
 	topic   mirror.Topic
 	members *Members
 	vaults  *vault.Directory
@@ -28,17 +28,18 @@
 	crashes chan quarantine.Crash
 }
 
-func (e *entry) told() []Notice {
+// received returns the notices received so far.
+func (e *testEntry) received() []Notice {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
 	return append([]Notice{}, e.notices...)
 }
 
-func newEntry(t *testing.T, seeds ...string) *entry {
+func newEntry(t *testing.T, seeds ...string) *testEntry {
 	t.Helper()
 
-	e := &entry{vaults: vault.NewDirectory(1), crashes: make(chan quarantine.Crash, 1)}
+	e := &testEntry{vaults: vault.NewDirectory(1), crashes: make(chan quarantine.Crash, 1)}
 	s := httptest.NewUnstartedServer(nil)
 	e.address = s.Listener.Addr().String()
 	e.members = NewMembers(e.address, seeds)
@@ -58,9 +59,9 @@
 	return e
 }
 
-// still is an entry that takes connections and answers nothing, as a machine that
-// stands still.
-func still(t *testing.T) string {
+// unresponsiveEntry returns the address of an entry that accepts connections but never responds,
+// like a paused VM.
+func unresponsiveEntry(t *testing.T) string {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,42 +79,42 @@
 	old.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("1"), Offset: 0}}, End: 1, AsOf: time.Now()})
 	current.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("2"), Offset: 1}}, End: 2, AsOf: time.Now()})
 
-	c := NewClient(NewMembers("", []string{old.address, current.address, still(t)}))
+	c := NewClient(NewMembers("", []string{old.address, current.address, unresponsiveEntry(t)}))
 
-	b, err := c.Newer(context.Background(), "t", 0)
+	b, err := c.Fetch(context.Background(), "t", 0)
 	if err != nil || b.End != 2 || len(b.Records) != 1 || string(b.Records[0].Value) != "2" || b.AsOf.IsZero() {
-		t.Errorf("got %+v %v, want the record of the newer one", b, err)
+		t.Errorf("got %+v %v, want the newer record", b, err)
 	}
 }
 
 func TestNobodyToAskIsSaid(t *testing.T) {
-	if _, err := NewClient(NewMembers("", nil)).Newer(context.Background(), "t", 0); err == nil {
+	if _, err := NewClient(NewMembers("", nil)).Fetch(context.Background(), "t", 0); err == nil {
 		t.Error("got no error")
 	}
 
-	if _, err := NewClient(NewMembers("", []string{still(t)})).Newer(context.Background(), "t", 0); err == nil {
-		t.Error("from one that stands still: got no error")
+	if _, err := NewClient(NewMembers("", []string{unresponsiveEntry(t)})).Fetch(context.Background(), "t", 0); err == nil {
+		t.Error("unresponsive entry: got no error")
 	}
 }
 
-// Settings name three entries at most, and those may be out of date. All others
-// are found through them.
+// Guards against entries that don't discover each other. Settings contain at most three seeds, which
+// may be outdated; all other entries are discovered through them.
 func TestEntriesFindEachOther(t *testing.T) {
 	seed := newEntry(t)
 	a, b := newEntry(t, seed.address), newEntry(t, seed.address)
 
 	for range 2 {
-		NewClient(a.members).Hello(context.Background())
-		NewClient(b.members).Hello(context.Background())
+		NewClient(a.members).GossipRound(context.Background())
+		NewClient(b.members).GossipRound(context.Background())
 	}
 
 	live := a.members.Live(time.Now())
 	if !contains(live, b.address) || !contains(live, seed.address) || contains(live, a.address) {
-		t.Errorf("got %v, want the others", live)
+		t.Errorf("got %v, want the other entries", live)
 	}
 
 	if got := a.members.Live(time.Now().Add(time.Hour)); len(got) != 0 {
-		t.Errorf("an hour later: got %v, want nobody", got)
+		t.Errorf("an hour later: got %v, want no entries", got)
 	}
 }
 
@@ -127,7 +128,7 @@
 
 	tests := []struct {
 		name string
-		e    *entry
+		e    *testEntry
 		want int // known entries, including itself
 	}{{"another entry", a, 2}, {"no other entry", alone, 1}}
 
@@ -147,30 +148,29 @@
 	}
 }
 
-// An entry stands still while engines take turns to load weights. Waited for, it
-// held each turn up by 0.8 s, so that two turns fell together and twice as many
-// engines were out at once.
+// Guards against a paused entry that delays the announcements of a rollout. It delayed each rollout
+// slot by 0.8 s, so that two slots overlapped and twice as many engines were unavailable at once.
 func TestEntryThatStandsStillHoldsNobodyUp(t *testing.T) {
 	e := newEntry(t)
-	c := NewClient(NewMembers("", []string{e.address, still(t)}))
+	c := NewClient(NewMembers("", []string{e.address, unresponsiveEntry(t)}))
 	began := time.Now()
 
 	c.Tell(context.Background(), "10.0.0.1:80", "m", 2, false)
 
 	if took := time.Since(began); took > callTimeout {
-		t.Errorf("got it told after %v, want %v at most", took, tellPatience)
+		t.Errorf("got a return of Tell after %v, want at most %v", took, announceTimeout)
 	}
 
 	for range 500 {
-		if len(e.told()) > 0 {
+		if len(e.received()) > 0 {
 			break
 		}
 
 		time.Sleep(10 * time.Millisecond)
 	}
 
-	if got := e.told(); len(got) != 1 || got[0] != (Notice{Address: "10.0.0.1:80", Model: "m", Version: 2}) {
-		t.Errorf("got %v told", got)
+	if got := e.received(); len(got) != 1 || got[0] != (Notice{Address: "10.0.0.1:80", Model: "m", Version: 2}) {
+		t.Errorf("got notices %v", got)
 	}
 }
 
@@ -182,14 +182,14 @@
 	for _, self := range all {
 		m := NewMembers(self, nil)
 		for _, other := range all {
-			m.Saw(now, other)
+			m.MarkAlive(now, other)
 		}
 
 		seen[m.Rank(now, "store")] = true
 	}
 
 	if len(seen) != len(all) {
-		t.Errorf("got turns %v, want %d different ones", seen, len(all))
+		t.Errorf("got ranks %v, want %d different ones", seen, len(all))
 	}
 }
 
@@ -220,20 +220,20 @@
 	}
 }
 
-// A process that waits at a reader has to have what is new at once, and must not wait
-// at one that can't read the log itself.
+// Guards against polls that return changes late, and against polls that are held by a reader that
+// is cut off from the log.
 func TestFollowWaitsForNews(t *testing.T) {
-	news := mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("2"), Offset: 7}}, End: 8}
+	change := mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("2"), Offset: 7}}, End: 8}
 
 	tests := []struct {
 		name string
-		// age is how old the reader's knowledge is, later what it learns meanwhile.
+		// age is the age of the reader's records; later is merged during the poll.
 		age   time.Duration
 		later mirror.Batch
 		want  int
 	}{
-		{"nothing new", 0, mirror.Batch{}, 0},
-		{"something new", 0, news, 1},
+		{"no change", 0, mirror.Batch{}, 0},
+		{"a change", 0, change, 1},
 		{"cut off from the log", time.Minute, mirror.Batch{}, 0},
 	}
 
@@ -243,13 +243,13 @@
 			e.topic.Merge(mirror.Batch{End: 7, Whole: true, AsOf: time.Now().Add(-tt.age)})
 			time.AfterFunc(20*time.Millisecond, func() { e.topic.Merge(tt.later) })
 
-			b, err := NewClient(NewMembers("", nil)).Follow(context.Background(), e.address, "t", 7, 200*time.Millisecond)
+			b, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 7, 200*time.Millisecond)
 			if err != nil || len(b.Records) != tt.want {
 				t.Errorf("got %d records %v, want %d", len(b.Records), err, tt.want)
 			}
 
 			if got := time.Since(b.AsOf); got < tt.age {
-				t.Errorf("got it %v old, want %v at least", got, tt.age)
+				t.Errorf("got records that are %v old, want at least %v", got, tt.age)
 			}
 		})
 	}
@@ -258,26 +258,26 @@
 func TestFollowNeedsAWholeTopic(t *testing.T) {
 	e := newEntry(t)
 
-	if _, err := NewClient(NewMembers("", nil)).Follow(context.Background(), e.address, "t", 0, time.Millisecond); err == nil {
-		t.Error("got no error from a reader that has read nothing")
+	if _, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 0, time.Millisecond); err == nil {
+		t.Error("got no error from an entry that has not loaded the topic")
 	}
 }
 
-// Entries tell each other whom they know. A dead one must not live on in what they
-// tell each other: it would be asked, and waited for, for ever.
+// Guards against dead entries that never expire because the others keep reporting them to each
+// other. Each round of calls would wait for them.
 func TestDeadEntriesAreForgottenByAll(t *testing.T) {
 	start := time.Unix(1000, 0)
 	a, b := NewMembers("a", nil), NewMembers("b", nil)
-	a.Saw(start, "dead")
+	a.MarkAlive(start, "dead")
 
 	for s := range 30 {
 		now := start.Add(time.Duration(s) * time.Second)
-		b.Heard(now, a.Tell(now))
-		a.Heard(now, b.Tell(now))
+		b.Merge(now, a.Sample(now))
+		a.Merge(now, b.Sample(now))
 
-		want := time.Duration(s)*time.Second <= memberAge
+		want := time.Duration(s)*time.Second <= memberTTL
 		if got := contains(b.Live(now), "dead"); got != want {
-			t.Fatalf("after %d s: got it known %v, want %v", s, got, want)
+			t.Fatalf("after %d s: got the entry known %v, want %v", s, got, want)
 		}
 	}
 }
@@ -285,16 +285,16 @@
 func TestAnswersTellOfAFewEntries(t *testing.T) {
 	m, now := NewMembers("self", nil), time.Unix(1000, 0)
 
-	for i := range 10 * told {
-		m.Saw(now, strconv.Itoa(i))
+	for i := range 10 * maxSample {
+		m.MarkAlive(now, strconv.Itoa(i))
 	}
 
-	if got := len(m.Tell(now)); got != told {
-		t.Errorf("got %d told, want %d", got, told)
+	if got := len(m.Sample(now)); got != maxSample {
+		t.Errorf("got %d entries, want %d", got, maxSample)
 	}
 
-	if got := len(m.Tell(now.Add(time.Minute))); got != 0 {
-		t.Errorf("a minute later: got %d told, want none", got)
+	if got := len(m.Sample(now.Add(time.Minute))); got != 0 {
+		t.Errorf("a minute later: got %d entries, want none", got)
 	}
 }
 
@@ -309,9 +309,9 @@
 	}
 }
 
-// A reader that waits at the log itself knows things that are up to a second old. Whoever
-// waits there must not be answered at once each time: it would ask hundreds of times a
-// second, and one notices entries that take half as much processor time again.
+// Guards against polls that return immediately because the reader reads the log by long polls, so
+// that its records are up to 1 s old. Each client would then poll it hundreds of times per second,
+// which increases the processor time of entries by half.
 func TestQuestionsAreHeldAtAReaderThatWaitsItself(t *testing.T) {
 	const wait = 100 * time.Millisecond
 
@@ -326,10 +326,10 @@
 		topic, now := &mirror.Topic{}, time.Now()
 		topic.Merge(mirror.Batch{End: 1, Whole: true, AsOf: now.Add(-tt.age)})
 
-		hold(context.Background(), now, topic, 1, wait)
+		waitForRecords(context.Background(), now, topic, 1, wait)
 
 		if got := time.Since(now) >= wait/4; got != tt.held {
-			t.Errorf("known %v ago: got it held %v, want %v", tt.age, got, tt.held)
+			t.Errorf("records %v old: got the request held %v, want %v", tt.age, got, tt.held)
 		}
 	}
 }
--- a/mirror/exchange/gossip_test.go
+++ b/mirror/exchange/gossip_test.go
@@ -10,12 +10,12 @@
 
 // gossipFleet simulates entries that exchange their membership in virtual time.
 type gossipFleet struct {
-	now         time.Time
-	rng         *rand.Rand
-	addresses   []string
-	members     map[string]*Members
-	down        map[string]bool
-	answerBytes int // approximate size of all answers
+	now           time.Time
+	rng           *rand.Rand
+	addresses     []string
+	members       map[string]*Members
+	down          map[string]bool
+	responseBytes int // approximate size of all responses
 }
 
 func newGossipFleet(n int) *gossipFleet {
@@ -35,24 +35,24 @@
 	return g
 }
 
-// hello simulates Client.Hello of one entry, and the answers of Server.
-func (g *gossipFleet) hello(a string) {
+// round simulates Client.GossipRound of one entry, and the responses of Server.
+func (g *gossipFleet) round(a string) {
 	const memberBytes = 24 // approximate size of an encoded Member
 
 	m := g.members[a]
-	all := m.Ask(g.now)
+	all := m.LiveAndSeeds(g.now)
 	g.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 
 	viewHash, needAll := m.ViewHash(g.now)
 	equal := false
 
-	for i, b := range all[:min(helloAsked, len(all))] {
+	for i, b := range all[:min(gossipFanout, len(all))] {
 		if g.down[b] {
 			continue
 		}
 
 		other := g.members[b]
-		other.Saw(g.now, a)
+		other.MarkAlive(g.now, a)
 
 		ages, members := other.Ages(g.now, viewHash), []Member(nil)
 
@@ -60,26 +60,26 @@
 		case ages != nil:
 			equal = true
 		case needAll && i == 0:
-			members = other.TellAll(g.now)
+			members = other.All(g.now)
 		default:
-			members = other.Tell(g.now)
+			members = other.Sample(g.now)
 		}
 
-		g.answerBytes += len(ages) + memberBytes*len(members)
+		g.responseBytes += len(ages) + memberBytes*len(members)
 
-		m.Saw(g.now, b)
-		m.Heard(g.now, members)
-		m.HeardAges(g.now, viewHash, ages)
+		m.MarkAlive(g.now, b)
+		m.Merge(g.now, members)
+		m.MergeAges(g.now, viewHash, ages)
 	}
 
 	m.EndRound(equal)
 }
 
 func (g *gossipFleet) run(d time.Duration) {
-	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(helloEvery) {
+	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(gossipPause) {
 		for _, a := range g.addresses {
 			if !g.down[a] {
-				g.hello(a)
+				g.round(a)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 	const (
 		startup        = 20 * time.Second
 		maxBytes       = 2000 // per second and entry, for all control traffic
-		bytesPerMember = 1    // in each answer
+		bytesPerMember = 1    // in each response
 	)
 
 	for _, n := range []int{30, 100, 300} {
@@ -132,20 +132,20 @@
 					s.change(i, a)
 				}
 
-				// Failed entries expire after memberAge.
-				g.run(memberAge + 10*time.Second)
+				// Failed entries expire after memberTTL.
+				g.run(memberTTL + 10*time.Second)
 
 				if lowest, highest := g.liveCounts(); lowest != s.want || highest != s.want {
 					t.Errorf("%s: got %d to %d entries known, want %d", s.name, lowest, highest, s.want)
 				}
 			}
 
-			g.answerBytes = 0
+			g.responseBytes = 0
 			g.run(20 * time.Second)
 
-			got, want := g.answerBytes/n/20, min(maxBytes, helloAsked/int(helloEvery/time.Second)*(n*bytesPerMember+8))
+			got, want := g.responseBytes/n/20, min(maxBytes, gossipFanout/int(gossipPause/time.Second)*(n*bytesPerMember+8))
 			if got > want {
-				t.Errorf("got %d answer bytes per second and entry, want at most %d", got, want)
+				t.Errorf("got %d response bytes per second and entry, want at most %d", got, want)
 			}
 		})
 	}
--- a/mirror/exchange/members.go
+++ b/mirror/exchange/members.go
@@ -14,14 +14,14 @@
 	"boragehub/mirror"
 )
 
-// memberAge is how long an entry is remembered without having asked or answered.
-const memberAge = 20 * time.Second
+// memberTTL is how long an entry is remembered after it was last known to be alive.
+const memberTTL = 20 * time.Second
 
 // maxMembers bounds the entries remembered. Each takes about 100 bytes.
 const maxMembers = 4096
 
-// Members are the entries that a process knows. Use NewMembers; its methods may
-// be called from many goroutines.
+// Members are the entries that a process knows. Use NewMembers. Its methods may be called from
+// multiple goroutines.
 type Members struct {
 	self  string
 	seeds []string
@@ -50,8 +50,8 @@
 	selections map[string]mirror.Assignment // by rendezvous key
 }
 
-// NewMembers returns Members that know the seeds. Self is this process's own
-// address, empty for a process that can't be asked.
+// NewMembers returns Members with the given seeds. Self is this process's own address; empty for a
+// process that doesn't accept calls.
 func NewMembers(self string, seeds []string) *Members {
 	return &Members{self: self, seeds: seeds, seen: make(map[string]memberState), mismatches: maxMismatches}
 }
@@ -59,8 +59,8 @@
 // Self returns this process's own address.
 func (m *Members) Self() string { return m.self }
 
-// Saw takes that an entry asked, or answered.
-func (m *Members) Saw(now time.Time, address string) {
+// MarkAlive records that an entry sent a request or a response.
+func (m *Members) MarkAlive(now time.Time, address string) {
 	if address == "" || address == m.self {
 		return
 	}
@@ -71,7 +71,7 @@
 	m.update(now, address, now)
 }
 
-// update adds an entry if it is unknown and there is room, or advances the time at which it was
+// update adds an entry if it is unknown and there is capacity, or advances the time at which it was
 // last alive. The caller holds mu.
 func (m *Members) update(now time.Time, address string, lastAlive time.Time) {
 	x, ok := m.seen[address]
@@ -89,15 +89,15 @@
 	m.seen[address] = x
 }
 
-// Heard takes which entries another one knows. What is told of one counts as of when
-// that one was surely alive, so that a dead one is forgotten however many tell of it.
-func (m *Members) Heard(now time.Time, told []Member) {
+// Merge adds the entries that another one reported, as of when each was last known to be alive. A
+// dead entry therefore expires, however many other entries report it.
+func (m *Members) Merge(now time.Time, reported []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	for _, x := range told {
+	for _, x := range reported {
 		age := time.Duration(max(x.AgeMs, 0)) * time.Millisecond
-		if x.Address == "" || x.Address == m.self || age > memberAge {
+		if x.Address == "" || x.Address == m.self || age > memberTTL {
 			continue
 		}
 
@@ -106,44 +106,44 @@
 }
 
 const (
-	// told bounds the entries in an answer when the views differ, unless all are asked for.
-	told = 24
-	// newMemberAge is how long after its addition an entry takes precedence in answers.
+	// maxSample bounds the entries in a response when the views differ, unless all are requested.
+	maxSample = 24
+	// newMemberAge is how long after its addition an entry takes precedence in responses.
 	newMemberAge = 10 * time.Second
 	// maxMismatches is the number of consecutive rounds without an equal view after which a
 	// process asks for all entries.
 	maxMismatches = 3
 )
 
-// Tell returns some of the entries known, recently added ones first.
-func (m *Members) Tell(now time.Time) []Member {
+// Sample returns up to maxSample live entries, recently added ones first.
+func (m *Members) Sample(now time.Time) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	recent, others := make([]Member, 0, told), make([]Member, 0, told)
+	recent, others := make([]Member, 0, maxSample), make([]Member, 0, maxSample)
 
-	// Maps are walked in a random order.
+	// Go iterates over maps in random order.
 	for a, x := range m.seen {
 		age := now.Sub(x.lastAlive)
 
 		switch {
-		case age > memberAge:
-		case now.Sub(x.added) < newMemberAge && len(recent) < told:
+		case age > memberTTL:
+		case now.Sub(x.added) < newMemberAge && len(recent) < maxSample:
 			recent = append(recent, Member{Address: a, AgeMs: age.Milliseconds()})
-		case len(others) < told:
+		case len(others) < maxSample:
 			others = append(others, Member{Address: a, AgeMs: age.Milliseconds()})
 		}
 
-		if len(recent) == told {
+		if len(recent) == maxSample {
 			break
 		}
 	}
 
-	return append(recent, others[:min(told-len(recent), len(others))]...)
+	return append(recent, others[:min(maxSample-len(recent), len(others))]...)
 }
 
-// TellAll returns all entries known.
-func (m *Members) TellAll(now time.Time) []Member {
+// All returns all live entries, sorted by address.
+func (m *Members) All(now time.Time) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -216,9 +216,9 @@
 	return ages
 }
 
-// HeardAges takes the ages that an entry with an equal view returned. It ignores them if their
+// MergeAges merges the ages that an entry with an equal view returned. It ignores them if their
 // number is wrong or this process's view has changed since the request.
-func (m *Members) HeardAges(now time.Time, viewHash uint64, ages []byte) {
+func (m *Members) MergeAges(now time.Time, viewHash uint64, ages []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -229,14 +229,14 @@
 	}
 
 	for i, a := range m.live.view {
-		if age := time.Duration(ages[i]) * ageUnit; a != m.self && age <= memberAge {
+		if age := time.Duration(ages[i]) * ageUnit; a != m.self && age <= memberTTL {
 			m.update(now, a, now.Add(-age))
 		}
 	}
 }
 
-// Live returns the entries that asked or answered of late, in order, without
-// this process.
+// Live returns the entries that were known to be alive within the last memberTTL, sorted by address
+// and without this process.
 func (m *Members) Live(now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -255,7 +255,7 @@
 	oldest, expired := now, false
 
 	for a, x := range m.seen {
-		if now.Sub(x.lastAlive) > memberAge {
+		if now.Sub(x.lastAlive) > memberTTL {
 			delete(m.seen, a)
 
 			expired = true
@@ -264,7 +264,7 @@
 		}
 	}
 
-	m.live.expires = oldest.Add(memberAge)
+	m.live.expires = oldest.Add(memberTTL)
 
 	if m.live.joined || expired || m.live.view == nil {
 		m.live.all = slices.Sorted(maps.Keys(m.seen))
@@ -288,8 +288,8 @@
 	return slices.Insert(all, i, m.self)
 }
 
-// Ask returns whom to ask: the live entries and the seeds.
-func (m *Members) Ask(now time.Time) []string {
+// LiveAndSeeds returns the entries to call: the live entries and the seeds.
+func (m *Members) LiveAndSeeds(now time.Time) []string {
 	all := m.Live(now)
 
 	for _, s := range m.seeds {
@@ -329,7 +329,7 @@
 func (m *Members) Watchers(now time.Time) (others []string, self bool) {
 	a := m.selection(now, "watch", func(all []string) mirror.Assignment {
 		a := m.assign(all, maxWatchers)
-		if a.Reads {
+		if a.Direct {
 			return a
 		}
 
@@ -344,7 +344,7 @@
 		return mirror.Assignment{Addresses: asked}
 	})
 
-	return a.Addresses, a.Reads
+	return a.Addresses, a.Direct
 }
 
 const (
@@ -374,7 +374,7 @@
 // limit entries read the source directly.
 func (m *Members) assign(all []string, limit int) mirror.Assignment {
 	a := m.selectEntries(all, limit)
-	if a.Reads || servingCount(len(all)) <= limit {
+	if a.Direct || servingCount(len(all)) <= limit {
 		return a
 	}
 
@@ -385,7 +385,7 @@
 		return a
 	}
 
-	byScore(relays, m.self)
+	sortByScore(relays, m.self)
 
 	return mirror.Assignment{Addresses: relays}
 }
@@ -395,7 +395,7 @@
 // others.
 func (m *Members) Registrar(now time.Time, topic string) string {
 	a := m.selection(now, "register|"+topic, func(all []string) mirror.Assignment { return m.selectEntries(all, maxReaders) })
-	if a.Reads || len(a.Addresses) == 0 {
+	if a.Direct || len(a.Addresses) == 0 {
 		return ""
 	}
 
@@ -409,19 +409,19 @@
 func relayCount(n int) int { return (n + readerShare - 1) / readerShare }
 
 // selectEntries selects the first entries of all, which are in rendezvous order, up to limit.
-// Reads is set if this process is one of them; Addresses are the others.
+// Direct is set if this process is one of them; Addresses are the others.
 func (m *Members) selectEntries(all []string, limit int) mirror.Assignment {
 	var a mirror.Assignment
 
 	for _, address := range all[:min(servingCount(len(all)), limit)] {
 		if address == m.self {
-			a.Reads = true
+			a.Direct = true
 		} else {
 			a.Addresses = append(a.Addresses, address)
 		}
 	}
 
-	byScore(a.Addresses, m.self)
+	sortByScore(a.Addresses, m.self)
 
 	return a
 }
@@ -439,7 +439,7 @@
 	}
 
 	all := append(slices.Clone(m.live.all), m.self)
-	byScore(all, key)
+	sortByScore(all, key)
 
 	a := choose(all)
 
@@ -459,14 +459,14 @@
 // of preference. The name of the process determines the choice, which distributes such processes
 // among the entries.
 func (m *Members) Preferred(now time.Time, name string) []string {
-	all := m.Ask(now)
-	byScore(all, name)
+	all := m.LiveAndSeeds(now)
+	sortByScore(all, name)
 
 	return all[:min(maxPreferred, len(all))]
 }
 
-// byScore orders addresses by their rendezvous score for a key, highest first.
-func byScore(all []string, key string) {
+// sortByScore sorts addresses by their rendezvous score for a key, highest first.
+func sortByScore(all []string, key string) {
 	scores := make(map[string]uint64, len(all))
 	for _, a := range all {
 		scores[a] = score(key, a)
@@ -495,8 +495,8 @@
 	return len(m.live.all) + 1
 }
 
-// Rank returns this entry's position in the rendezvous order of a key among the live ones,
-// from zero. Entries that know the same others agree on it.
+// Rank returns this entry's position in the rendezvous order of a key among the live entries, from
+// zero. Entries with equal views agree on the order.
 func (m *Members) Rank(now time.Time, key string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mirror/exchange/members_test.go
+++ b/mirror/exchange/members_test.go
@@ -16,7 +16,7 @@
 func membersWith(now time.Time, n int) *Members {
 	m := NewMembers("10.0.0.1:7700", nil)
 	for i := range n {
-		m.Saw(now, fmt.Sprintf("10.1.%d.%d:7700", i/250, i%250))
+		m.MarkAlive(now, fmt.Sprintf("10.1.%d.%d:7700", i/250, i%250))
 	}
 
 	return m
@@ -49,11 +49,11 @@
 	m := NewMembers("a", nil)
 
 	steps := []struct {
-		name  string
-		after time.Duration
-		seen  []string
-		heard []Member
-		want  []string
+		name     string
+		after    time.Duration
+		seen     []string
+		reported []Member
+		want     []string
 	}{
 		{"no other entry", 0, nil, nil, []string{}},
 		{"b joins", 0, []string{"b"}, nil, []string{"b"}},
@@ -67,10 +67,10 @@
 	for _, s := range steps {
 		now = now.Add(s.after)
 		for _, x := range s.seen {
-			m.Saw(now, x)
+			m.MarkAlive(now, x)
 		}
 
-		m.Heard(now, s.heard)
+		m.Merge(now, s.reported)
 
 		selected, self := m.Watchers(now)
 		others := slices.Clone(selected)
@@ -113,7 +113,7 @@
 	for _, self := range all {
 		m := NewMembers(self, nil)
 		for _, other := range all {
-			m.Saw(now, other)
+			m.MarkAlive(now, other)
 		}
 
 		got[self] = assign(m, now)
@@ -139,7 +139,7 @@
 		{"stores", 8, func(m *Members, now time.Time) mirror.Assignment {
 			others, self := m.Watchers(now)
 
-			return mirror.Assignment{Reads: self, Addresses: others}
+			return mirror.Assignment{Direct: self, Addresses: others}
 		}},
 	}
 
@@ -154,7 +154,7 @@
 
 			hops := func(entry string) int {
 				n := 0
-				for ; !all[entry].Reads && n <= maxHops; n++ {
+				for ; !all[entry].Direct && n <= maxHops; n++ {
 					entry = all[entry].Addresses[0]
 				}
 
@@ -162,7 +162,7 @@
 			}
 
 			for entry, a := range all {
-				if a.Reads {
+				if a.Direct {
 					readers++
 
 					continue
@@ -200,7 +200,7 @@
 	const entries, processes = 400, 600
 
 	for i := range entries {
-		m.Saw(now, fmt.Sprintf("10.1.%d.%d:7700", i/250, i%250))
+		m.MarkAlive(now, fmt.Sprintf("10.1.%d.%d:7700", i/250, i%250))
 	}
 
 	subscribers := make(map[string]int)
--- a/mirror/exchange/registration.go
+++ b/mirror/exchange/registration.go
@@ -60,8 +60,8 @@
 	Logger logr.Logger
 }
 
-// Registration writes into the log where this entry can be asked, and reads where
-// all others can. Use NewRegistration.
+// Registration stores this entry's address in the log, and reads the addresses of all entries. Use
+// NewRegistration.
 type Registration struct {
 	cfg   RegistrationConfig
 	since atomic.Pointer[time.Time]
@@ -120,6 +120,7 @@
 	return r.Add(ctx, entry)
 }
 
+// record returns the record that registers the entry.
 func (e Registrant) record() mirror.Record {
 	return mirror.Record{Key: e.Name, Value: []byte(e.Address)}
 }
@@ -163,8 +164,8 @@
 	close(batch.done)
 }
 
-// Since returns when the log had taken the entry's address, zero before that. What
-// was read of the log earlier may be older than the registration.
+// Since returns when the log had accepted the entry's address; zero before that. Records read from
+// the log earlier may be older than the registration.
 func (r *Registration) Since() time.Time {
 	if t := r.since.Load(); t != nil {
 		return *t
@@ -173,8 +174,8 @@
 	return time.Time{}
 }
 
-// All reads the addresses of all entries that ever registered under their present
-// name, without self.
+// All reads the addresses of all entries ever registered from the log, without self. For each name
+// it returns the latest address.
 func (r *Registration) All(ctx context.Context, self string) ([]string, error) {
 	c, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
--- a/mirror/exchange/registration_test.go
+++ b/mirror/exchange/registration_test.go
@@ -105,7 +105,7 @@
 				for _, a := range addresses {
 					m := NewMembers(a, nil)
 					for _, other := range addresses {
-						m.Saw(time.Now(), other)
+						m.MarkAlive(time.Now(), other)
 					}
 
 					peers := &fakeRegistrationPeers{m, fleet, tt.fail}
--- a/mirror/exchange/relay_test.go
+++ b/mirror/exchange/relay_test.go
@@ -77,8 +77,8 @@
 	return s.since(from), nil
 }
 
-// process follows a topic in a simulated fleet and serves it to the others. A frozen process
-// answers no polls.
+// process follows a topic in a simulated fleet and serves it to the others. A paused process
+// doesn't respond to polls.
 type process struct {
 	address string
 	topic   mirror.Topic
@@ -86,30 +86,30 @@
 	fleet   map[string]*process
 
 	mu     sync.Mutex
-	frozen bool
+	paused bool
 }
 
-func (p *process) freeze() {
+func (p *process) pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.frozen = true
+	p.paused = true
 }
 
-func (p *process) isFrozen() bool {
+func (p *process) isPaused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.frozen
+	return p.paused
 }
 
 func (p *process) Assignment(topic string) mirror.Assignment {
 	return p.members.Assignment(time.Now(), topic)
 }
 
-func (p *process) Follow(ctx context.Context, address, _ string, from int64, wait time.Duration) (mirror.Batch, error) {
+func (p *process) Poll(ctx context.Context, address, _ string, from int64, wait time.Duration) (mirror.Batch, error) {
 	other := p.fleet[address]
-	if other.isFrozen() {
+	if other.isPaused() {
 		<-ctx.Done()
 
 		return mirror.Batch{}, errUnreachable
@@ -119,8 +119,8 @@
 		return mirror.Batch{}, errNotLoaded
 	}
 
-	b := hold(ctx, time.Now(), &other.topic, from, wait)
-	if other.isFrozen() {
+	b := waitForRecords(ctx, time.Now(), &other.topic, from, wait)
+	if other.isPaused() {
 		<-ctx.Done()
 
 		return mirror.Batch{}, errUnreachable
@@ -129,10 +129,10 @@
 	return b, nil
 }
 
-// allUpdated reports whether all processes that are not frozen have a value.
+// allUpdated reports whether all processes that are not paused have a value.
 func allUpdated(fleet map[string]*process, value string) bool {
 	for _, p := range fleet {
-		if r, ok := p.topic.Get("config"); !p.isFrozen() && (!ok || string(r.Value) != value) {
+		if r, ok := p.topic.Get("config"); !p.isPaused() && (!ok || string(r.Value) != value) {
 			return false
 		}
 	}
@@ -140,7 +140,7 @@
 	return true
 }
 
-// propagationTime returns how long it takes until all processes that are not frozen have a
+// propagationTime returns how long it takes until all processes that are not paused have a
 // value, up to about ten seconds.
 func propagationTime(fleet map[string]*process, value string) time.Duration {
 	began := time.Now()
@@ -152,7 +152,7 @@
 }
 
 // Guards against reads of the log that grow with the fleet, and against late updates when all
-// readers and relays freeze at once.
+// readers and relays are paused at once.
 func TestUpdatesReachFleetInTime(t *testing.T) {
 	const (
 		wait            = 500 * time.Millisecond
@@ -177,7 +177,7 @@
 
 			for _, p := range fleet {
 				for other := range fleet {
-					p.members.Saw(time.Now(), other)
+					p.members.MarkAlive(time.Now(), other)
 				}
 
 				go mirror.NewFollower(mirror.FollowerConfig{
@@ -207,15 +207,15 @@
 			}
 
 			for _, p := range fleet {
-				if a := p.Assignment("op"); a.Reads || a.Wait > 0 {
-					p.freeze()
+				if a := p.Assignment("op"); a.Direct || a.Wait > 0 {
+					p.pause()
 				}
 			}
 
 			log.publish("3")
 
 			if got := propagationTime(fleet, "3"); got > maxDelay {
-				t.Errorf("%d processes, readers and relays frozen: got the update after %v, want at most %v", n, got, maxDelay)
+				t.Errorf("%d processes, readers and relays paused: got the update after %v, want at most %v", n, got, maxDelay)
 			}
 
 			cancel()
--- a/mirror/exchange/server.go
+++ b/mirror/exchange/server.go
@@ -15,55 +15,55 @@
 	"boragehub/vault"
 )
 
-// Server answers other processes. It is an http.Handler.
+// Server serves calls of other processes. It implements http.Handler.
 type Server struct {
-	mux     *http.ServeMux
-	members *Members
-	topics  map[string]*mirror.Topic
-	notice  func(now time.Time, n Notice)
-	crash   func(now time.Time, c quarantine.Crash)
-	add     func(ctx context.Context, entry Registrant) error
-	vaults  *vault.Directory
-	packer  packer
+	mux        *http.ServeMux
+	members    *Members
+	topics     map[string]*mirror.Topic
+	notice     func(now time.Time, n Notice)
+	crash      func(now time.Time, c quarantine.Crash)
+	add        func(ctx context.Context, entry Registrant) error
+	vaults     *vault.Directory
+	compressor recordCompressor
 }
 
-// ServerConfig is what a Server tells of.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Members are the entries known.
+	// Members are the known entries.
 	Members *Members
-	// Topics are the topics mirrored, by name.
+	// Topics are the replicated topics, by name.
 	Topics map[string]*mirror.Topic
-	// Vaults knows the stores.
+	// Vaults holds the known contents of the stores.
 	Vaults *vault.Directory
-	// Notice takes what side processes say.
+	// Notice is called with the announcements of changes of engines' weights.
 	Notice func(now time.Time, n Notice)
-	// Crash takes what other entries say of targets that crashed.
+	// Crash is called with the crash reports of other entries.
 	Crash func(now time.Time, c quarantine.Crash)
 	// Add registers another entry. If nil, requests to register entries are refused.
 	Add func(ctx context.Context, entry Registrant) error
 }
 
-// NewServer returns a Server.
+// NewServer returns a Server with the given configuration.
 func NewServer(cfg ServerConfig) *Server {
 	s := &Server{mux: http.NewServeMux(), members: cfg.Members, topics: cfg.Topics, notice: cfg.Notice, crash: cfg.Crash, add: cfg.Add, vaults: cfg.Vaults}
-	s.mux.HandleFunc("POST "+vaultsPath, s.stores)
+	s.mux.HandleFunc("POST "+vaultsPath, s.storeUpdates)
 	s.mux.HandleFunc("GET "+recordsPath, s.records)
 	s.mux.HandleFunc("POST "+entriesPath, s.register)
-	s.mux.HandleFunc("POST "+noticePath, take(func(n Notice) { s.notice(time.Now(), n) }))
-	s.mux.HandleFunc("POST "+crashPath, take(func(c quarantine.Crash) { s.crash(time.Now(), c) }))
+	s.mux.HandleFunc("POST "+noticePath, handleMessage(func(n Notice) { s.notice(time.Now(), n) }))
+	s.mux.HandleFunc("POST "+crashPath, handleMessage(func(c quarantine.Crash) { s.crash(time.Now(), c) }))
 
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// records tells what this process holds of a topic, or, without one, which entries it
-// knows.
+// records returns this process's records of a topic or, if the request has no topic, the entries
+// that it knows.
 func (s *Server) records(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	q := r.URL.Query()
-	s.members.Saw(now, q.Get("self"))
+	s.members.MarkAlive(now, q.Get("self"))
 
 	reply := Reply{AgeMs: -1}
 	topic := q.Get("topic")
@@ -75,21 +75,21 @@
 	if t, ok := s.topics[topic]; ok {
 		from, err := strconv.ParseInt(q.Get("from"), 10, 64)
 		if err != nil {
-			http.Error(w, "from is no offset", http.StatusBadRequest)
+			http.Error(w, "the query parameter from is not an offset", http.StatusBadRequest)
 
 			return
 		}
 
-		wait := waitOf(q)
+		wait := parseWait(q)
 		if !t.Loaded() {
 			wait = 0 // lets the client try another process without delay
 		}
 
-		b := hold(r.Context(), now, t, from, wait)
+		b := waitForRecords(r.Context(), now, t, from, wait)
 		reply.HeldMs = time.Since(now).Milliseconds()
 		now = now.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 		reply.End, reply.Loaded = b.End, t.Loaded()
-		reply.Records, reply.Packed = s.packer.pack(topic, from, b)
+		reply.Records, reply.Compressed = s.compressor.encode(topic, from, b)
 
 		if !b.AsOf.IsZero() {
 			reply.AgeMs = now.Sub(b.AsOf).Milliseconds()
@@ -97,12 +97,12 @@
 	}
 
 	if topic == "" {
-		answerCompressed(w, r, reply)
+		writeMessageCompressed(w, r, reply)
 
 		return
 	}
 
-	answer(w, reply)
+	writeMessage(w, reply)
 }
 
 // membership returns only the ages of the known entries if the view hash in the query is equal
@@ -116,38 +116,38 @@
 	}
 
 	if q.Get("all") != "" {
-		return nil, s.members.TellAll(now)
+		return nil, s.members.All(now)
 	}
 
-	return nil, s.members.Tell(now)
+	return nil, s.members.Sample(now)
 }
 
-// maxHold bounds how long a question is held.
-const maxHold = 2 * time.Second
+// maxWait bounds how long a request is held.
+const maxWait = 2 * time.Second
 
-// waitOf returns how long a question may be held; zero when it doesn't say.
-func waitOf(q url.Values) time.Duration {
+// parseWait returns how long a request may be held; zero if the query doesn't specify it.
+func parseWait(q url.Values) time.Duration {
 	ms, err := strconv.ParseInt(q.Get("wait_ms"), 10, 32)
 	if err != nil {
 		return 0
 	}
 
-	return min(max(time.Duration(ms)*time.Millisecond, 0), maxHold)
+	return min(max(time.Duration(ms)*time.Millisecond, 0), maxWait)
 }
 
-// hold returns what a topic holds from an offset on, as soon as there is something
-// or the wait is over. Whoever waits at a process that can't read the log has to know
-// in time, so a question is held for less when what is known is old already: twice the
-// wait is the oldest that it may be told. A process that reads by waiting at the log is
-// up to two of its own waits behind.
-func hold(ctx context.Context, now time.Time, t *mirror.Topic, from int64, wait time.Duration) mirror.Batch {
+// waitForRecords returns the records of a topic from an offset on, as soon as there are any or the
+// wait has passed. A client must detect in time that this process can't read the log. Therefore the
+// wait is shortened so that the records are at most twice the wait old at its end, and is omitted
+// if they are older already. The records of a process that reads the log by long polls are up to
+// two of its own waits old.
+func waitForRecords(ctx context.Context, now time.Time, t *mirror.Topic, from int64, wait time.Duration) mirror.Batch {
 	wait = min(wait, 2*wait-now.Sub(t.Fresh()))
 
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 
 	for {
-		news := t.News()
+		changed := t.Changed()
 
 		b := t.Since(from)
 		if len(b.Records) > 0 || wait <= 0 {
@@ -155,7 +155,7 @@
 		}
 
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			wait = 0
 		case <-ctx.Done():
@@ -164,25 +164,25 @@
 	}
 }
 
-// answer writes a message.
-func answer[T any](w http.ResponseWriter, message T) {
+// writeMessage writes a message as the response.
+func writeMessage[T any](w http.ResponseWriter, message T) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		http.Error(w, "no answer can be made", http.StatusInternalServerError)
+		http.Error(w, "the response could not be encoded", http.StatusInternalServerError)
 
 		return
 	}
 
-	//nolint:errcheck,gosec // whoever asked asks again, or somebody else
+	//nolint:errcheck,gosec // the client retries, here or at another entry
 	w.Write(body)
 }
 
-// answerCompressed writes a message. It is compressed if it has at least compressAbove bytes and
-// the client accepts the encoding.
-func answerCompressed[T any](w http.ResponseWriter, r *http.Request, message T) {
+// writeMessageCompressed writes a message as the response. It is compressed if it has at least
+// compressAbove bytes and the client accepts the encoding.
+func writeMessageCompressed[T any](w http.ResponseWriter, r *http.Request, message T) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		http.Error(w, "no answer can be made", http.StatusInternalServerError)
+		http.Error(w, "the response could not be encoded", http.StatusInternalServerError)
 
 		return
 	}
@@ -199,8 +199,9 @@
 	w.Write(body)
 }
 
-// question reads a message.
-func question[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
+// readMessage reads a message from a request. If that fails, it responds with an error and returns
+// false.
+func readMessage[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var message T
 
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
@@ -213,22 +214,22 @@
 	}
 
 	if err != nil {
-		http.Error(w, "the message can't be read", http.StatusBadRequest)
+		http.Error(w, "the message could not be decoded", http.StatusBadRequest)
 	}
 
 	return message, err == nil
 }
 
-// stores tells what changed in stores.
-func (s *Server) stores(w http.ResponseWriter, r *http.Request) {
-	if positions, ok := question[[]vault.Position](w, r); ok {
-		answerCompressed(w, r, s.vaults.Tell(time.Now(), positions))
+// storeUpdates returns the changes of stores since the positions in the request.
+func (s *Server) storeUpdates(w http.ResponseWriter, r *http.Request) {
+	if positions, ok := readMessage[[]vault.Position](w, r); ok {
+		writeMessageCompressed(w, r, s.vaults.Tell(time.Now(), positions))
 	}
 }
 
 // register registers another entry, and responds after the log has accepted the record.
 func (s *Server) register(w http.ResponseWriter, r *http.Request) {
-	entry, ok := question[Registrant](w, r)
+	entry, ok := readMessage[Registrant](w, r)
 	if !ok {
 		return
 	}
@@ -242,10 +243,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take handles a message that needs no answer.
-func take[T any](handle func(message T)) http.HandlerFunc {
+// handleMessage returns a handler that passes a message to handle and responds without content.
+func handleMessage[T any](handle func(message T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		message, ok := question[T](w, r)
+		message, ok := readMessage[T](w, r)
 		if !ok {
 			return
 		}
--- a/mirror/exchange/start_test.go
+++ b/mirror/exchange/start_test.go
@@ -55,22 +55,22 @@
 	rng       *rand.Rand
 }
 
-func (p *startingProcess) Follow(ctx context.Context, address, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
+func (p *startingProcess) Poll(ctx context.Context, address, topic string, from int64, wait time.Duration) (mirror.Batch, error) {
 	if !p.fleet[address].listening.Load() {
 		return mirror.Batch{}, errUnreachable
 	}
 
-	return p.process.Follow(ctx, address, topic, from, wait)
+	return p.process.Poll(ctx, address, topic, from, wait)
 }
 
-// hello simulates Client.Hello and the answers of Server.
-func (p *startingProcess) hello() (answered, equal bool) {
-	all := p.members.Ask(time.Now())
+// gossipRound simulates Client.GossipRound and the responses of Server.
+func (p *startingProcess) gossipRound() (responded, equal bool) {
+	all := p.members.LiveAndSeeds(time.Now())
 	p.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 
 	viewHash, needAll := p.members.ViewHash(time.Now())
 
-	for i, address := range all[:min(helloAsked, len(all))] {
+	for i, address := range all[:min(gossipFanout, len(all))] {
 		other := p.fleet[address]
 		if !other.listening.Load() {
 			continue
@@ -79,7 +79,7 @@
 		time.Sleep(time.Millisecond)
 
 		now := time.Now()
-		other.members.Saw(now, p.address)
+		other.members.MarkAlive(now, p.address)
 
 		ages, members := other.members.Ages(now, viewHash), []Member(nil)
 
@@ -87,21 +87,21 @@
 		case ages != nil:
 			equal = true
 		case needAll && i == 0:
-			members = other.members.TellAll(now)
+			members = other.members.All(now)
 		default:
-			members = other.members.Tell(now)
+			members = other.members.Sample(now)
 		}
 
-		p.members.Saw(now, address)
-		p.members.Heard(now, members)
-		p.members.HeardAges(now, viewHash, ages)
+		p.members.MarkAlive(now, address)
+		p.members.Merge(now, members)
+		p.members.MergeAges(now, viewHash, ages)
 
-		answered = true
+		responded = true
 	}
 
 	p.members.EndRound(equal)
 
-	return answered, equal
+	return responded, equal
 }
 
 // run starts the process and follows the topic until ctx ends. It simulates Client.Run.
@@ -111,25 +111,25 @@
 		loadWait = time.Second            // restartLoadWait in cmd/boragehub
 	)
 
-	c := &Client{answered: make(chan struct{})}
+	c := &Client{responded: make(chan struct{})}
 	began := time.Now()
 
 	p.listening.Store(true)
 
 	go func() {
-		answered, converged := false, false
+		responded, converged := false, false
 
 		for ctx.Err() == nil {
-			roundAnswered, roundEqual := p.hello()
-			if roundAnswered && !answered {
-				answered = true
+			roundResponded, roundEqual := p.gossipRound()
+			if roundResponded && !responded {
+				responded = true
 
-				close(c.answered)
+				close(c.responded)
 			}
 
 			converged = converged || roundEqual
 
-			time.Sleep(helloInterval(time.Since(began), answered, converged))
+			time.Sleep(nextGossipPause(time.Since(began), responded, converged))
 		}
 	}()
 
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -12,35 +12,37 @@
 	"boragehub/pause"
 )
 
-// ErrTrimmed is returned by a Source that no longer keeps the records asked for.
-var ErrTrimmed = errors.New("records are no longer kept")
+// ErrTrimmed is returned by a Source whose log no longer keeps the requested records.
+var ErrTrimmed = errors.New("records were trimmed from the log")
 
 // Source is the log.
 type Source interface {
-	// Newest returns the newest record of every key.
+	// Newest returns a snapshot: the newest record of every key.
 	Newest(ctx context.Context, topic string) (Batch, error)
-	// Read returns the records from an offset on, waiting for the first one.
+	// Read returns the records from an offset on. It waits for the first one, up to the given
+	// time. It returns ErrTrimmed if the log no longer keeps the record at the offset.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (Batch, error)
 }
 
 // Peers are other processes that follow the same topic.
 type Peers interface {
-	// Newer returns what another process holds from an offset on.
-	Newer(ctx context.Context, topic string, from int64) (Batch, error)
+	// Fetch returns another process's records from an offset on, without waiting.
+	Fetch(ctx context.Context, topic string, from int64) (Batch, error)
 }
 
-// Relay passes on what a few processes read for all.
+// Relay assigns the processes that read a topic from the log, and polls them.
 type Relay interface {
 	// Assignment returns how this process gets a topic.
 	Assignment(topic string) Assignment
-	// Follow polls another process for records from an offset on, waiting for the first one.
-	Follow(ctx context.Context, address, topic string, from int64, wait time.Duration) (Batch, error)
+	// Poll requests the records from an offset on from another process, which waits for the
+	// first one, up to the given time.
+	Poll(ctx context.Context, address, topic string, from int64, wait time.Duration) (Batch, error)
 }
 
 // Assignment is how a process gets a topic: from the log or from another process.
 type Assignment struct {
-	// Reads is set if the process reads the log itself.
-	Reads bool
+	// Direct is set if the process reads the log itself.
+	Direct bool
 	// Addresses are the processes to poll otherwise, in order of preference. The slice is
 	// shared and must not be modified.
 	Addresses []string
@@ -51,86 +53,88 @@
 // pollWait returns how long one poll waits for new records, with the default applied.
 func (a Assignment) pollWait() time.Duration {
 	if a.Wait <= 0 {
-		return relayWait
+		return defaultPollWait
 	}
 
 	return a.Wait
 }
 
 // staleAfter returns the age from which a batch from another process is rejected as stale.
-func (a Assignment) staleAfter() time.Duration { return max(relayStale, 2*a.pollWait()) }
+func (a Assignment) staleAfter() time.Duration { return max(relayStaleAfter, 2*a.pollWait()) }
 
-// FollowerConfig says what to follow and how.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	// Name is the topic's name.
 	Name string
-	// Topic takes what is read.
+	// Topic is the replica to keep up to date.
 	Topic *Topic
 	// Source is the log.
 	Source Source
-	// Peers are asked while the log doesn't answer; nil asks nobody.
+	// Peers are asked for records at the start and while the log doesn't respond, see also
+	// AskEvery. If nil, only the log and the assigned processes are read.
 	Peers Peers
-	// Relay tells who reads for all; nil has this process read itself.
+	// Relay assigns the processes that read the log. If nil, this process reads it itself.
 	Relay Relay
 	// LoadWait is how long a starting process waits for another one to return the whole
 	// topic before it reads the log; zero reads the log at once. It has no effect without
 	// a Relay.
 	LoadWait time.Duration
-	// Wait is how long one read waits for a record. It bounds how long a
-	// connection that fell silent goes unnoticed.
+	// Wait is how long one read of the log waits for a record. It bounds the time until an
+	// unresponsive connection is detected.
 	Wait time.Duration
-	// Every is the pause between two reads; zero reads on at once.
+	// Every is the pause between two reads of the log; zero continues at once.
 	Every time.Duration
-	// AskEvery is the interval at which the Peers are asked while the log answers, unless
+	// AskEvery is the interval at which the Peers are asked while the log responds, unless
 	// the topic is known to have been current within that interval. Zero asks them only
-	// when the log doesn't answer.
+	// when the log doesn't respond.
 	AskEvery time.Duration
-	// OnNews gets the records that are new, in order, one call at a time.
-	OnNews func(now time.Time, news []Record)
-	// OnAway is called when the log stops answering and when it answers again; nil
-	// calls nothing.
-	OnAway func(now time.Time, away bool)
-	// Log gets a line when the log is lost and regained.
+	// OnNews is called with the changed records in order of offset, one call at a time.
+	OnNews func(now time.Time, changes []Record)
+	// OnAway is called with true at the start of an outage, when a read of the log fails, and with
+	// false at its end, when the log or an assigned process returns current records. If nil, it
+	// isn't called.
+	OnAway func(now time.Time, unavailable bool)
+	// Log receives an event at the start and at the end of an outage.
 	Log logr.Logger
 }
 
-// Pauses while the log doesn't answer.
+// Timing of reads of the log and of requests to Peers. The timeouts apply to the time without a
+// received byte.
 const (
-	// retryPause is the pause between two tries. Each costs a call, and an
-	// outage lasts seconds; a third of a second is well under the two seconds in
-	// which a configuration has to be in force.
+	// retryPause is the pause between a failed read of the log and the next one. Each attempt
+	// costs a call, and an outage lasts seconds. The pause is well below the 2 s within which a
+	// configuration must be applied.
 	retryPause = 300 * time.Millisecond
-	// readSlack is how much longer than Wait an answer may take before its
-	// connection is given up: the log answers in milliseconds.
+	// readSlack is how much longer than Wait a response of the log may take before the
+	// connection is abandoned. The log responds within milliseconds.
 	readSlack = 700 * time.Millisecond
-	// newestTimeout bounds a call that reads every key.
+	// newestTimeout is the timeout of a call that reads every key.
 	newestTimeout = 1500 * time.Millisecond
-	// peerTimeout bounds a question to another process.
+	// peerTimeout is the timeout of a request to another process.
 	peerTimeout = 400 * time.Millisecond
-	// transferMost is how long a batch may take that keeps coming; the times above
-	// are those without a single byte. A configuration with thousands of routes has
-	// 320 KB, which is a quarter of a second on the smallest link, 10 Mbit/s, when
-	// nothing else is on it.
-	transferMost = 3 * time.Second
+	// maxTransfer bounds the transfer time of a response that keeps arriving. A configuration with
+	// thousands of routes has 320 KB, which takes 0.25 s on the slowest link, 10 Mbit/s, without
+	// other traffic.
+	maxTransfer = 3 * time.Second
 )
 
-// Waiting at a reader, or at a relay that waits at a reader. A reader reads at least every
-// half second; with these, what a process knows is 1.4 s old at most when its reader dies,
-// falls silent or is cut off from the log, and two seconds are allowed. A process whose
-// Assignment has a longer Wait tolerates twice that.
+// Timing of polls of a reader, or of a relay that polls a reader. A reader reads the log at least
+// every 0.5 s. With these values, the records of a process are at most 1.4 s old when its reader
+// fails, becomes unresponsive or is cut off from the log; 2 s are allowed. A process whose
+// Assignment has a longer Wait tolerates twice that wait.
 const (
-	// relayWait is how long one question waits for news.
-	relayWait = 600 * time.Millisecond
-	// relaySlack is how much longer its answer may take.
-	relaySlack = 250 * time.Millisecond
-	// relayStale is the age from which what a reader has is not taken for current.
-	relayStale = 1200 * time.Millisecond
-	// relayPause is the least pause between two questions, whatever is answered: without
-	// it an answer that comes at once is followed by the next question at once.
-	relayPause = 50 * time.Millisecond
-	// relayRetryWindow is the time since the first poll within which a failed poll is
-	// followed by a poll of the next process. After that, the log is read.
-	relayRetryWindow = 100 * time.Millisecond
+	// defaultPollWait is how long one poll waits for changes.
+	defaultPollWait = 600 * time.Millisecond
+	// pollSlack is how much longer than the wait the response may take.
+	pollSlack = 250 * time.Millisecond
+	// relayStaleAfter is the age from which records from a reader or relay are rejected as stale.
+	relayStaleAfter = 1200 * time.Millisecond
+	// pollPause is the pause between two polls. Without it, an immediate response would be
+	// followed by the next poll at once.
+	pollPause = 50 * time.Millisecond
+	// pollRetryWindow is the time since the first poll within which a failed poll is followed by
+	// a poll of the next process. After that, the log is read.
+	pollRetryWindow = 100 * time.Millisecond
 	// loadRetryPause is the pause between two rounds of polls for the whole topic.
 	loadRetryPause = 100 * time.Millisecond
 	// maxLoadPolls is the maximum number of processes polled in one round. It limits the load
@@ -139,47 +143,48 @@
 	// loadPollWait is how long one poll for the whole topic waits. It is short because
 	// existing records are returned immediately.
 	loadPollWait = 50 * time.Millisecond
-	// relayRest is for how long a reader that failed is not asked again: one that has
-	// just woken thinks that what it knows is current.
-	relayRest = 3 * time.Second
+	// relayBackoff is how long a process is not polled again after a failed poll. A process that
+	// has just resumed from a pause reports its old records as current.
+	relayBackoff = 3 * time.Second
 )
 
 // Follower keeps a Topic up to date. Use NewFollower.
 type Follower struct {
-	cfg    FollowerConfig
-	behind time.Time // when the log stopped answering; zero while it answers
+	cfg       FollowerConfig
+	lostSince time.Time // start of the outage, see OnAway; zero outside an outage
 
-	mu sync.Mutex // orders the calls of OnNews
+	mu sync.Mutex // serialises merges and calls of OnNews, which keeps the changes in order
 
-	resting map[string]time.Time // readers that failed, and until when they rest
+	backoffUntil map[string]time.Time // until when not to poll a process, by address
 }
 
-// NewFollower returns a Follower that Run starts.
+// NewFollower returns a Follower with the given configuration. Run starts it.
 func NewFollower(cfg FollowerConfig) *Follower {
-	return &Follower{cfg: cfg, resting: make(map[string]time.Time)}
+	return &Follower{cfg: cfg, backoffUntil: make(map[string]time.Time)}
 }
 
-// Run follows until ctx ends. The peers are asked beside the first read, since a
-// process that starts in an outage would otherwise wait for it to time out.
+// Run keeps the topic up to date until ctx ends. It asks the peers concurrently with the first
+// read. Otherwise a process that starts during an outage of the log would have no records until
+// the read times out.
 func (f *Follower) Run(ctx context.Context) {
-	go f.askPeers(ctx)
+	go f.fetchFromPeers(ctx)
 
 	if f.cfg.AskEvery > 0 {
-		go f.askRegularly(ctx)
+		go f.fetchPeriodically(ctx)
 	}
 
 	f.load(ctx)
 
 	for ctx.Err() == nil {
-		if f.relayed(ctx) {
+		if f.pollRelays(ctx) {
 			continue
 		}
 
-		b, err := f.read(ctx)
+		b, err := f.readLog(ctx)
 		now := time.Now()
 
 		if err == nil {
-			f.regained(now)
+			f.markRecovered(now)
 			f.merge(now, b)
 			pause.For(ctx, f.cfg.Every)
 
@@ -190,8 +195,8 @@
 			return
 		}
 
-		f.lost(now, err)
-		f.askPeers(ctx)
+		f.markLost(now, err)
+		f.fetchFromPeers(ctx)
 		pause.For(ctx, retryPause)
 	}
 }
@@ -208,7 +213,7 @@
 
 	for polls := 0; ctx.Err() == nil && !f.cfg.Topic.Loaded(); {
 		a := f.cfg.Relay.Assignment(f.cfg.Name)
-		if a.Reads {
+		if a.Direct {
 			return
 		}
 
@@ -217,8 +222,8 @@
 			address := a.Addresses[polls%len(a.Addresses)]
 			polls++
 
-			c, done := pause.Patient(ctx, peerTimeout, transferMost)
-			b, err := f.cfg.Relay.Follow(c, address, f.cfg.Name, 0, loadPollWait)
+			c, done := pause.Patient(ctx, peerTimeout, maxTransfer)
+			b, err := f.cfg.Relay.Poll(c, address, f.cfg.Name, 0, loadPollWait)
 
 			done()
 
@@ -234,45 +239,45 @@
 	}
 }
 
-// relayed waits for news at another process. It returns false when this process has to read
-// itself.
-func (f *Follower) relayed(ctx context.Context) bool {
+// pollRelays polls the assigned processes for changes. It returns false if this process has to
+// read the log itself.
+func (f *Follower) pollRelays(ctx context.Context) bool {
 	if f.cfg.Relay == nil || !f.cfg.Topic.Loaded() {
 		return false
 	}
 
 	a := f.cfg.Relay.Assignment(f.cfg.Name)
-	if a.Reads {
+	if a.Direct {
 		return false
 	}
 
 	wait := a.pollWait()
 	began := time.Now()
 
-	for _, r := range a.Addresses {
+	for _, address := range a.Addresses {
 		now := time.Now()
-		if now.Before(f.resting[r]) {
+		if now.Before(f.backoffUntil[address]) {
 			continue
 		}
 
-		c, cancel := pause.Patient(ctx, wait+relaySlack, wait+transferMost)
-		b, err := f.cfg.Relay.Follow(c, r, f.cfg.Name, f.cfg.Topic.End(), wait)
+		c, cancel := pause.Patient(ctx, wait+pollSlack, wait+maxTransfer)
+		b, err := f.cfg.Relay.Poll(c, address, f.cfg.Name, f.cfg.Topic.End(), wait)
 
 		cancel()
 
 		now = time.Now()
 		if err == nil && now.Sub(b.AsOf) < a.staleAfter() {
-			f.regained(now)
+			f.markRecovered(now)
 			f.merge(now, b)
-			pause.For(ctx, relayPause)
+			pause.For(ctx, pollPause)
 
 			return true
 		}
 
-		f.resting[r] = now.Add(relayRest)
+		f.backoffUntil[address] = now.Add(relayBackoff)
 
 		// The time allowed for an update permits at most one slow failure.
-		if now.Sub(began) > relayRetryWindow {
+		if now.Sub(began) > pollRetryWindow {
 			return false
 		}
 	}
@@ -280,45 +285,46 @@
 	return false
 }
 
-// read asks the log once. A read that fails with ErrTrimmed is followed by a
-// whole one.
-func (f *Follower) read(ctx context.Context) (Batch, error) {
+// readLog makes one read of the log. It reads a snapshot if the topic isn't loaded or the log no
+// longer keeps the records from the topic's end on.
+func (f *Follower) readLog(ctx context.Context) (Batch, error) {
 	if f.cfg.Topic.Loaded() {
-		at := time.Now()
-		c, cancel := pause.Patient(ctx, f.cfg.Wait+readSlack, f.cfg.Wait+transferMost)
+		sentAt := time.Now()
+		c, cancel := pause.Patient(ctx, f.cfg.Wait+readSlack, f.cfg.Wait+maxTransfer)
 		b, err := f.cfg.Source.Read(c, f.cfg.Name, f.cfg.Topic.End(), f.cfg.Wait)
 
 		cancel()
 
-		b.AsOf = at
+		b.AsOf = sentAt
 
 		if !errors.Is(err, ErrTrimmed) {
 			return b, err
 		}
 	}
 
-	at := time.Now()
+	sentAt := time.Now()
 
-	c, cancel := pause.Patient(ctx, newestTimeout, newestTimeout+transferMost)
+	c, cancel := pause.Patient(ctx, newestTimeout, newestTimeout+maxTransfer)
 	defer cancel()
 
 	b, err := f.cfg.Source.Newest(c, f.cfg.Name)
-	b.AsOf = at
+	b.AsOf = sentAt
 
 	return b, err
 }
 
-func (f *Follower) askPeers(ctx context.Context) {
+// fetchFromPeers merges the records that the peers have beyond those of this process.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	if f.cfg.Peers == nil {
 		return
 	}
 
-	c, cancel := pause.Patient(ctx, peerTimeout, transferMost)
+	c, cancel := pause.Patient(ctx, peerTimeout, maxTransfer)
 	defer cancel()
 
-	b, err := f.cfg.Peers.Newer(c, f.cfg.Name, f.cfg.Topic.End())
+	b, err := f.cfg.Peers.Fetch(c, f.cfg.Name, f.cfg.Topic.End())
 	if err != nil {
-		f.cfg.Log.V(1).Info("no peer answered", "topic", f.cfg.Name, "error", err.Error())
+		f.cfg.Log.V(1).Info("fetch from peers failed", "topic", f.cfg.Name, "error", err.Error())
 
 		return
 	}
@@ -326,12 +332,12 @@
 	f.merge(time.Now(), b)
 }
 
-// askRegularly asks the others now and then while a read of the log waits: its
-// connection may have fallen silent, which shows only when Wait is over.
-func (f *Follower) askRegularly(ctx context.Context) {
+// fetchPeriodically asks the peers while reads of the log wait, since an unresponsive connection
+// is detected only after Wait. It skips intervals in which the topic was up to date.
+func (f *Follower) fetchPeriodically(ctx context.Context) {
 	for pause.For(ctx, f.cfg.AskEvery) {
 		if time.Since(f.cfg.Topic.Fresh()) >= f.cfg.AskEvery {
-			f.askPeers(ctx)
+			f.fetchFromPeers(ctx)
 		}
 	}
 }
@@ -340,18 +346,19 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	news := f.cfg.Topic.Merge(b)
-	if len(news) > 0 {
-		f.cfg.OnNews(now, news)
+	changes := f.cfg.Topic.Merge(b)
+	if len(changes) > 0 {
+		f.cfg.OnNews(now, changes)
 	}
 }
 
-func (f *Follower) lost(now time.Time, err error) {
-	if !f.behind.IsZero() {
+// markLost records that a read of the log failed.
+func (f *Follower) markLost(now time.Time, err error) {
+	if !f.lostSince.IsZero() {
 		return
 	}
 
-	f.behind = now
+	f.lostSince = now
 
 	if f.cfg.OnAway != nil {
 		f.cfg.OnAway(now, true)
@@ -360,13 +367,14 @@
 	event.Fail(f.cfg.Log, err, event.TopicLost, "topic", f.cfg.Name, "offset", f.cfg.Topic.End())
 }
 
-func (f *Follower) regained(now time.Time) {
-	if f.behind.IsZero() {
+// markRecovered records that the log or an assigned process returned current records.
+func (f *Follower) markRecovered(now time.Time) {
+	if f.lostSince.IsZero() {
 		return
 	}
 
-	event.Log(f.cfg.Log, event.TopicRegained, "topic", f.cfg.Name, "after_ms", now.Sub(f.behind).Milliseconds())
-	f.behind = time.Time{}
+	event.Log(f.cfg.Log, event.TopicRegained, "topic", f.cfg.Name, "after_ms", now.Sub(f.lostSince).Milliseconds())
+	f.lostSince = time.Time{}
 
 	if f.cfg.OnAway != nil {
 		f.cfg.OnAway(now, false)
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -11,12 +11,12 @@
 	"github.com/go-logr/logr"
 )
 
-// fakeLog is a log with a switch for each fault.
+// fakeLog is a log that can be down or trimmed.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []Record
-	down    bool // answers nothing until the call's time is over
-	first   int64
+	down    bool  // calls block until their context ends
+	first   int64 // offset of the first record that is kept
 	reads   int
 }
 
@@ -29,7 +29,7 @@
 	l.records = append(l.records, Record{Key: key, Value: []byte(value), Offset: int64(len(l.records))})
 }
 
-func (l *fakeLog) set(down bool) {
+func (l *fakeLog) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -93,47 +93,48 @@
 	}
 }
 
-// fakePeers answers with what it has.
+// fakePeers returns a fixed batch.
 type fakePeers struct {
 	mu    sync.Mutex
 	batch Batch
 }
 
-func (p *fakePeers) Newer(context.Context, string, int64) (Batch, error) {
+func (p *fakePeers) Fetch(context.Context, string, int64) (Batch, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	return p.batch, nil
 }
 
-func (p *fakePeers) set(b Batch) {
+func (p *fakePeers) setBatch(b Batch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.batch = b
 }
 
-// follow runs a follower for the body of a test on virtual time.
-func follow(t *testing.T, log *fakeLog, peers Peers, body func(topic *Topic, away func() bool)) {
+// runFollower runs a Follower in virtual time while body runs. Outage reports the latest state
+// passed to OnAway.
+func runFollower(t *testing.T, log *fakeLog, peers Peers, body func(topic *Topic, outage func() bool)) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 
 		var (
-			topic Topic
-			mu    sync.Mutex
-			gone  bool
+			topic       Topic
+			mu          sync.Mutex
+			unavailable bool
 		)
 
 		f := NewFollower(FollowerConfig{
 			Name: "t", Topic: &topic, Source: log, Peers: peers, Wait: time.Second,
 			OnNews: func(time.Time, []Record) {},
-			OnAway: func(_ time.Time, away bool) {
+			OnAway: func(_ time.Time, outage bool) {
 				mu.Lock()
 				defer mu.Unlock()
 
-				gone = away
+				unavailable = outage
 			},
 			Log: logr.Discard(),
 		})
@@ -149,7 +150,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 
-			return gone
+			return unavailable
 		})
 	})
 }
@@ -160,13 +161,13 @@
 	return string(r.Value)
 }
 
-// A change is published while the log answers. Operators expect it in force within
-// two seconds; the long poll brings it within milliseconds.
+// Guards against late configuration changes while the log responds. A change must be applied
+// within 2 s; a long poll returns it within milliseconds.
 func TestChangeArrivesByLongPoll(t *testing.T) {
 	log := &fakeLog{}
 	log.append("config", "1")
 
-	follow(t, log, nil, func(topic *Topic, _ func() bool) {
+	runFollower(t, log, nil, func(topic *Topic, _ func() bool) {
 		time.Sleep(100 * time.Millisecond)
 		log.append("config", "2")
 		time.Sleep(20 * time.Millisecond)
@@ -177,25 +178,25 @@
 	})
 }
 
-// The log stops answering for this process alone, as a balancer that lost track of
-// its connections does, and a key is taken away meanwhile. Another process knows;
-// without asking it, the holder of the key would get in for as long as that lasts.
+// Guards against missed changes when the log is unreachable for this process only, for instance
+// because a load balancer lost its connections. If an API key is revoked meanwhile, the process
+// must learn of it from another one, or it accepts the key until the log is reachable again.
 func TestOutageIsBridgedByPeers(t *testing.T) {
 	log := &fakeLog{}
 	log.append("config", "1")
 
 	peers := &fakePeers{}
 
-	follow(t, log, peers, func(topic *Topic, away func() bool) {
+	runFollower(t, log, peers, func(topic *Topic, outage func() bool) {
 		time.Sleep(100 * time.Millisecond)
-		log.set(true)
+		log.setDown(true)
 
-		peers.set(Batch{Records: []Record{{Key: "config", Value: []byte("2"), Offset: 1}}, End: 2})
+		peers.setBatch(Batch{Records: []Record{{Key: "config", Value: []byte("2"), Offset: 1}}, End: 2})
 
 		time.Sleep(5 * time.Second)
 
-		if !away() {
-			t.Error("got the log there, want it away")
+		if !outage() {
+			t.Error("got no outage of the log, want one")
 		}
 
 		if got, want := value(topic, "config"), "2"; got != want {
@@ -204,11 +205,11 @@
 
 		log.append("config", "2")
 		log.append("config", "3")
-		log.set(false)
+		log.setDown(false)
 		time.Sleep(3 * time.Second)
 
-		if away() {
-			t.Error("got the log away, want it there")
+		if outage() {
+			t.Error("got an outage of the log, want none")
 		}
 
 		if got, want := value(topic, "config"), "3"; got != want {
@@ -217,13 +218,13 @@
 	})
 }
 
-// A process starts while the log is down. Without other processes it would know no
-// configuration and serve nobody until the log is back.
+// Guards against a process that starts during an outage of the log and has no configuration, so
+// that it refuses all requests until the log is available again.
 func TestStartInAnOutageTakesWhatPeersHave(t *testing.T) {
 	log := &fakeLog{down: true}
 	peers := &fakePeers{batch: Batch{Records: []Record{{Key: "config", Value: []byte("7"), Offset: 3}}, End: 4}}
 
-	follow(t, log, peers, func(topic *Topic, _ func() bool) {
+	runFollower(t, log, peers, func(topic *Topic, _ func() bool) {
 		time.Sleep(50 * time.Millisecond)
 
 		if got, want := value(topic, "config"), "7"; got != want {
@@ -232,17 +233,17 @@
 	})
 }
 
-// The log has forgotten records that this process did not read, one of which
-// dropped a target. The target is gone from the whole list, and must go here too:
-// otherwise requests would be sent to an address that now belongs to another one.
+// Guards against missed deletions when the log trims records before this process has read them.
+// A key that is missing from the snapshot must be deleted. Otherwise requests would be sent to the
+// address of a removed target, which may belong to another target by then.
 func TestForgottenHistoryIsReadWhole(t *testing.T) {
 	log := &fakeLog{}
 	log.append("engine-1", "ready")
 	log.append("engine-2", "ready")
 
-	follow(t, log, nil, func(topic *Topic, _ func() bool) {
+	runFollower(t, log, nil, func(topic *Topic, _ func() bool) {
 		time.Sleep(100 * time.Millisecond)
-		log.set(true)
+		log.setDown(true)
 		time.Sleep(3 * time.Second)
 		log.append("engine-1", "")
 		log.append("engine-2", "draining")
@@ -250,11 +251,11 @@
 		log.mu.Lock()
 		log.first = 4
 		log.mu.Unlock()
-		log.set(false)
+		log.setDown(false)
 		time.Sleep(3 * time.Second)
 
 		if _, ok := topic.Get("engine-1"); ok {
-			t.Error("got engine-1, want it gone")
+			t.Error("got engine-1, want it deleted")
 		}
 
 		if got, want := value(topic, "engine-2"), "draining"; got != want {
--- a/mirror/relay_test.go
+++ b/mirror/relay_test.go
@@ -48,17 +48,17 @@
 	}
 }
 
-var errReaderGone = errors.New("the reader is gone")
+var errReaderDown = errors.New("reader is down")
 
-// fakeRelay has one reader, which knows what it is told to.
+// fakeRelay is a Relay with one reader, which can fail in several ways.
 type fakeRelay struct {
-	mu     sync.Mutex
-	self   bool
-	fails  bool
-	silent bool
-	age    time.Duration
-	asked  int
-	value  string
+	mu           sync.Mutex
+	direct       bool          // this process reads the log
+	fails        bool          // polls fail at once
+	unresponsive bool          // polls block until their context ends
+	age          time.Duration // of the returned records
+	polls        int
+	value        string
 }
 
 func (r *fakeRelay) set(change func(r *fakeRelay)) {
@@ -72,22 +72,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return Assignment{Reads: r.self, Addresses: []string{"reader"}}
+	return Assignment{Direct: r.direct, Addresses: []string{"reader"}}
 }
 
-func (r *fakeRelay) Follow(ctx context.Context, _, _ string, from int64, wait time.Duration) (Batch, error) {
+func (r *fakeRelay) Poll(ctx context.Context, _, _ string, from int64, wait time.Duration) (Batch, error) {
 	r.mu.Lock()
-	fails, silent, age, value := r.fails, r.silent, r.age, r.value
-	r.asked++
+	fails, unresponsive, age, value := r.fails, r.unresponsive, r.age, r.value
+	r.polls++
 	r.mu.Unlock()
 
 	switch {
-	case silent:
+	case unresponsive:
 		<-ctx.Done()
 
 		return Batch{}, ctx.Err()
 	case fails:
-		return Batch{}, errReaderGone
+		return Batch{}, errReaderDown
 	}
 
 	select {
@@ -99,21 +99,21 @@
 	return Batch{Records: []Record{{Key: "config", Value: []byte(value), Offset: 100}}, End: max(from, 101), AsOf: time.Now().Add(-age)}, nil
 }
 
-// A reader dies, stands still or is cut off from the log. Whoever waits there for what
-// is new has to notice and read itself before two seconds are over, or a
-// configuration that operators published is not in force in time.
+// Guards against stale records when the polled reader fails, is paused or is cut off from the log.
+// The process has to read the log itself within 2 s. Otherwise a published configuration is
+// applied too late.
 func TestWhoeverWaitsAtAReaderKnowsInTime(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(r *fakeRelay)
-		// reads says that the process reads the log itself.
+		// reads is set if the process is expected to read the log itself.
 		reads bool
 	}{
-		{"it answers", func(*fakeRelay) {}, false},
-		{"this process is a reader", func(r *fakeRelay) { r.self = true }, true},
-		{"it is gone", func(r *fakeRelay) { r.fails = true }, true},
-		{"it stands still", func(r *fakeRelay) { r.silent = true }, true},
-		{"it is cut off from the log", func(r *fakeRelay) { r.age = 2 * time.Second }, true},
+		{"the reader responds", func(*fakeRelay) {}, false},
+		{"this process is a reader", func(r *fakeRelay) { r.direct = true }, true},
+		{"the reader is down", func(r *fakeRelay) { r.fails = true }, true},
+		{"the reader is paused", func(r *fakeRelay) { r.unresponsive = true }, true},
+		{"the reader is cut off from the log", func(r *fakeRelay) { r.age = 2 * time.Second }, true},
 	}
 
 	for _, tt := range tests {
@@ -138,11 +138,11 @@
 				time.Sleep(1700 * time.Millisecond)
 
 				if got := source.count() > before; got != tt.reads {
-					t.Errorf("got it reading the log %v, want %v", got, tt.reads)
+					t.Errorf("got log reads %v, want %v", got, tt.reads)
 				}
 
 				if age := time.Since(topic.Fresh()); age > 1700*time.Millisecond {
-					t.Errorf("got what it knows %v old", age)
+					t.Errorf("got records that are %v old, want at most 1.7s", age)
 				}
 
 				cancel()
@@ -152,33 +152,33 @@
 	}
 }
 
-// Targets write heartbeats once a second or so, which say nothing new. Passed on to
-// every entry they would be most of its traffic.
+// Guards against heartbeats that are served as changes. Targets write one about once per second,
+// and they would be most of the traffic of an entry.
 func TestHeartbeatsAreNoNews(t *testing.T) {
 	topic := NewTopic(func(old, value []byte) bool { return old[0] == value[0] })
 	topic.Merge(Batch{Records: []Record{{Key: "a", Value: []byte("x1"), Offset: 0}}, End: 1, Whole: true})
 
 	tests := []struct {
-		name   string
-		record Record
-		news   int
-		// since is how many records there are from the record's offset on.
+		name    string
+		record  Record
+		changes int
+		// since is the number of records from the record's offset on.
 		since int
 	}{
 		{"a heartbeat", Record{Key: "a", Value: []byte("x2"), Offset: 1}, 0, 0},
 		{"a change", Record{Key: "a", Value: []byte("y3"), Offset: 2}, 1, 1},
-		{"the drop", Record{Key: "a", Offset: 3}, 1, 1},
-		{"back as before", Record{Key: "a", Value: []byte("y4"), Offset: 4}, 1, 1},
+		{"a deletion", Record{Key: "a", Offset: 3}, 1, 1},
+		{"the same content after the deletion", Record{Key: "a", Value: []byte("y4"), Offset: 4}, 1, 1},
 	}
 
 	for _, tt := range tests {
-		news := topic.Merge(Batch{Records: []Record{tt.record}, End: tt.record.Offset + 1})
-		if len(news) != tt.news {
-			t.Errorf("%s: got %d news, want %d", tt.name, len(news), tt.news)
+		changes := topic.Merge(Batch{Records: []Record{tt.record}, End: tt.record.Offset + 1})
+		if len(changes) != tt.changes {
+			t.Errorf("%s: got %d changes, want %d", tt.name, len(changes), tt.changes)
 		}
 
 		if got := len(topic.Since(tt.record.Offset).Records); got != tt.since {
-			t.Errorf("%s: got %d records to pass on, want %d", tt.name, got, tt.since)
+			t.Errorf("%s: got %d records from its offset on, want %d", tt.name, got, tt.since)
 		}
 	}
 
@@ -187,33 +187,34 @@
 	}
 }
 
-// laterPeers know a record from some time on.
-type laterPeers struct{ from time.Time }
+// delayedPeers fail until a time and return a record from then on.
+type delayedPeers struct{ from time.Time }
 
-func (p *laterPeers) Newer(context.Context, string, int64) (Batch, error) {
+func (p *delayedPeers) Fetch(context.Context, string, int64) (Batch, error) {
 	if time.Now().Before(p.from) {
-		return Batch{}, errReaderGone
+		return Batch{}, errReaderDown
 	}
 
 	return Batch{Records: []Record{{Key: "version", Value: []byte("2"), Offset: 100}}, End: 101}, nil
 }
 
-// silentSource is a log whose connection falls silent behind the first read.
-type silentSource struct{ countingSource }
+// unresponsiveSource is a log whose connection becomes unresponsive after the snapshot is read.
+type unresponsiveSource struct{ countingSource }
 
-func (*silentSource) Read(ctx context.Context, _ string, _ int64, _ time.Duration) (Batch, error) {
+func (*unresponsiveSource) Read(ctx context.Context, _ string, _ int64, _ time.Duration) (Batch, error) {
 	<-ctx.Done()
 
 	return Batch{}, ctx.Err()
 }
 
-// A side process waits at the log on a connection that fell silent, and misses that
-// new weights were named. It has them from the entries long before its read is over.
+// Guards against changes that a side process misses while its connection to the log is
+// unresponsive, such as a new weight version. It must get them from the entries well before its
+// read of the log times out.
 func TestOthersBringWhatASilentConnectionDoesNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &Topic{}
 		f := NewFollower(FollowerConfig{
-			Name: "op", Topic: topic, Source: &silentSource{}, Peers: &laterPeers{from: time.Now().Add(time.Second)},
+			Name: "op", Topic: topic, Source: &unresponsiveSource{}, Peers: &delayedPeers{from: time.Now().Add(time.Second)},
 			Wait: time.Hour, AskEvery: 3 * time.Second, OnNews: func(time.Time, []Record) {}, Log: logr.Discard(),
 		})
 
@@ -225,13 +226,13 @@
 		time.Sleep(2 * time.Second)
 
 		if _, ok := topic.Get("version"); ok {
-			t.Fatal("got it before anybody was asked")
+			t.Fatal("got the record before the peers were asked")
 		}
 
 		time.Sleep(1500 * time.Millisecond)
 
 		if _, ok := topic.Get("version"); !ok {
-			t.Error("got nothing, want what the others know")
+			t.Error("got no record, want that of the peers")
 		}
 
 		cancel()
@@ -250,9 +251,9 @@
 	return Assignment{Addresses: append(slices.Repeat([]string{"failing"}, r.failing), "loaded")}
 }
 
-func (r *startupRelay) Follow(ctx context.Context, address, _ string, _ int64, wait time.Duration) (Batch, error) {
+func (r *startupRelay) Poll(ctx context.Context, address, _ string, _ int64, wait time.Duration) (Batch, error) {
 	if address == "failing" || !r.loaded {
-		return Batch{}, errReaderGone
+		return Batch{}, errReaderDown
 	}
 
 	select {
--- a/mirror/slow_test.go
+++ b/mirror/slow_test.go
@@ -13,14 +13,14 @@
 	"boragehub/pause"
 )
 
-// slowLog is a log behind a link that brings so much a second, shared by all reads.
+// slowLog is a log behind a slow link, whose bandwidth is shared by all reads.
 type slowLog struct {
 	bytesPerS int
 
 	mu    sync.Mutex
 	value []byte
 	end   int64
-	reads int // under way
+	reads int // in flight
 }
 
 func (l *slowLog) put(value []byte) {
@@ -37,9 +37,9 @@
 	return Batch{Whole: true, End: l.end}, nil
 }
 
-// await returns the newest value as soon as there is one behind an offset, as the log
-// does, or when the wait is over.
-func (l *slowLog) await(ctx context.Context, from int64, wait time.Duration) (value []byte, end int64) {
+// awaitChange returns the newest value as soon as there is a record at or after an offset, or
+// when the wait has passed. It simulates a long poll of the log.
+func (l *slowLog) awaitChange(ctx context.Context, from int64, wait time.Duration) (value []byte, end int64) {
 	const step = 10 * time.Millisecond
 
 	for waited := time.Duration(0); ; waited += step {
@@ -56,7 +56,7 @@
 func (l *slowLog) Read(ctx context.Context, _ string, from int64, wait time.Duration) (Batch, error) {
 	const piece = 16 << 10
 
-	value, end := l.await(ctx, from, wait)
+	value, end := l.awaitChange(ctx, from, wait)
 	if end == from {
 		return Batch{End: from}, ctx.Err()
 	}
@@ -83,10 +83,10 @@
 	return Batch{Records: []Record{{Key: "config", Value: value, Offset: end - 1}}, End: end}, nil
 }
 
-// The configuration grows by two thousand routes and has 320 KB from then on. An entry
-// whose link carries 10 Mbit/s, nine tenths of them taken by callers, gets it in two and
-// a half seconds. Given up before, it is asked for anew again and again and fills the
-// link, and callers get 404 for routes that were added and 401 for keys that were.
+// Guards against reads that are cancelled while a large response still arrives. A configuration
+// with two thousand additional routes has 320 KB, which takes 2.5 s over a 10 Mbit/s link of which
+// callers use nine tenths. If the read is cancelled earlier, it is repeated again and again and
+// saturates the link. Callers then get 404 for added routes and 401 for added API keys.
 func TestLargeConfigurationArrivesOverASmallLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowLog{bytesPerS: 10_000_000 / 8 / 10}
@@ -106,7 +106,7 @@
 		time.Sleep(3100 * time.Millisecond)
 
 		if got := len(topic.Since(0).Records); got != 1 {
-			t.Errorf("got %d records after three seconds, want the configuration", got)
+			t.Errorf("got %d records after 3.1 s, want the configuration", got)
 		}
 
 		cancel()
--- a/mirror/stateful_test.go
+++ b/mirror/stateful_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// wholeLog is the oracle: every record that was ever written, in order.
-type wholeLog struct {
+// fullLog is the oracle: every record ever written, in order.
+type fullLog struct {
 	records []Record
 }
 
 // newest returns the newest record of each key before an offset.
-func (l *wholeLog) newest(end int64) map[string]Record {
+func (l *fullLog) newest(end int64) map[string]Record {
 	m := make(map[string]Record)
 	for _, r := range l.records[:end] {
 		m[r.Key] = r
@@ -23,21 +23,21 @@
 	return m
 }
 
-// TestBatchesInAnyOrderNeverRevert draws what an outage brings: a process reads
-// the log late and in pieces, takes older batches from other processes in between,
-// and finds that the log has forgotten its history. A user whose key was taken away
-// must not get in again, and a route that was dropped must not come back.
+// TestBatchesInAnyOrderNeverRevert generates the batches that can occur during an outage: partial
+// reads of the log, snapshots after the log was trimmed, and older batches from other processes in
+// between. Guards against keys that revert to an older record, which would restore revoked API keys
+// and deleted routes.
 func TestBatchesInAnyOrderNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var (
-			log   wholeLog
+			log   fullLog
 			topic Topic
 			seen  = map[string]int64{}
 		)
 
 		key := rapid.SampledFrom([]string{"config", "version/a", "version/b", "engine-1", "engine-2"})
 
-		// check compares each key with the oracle and with what was seen before.
+		// check verifies that the offset of no key has decreased.
 		check := func() {
 			for k := range log.newest(int64(len(log.records))) {
 				topic.mu.Lock()
@@ -65,12 +65,12 @@
 
 				log.records = append(log.records, r)
 			},
-			"read on": func(t *rapid.T) {
+			"read records": func(t *rapid.T) {
 				from := topic.End()
 				end := rapid.Int64Range(from, max(from, int64(len(log.records)))).Draw(t, "end")
 				topic.Merge(Batch{Records: log.records[from:end], End: end})
 			},
-			"read whole": func(t *rapid.T) {
+			"read snapshot": func(t *rapid.T) {
 				end := int64(len(log.records))
 				b := Batch{Whole: true, End: end}
 
@@ -85,7 +85,7 @@
 				for k, want := range log.newest(end) {
 					got, ok := topic.Get(k)
 					if ok == want.Dropped() {
-						t.Fatalf("%s: got it %v, want it %v", k, ok, !want.Dropped())
+						t.Fatalf("%s: got the key present %v, want %v", k, ok, !want.Dropped())
 					}
 
 					if ok && string(got.Value) != string(want.Value) {
@@ -93,7 +93,7 @@
 					}
 				}
 			},
-			"take an old batch from a peer": func(t *rapid.T) {
+			"replay an old batch from a peer": func(t *rapid.T) {
 				end := rapid.Int64Range(0, int64(len(log.records))).Draw(t, "end")
 				b := Batch{}
 
@@ -123,18 +123,18 @@
 	topic.Merge(Batch{Records: []Record{{Key: "version/a", Value: []byte("2"), Offset: 4}}, End: 5, AsOf: at.Add(3 * time.Second)})
 
 	if got, want := topic.Before(), at.Add(time.Second); !got.Equal(want) {
-		t.Errorf("before the news: got %v, want %v", got, want)
+		t.Errorf("before the change: got %v, want %v", got, want)
 	}
 }
 
 func TestMarkersOfDroppedKeysAreBounded(t *testing.T) {
 	var topic Topic
 
-	for i := range int64(4 * maxDropped) {
+	for i := range int64(4 * maxTombstones) {
 		topic.Merge(Batch{Records: []Record{{Key: fmt.Sprint(i), Offset: i}}})
 	}
 
-	if got := len(topic.records); got > maxDropped {
-		t.Errorf("got %d markers, want %d at most", got, maxDropped)
+	if got := len(topic.records); got > maxTombstones {
+		t.Errorf("got %d tombstones, want at most %d", got, maxTombstones)
 	}
 }
--- a/mirror/topic.go
+++ b/mirror/topic.go
@@ -1,20 +1,19 @@
-// Package mirror keeps the newest record of each key of a topic of the log, and
-// knows how old that knowledge is.
+// Package mirror keeps a local replica of topics of the log: the newest record of each key, and
+// a time at which the replica was up to date.
 //
 // # Model
 //
-// A Topic merges batches of records from the log or from other processes that
-// follow the same topic. Offsets decide which record of a key is newer, so the
-// order in which batches come doesn't matter and nothing ever reverts. A record
-// without a value drops its key; it is kept as a marker so that an older batch
-// doesn't bring the key back.
+// A Topic merges batches of records from the log or from other processes that follow the same
+// topic. Offsets determine which record of a key is newer, so batches may arrive in any order
+// and a key never reverts to an older record. A record without a value deletes its key. It is
+// kept as a tombstone so that an older batch doesn't restore the key.
 //
-// Follower reads the log by long polls and, while the log doesn't answer, asks
-// the other processes. In a fleet a few processes read a topic for all: reading by
-// each would grow with the square of the fleet, since all targets write their
-// heartbeats there. The others wait at one of these readers, in large fleets at a process
-// that waits at a reader, for what is new, and read themselves as soon as it doesn't answer or
-// what it knows is too old.
+// Follower reads the log by long polls. While the log doesn't respond, it fetches records from
+// other processes. In a fleet, only a few processes, the readers, read a topic from the log. If
+// every process read it, the load on the log would grow with the square of the fleet size, since
+// all targets write their heartbeats there. The other processes poll a reader or, in large
+// fleets, a relay, which is a process that polls a reader. They read the log themselves as soon
+// as the polled processes don't respond or return stale records.
 package mirror
 
 import (
@@ -23,104 +22,108 @@
 	"time"
 )
 
-// maxDropped bounds the markers of dropped keys. A batch from another process is
-// never older than a few seconds, in which far fewer keys are dropped.
-const maxDropped = 512
+// maxTombstones bounds the tombstones of deleted keys. A batch from another process is at most a
+// few seconds old, and far fewer keys are deleted in that time.
+const maxTombstones = 512
 
 // Record is the newest record of a key.
 type Record struct {
 	// Key is the record's key.
 	Key string `cbor:"1,keyasint"`
-	// Value is what it says; empty when the key was dropped.
+	// Value is the content; empty if the record deletes the key.
 	Value []byte `cbor:"2,keyasint"`
-	// Offset is its place in the log, which orders all records of the topic.
+	// Offset is its position in the log, which orders all records of the topic.
 	Offset int64 `cbor:"3,keyasint"`
 }
 
-// Dropped reports whether the record drops its key.
+// Dropped reports whether the record deletes its key.
 func (r Record) Dropped() bool { return len(r.Value) == 0 }
 
-// Batch is what one read brought.
+// Batch is the result of one read of the log or one poll of another process.
 type Batch struct {
-	// Records are in no order.
+	// Records are in no particular order.
 	Records []Record
 	// End is the offset after the last record that the read covers.
 	End int64
-	// Whole says that Records hold every key that exists at End.
+	// Whole is set if the batch is a snapshot: Records contains every key that exists at End.
 	Whole bool
-	// AsOf is a time at which the batch was surely up to date.
+	// AsOf is a time at which the batch is known to have been up to date; zero if there is none.
 	AsOf time.Time
 }
 
-// Topic holds the newest records. The zero Topic is empty and ready; its methods
-// may be called from many goroutines.
+// Topic holds the newest record of each key. The zero Topic is empty and ready for use. Its
+// methods may be called from multiple goroutines.
 type Topic struct {
-	same    func(old, value []byte) bool
-	mu      sync.Mutex
-	records map[string]held
-	news    chan struct{} // closed at the next news; nil while nobody waits
-	dropped int
-	end     int64
-	loaded  bool
-	fresh   time.Time
-	before  time.Time // fresh as it was before the newest batch that brought news
+	equivalent        func(old, value []byte) bool
+	mu                sync.Mutex
+	records           map[string]trackedRecord
+	changed           chan struct{} // closed at the next change; nil while there are no waiters
+	tombstones        int
+	end               int64
+	loaded            bool
+	syncedAt          time.Time
+	latestUpdateAfter time.Time // syncedAt before the latest batch with changes
 }
 
-// held is a record with the offset at which it last said something new.
-type held struct {
+// trackedRecord is the newest record of a key with the offset of the key's latest change, which
+// is lower if unchanged values followed.
+type trackedRecord struct {
 	Record
-	changed int64
+	changedOffset int64
 }
 
-// NewTopic returns an empty Topic. Same reports whether a new value of a key says
-// nothing that the old one didn't, as heartbeats do; such a record is no news and is
-// not passed on.
-func NewTopic(same func(old, value []byte) bool) *Topic { return &Topic{same: same} }
+// NewTopic returns an empty Topic. Equivalent reports whether a new value of a key contains no
+// change from the old one, as in heartbeats. Such a record replaces the old one without counting
+// as a change: Merge doesn't return it, and Since ignores its offset. If equivalent is nil, every
+// record is a change.
+func NewTopic(equivalent func(old, value []byte) bool) *Topic { return &Topic{equivalent: equivalent} }
 
-// repeats reports whether a record says what is known.
-func (t *Topic) repeats(old, r Record) bool {
-	return t.same != nil && !old.Dropped() && !r.Dropped() && t.same(old.Value, r.Value)
+// unchanged reports whether the content of record r is equivalent to that of the old record.
+func (t *Topic) unchanged(old, r Record) bool {
+	return t.equivalent != nil && !old.Dropped() && !r.Dropped() && t.equivalent(old.Value, r.Value)
 }
 
-// Merge takes a batch and returns the records that are new, in order of offset.
+// Merge adds a batch and returns the records that changed the content of a key, in order of
+// offset.
 func (t *Topic) Merge(b Batch) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	if t.records == nil {
-		t.records = make(map[string]held)
+		t.records = make(map[string]trackedRecord)
 	}
 
-	news := t.add(b.Records)
+	changes := t.apply(b.Records)
 	if b.Whole {
-		news = append(news, t.addMissing(b)...)
+		changes = append(changes, t.deleteMissing(b)...)
 	}
 
 	t.end = max(t.end, b.End)
 	t.loaded = t.loaded || b.Whole
 
-	if len(news) > 0 {
-		t.before = t.fresh
+	if len(changes) > 0 {
+		t.latestUpdateAfter = t.syncedAt
 
-		if t.news != nil {
-			close(t.news)
-			t.news = nil
+		if t.changed != nil {
+			close(t.changed)
+			t.changed = nil
 		}
 	}
 
-	if b.AsOf.After(t.fresh) {
-		t.fresh = b.AsOf
+	if b.AsOf.After(t.syncedAt) {
+		t.syncedAt = b.AsOf
 	}
 
-	t.prune()
-	sort.Slice(news, func(i, j int) bool { return news[i].Offset < news[j].Offset })
+	t.pruneTombstones()
+	sort.Slice(changes, func(i, j int) bool { return changes[i].Offset < changes[j].Offset })
 
-	return news
+	return changes
 }
 
-// add stores what is newer than what is held. The caller holds mu.
-func (t *Topic) add(records []Record) []Record {
-	var news []Record
+// apply stores the records that are newer than the stored ones and returns those that are
+// changes. The caller holds mu.
+func (t *Topic) apply(records []Record) []Record {
+	var changes []Record
 
 	for _, r := range records {
 		old, known := t.records[r.Key]
@@ -128,79 +131,79 @@
 			continue
 		}
 
-		if known && t.repeats(old.Record, r) {
-			t.records[r.Key] = held{r, old.changed}
+		if known && t.unchanged(old.Record, r) {
+			t.records[r.Key] = trackedRecord{r, old.changedOffset}
 
 			continue
 		}
 
 		if known && old.Dropped() {
-			t.dropped--
+			t.tombstones--
 		}
 
 		if r.Dropped() {
-			t.dropped++
+			t.tombstones++
 		}
 
-		t.records[r.Key] = held{r, r.Offset}
-		news = append(news, r)
+		t.records[r.Key] = trackedRecord{r, r.Offset}
+		changes = append(changes, r)
 	}
 
-	return news
+	return changes
 }
 
-// addMissing drops the keys that a whole batch doesn't have although it is newer
-// than their records: the log no longer tells of the record that dropped them.
+// deleteMissing deletes the keys that are missing from a snapshot that is newer than their
+// records, and returns their tombstones. The log no longer returns the records that deleted them.
 // The caller holds mu.
-func (t *Topic) addMissing(b Batch) []Record {
+func (t *Topic) deleteMissing(b Batch) []Record {
 	present := make(map[string]bool, len(b.Records))
 	for _, r := range b.Records {
 		present[r.Key] = true
 	}
 
-	var gone []Record
+	var deleted []Record
 
 	for key, r := range t.records {
 		if !present[key] && !r.Dropped() && r.Offset < b.End {
-			gone = append(gone, Record{Key: key, Offset: b.End - 1})
+			deleted = append(deleted, Record{Key: key, Offset: b.End - 1})
 		}
 	}
 
-	return t.add(gone)
+	return t.apply(deleted)
 }
 
-// prune forgets the oldest markers. The caller holds mu.
-func (t *Topic) prune() {
-	if t.dropped <= maxDropped {
+// pruneTombstones removes the oldest tombstones once there are more than maxTombstones. The
+// caller holds mu.
+func (t *Topic) pruneTombstones() {
+	if t.tombstones <= maxTombstones {
 		return
 	}
 
-	var marks []Record
+	var tombstones []Record
 
 	for _, r := range t.records {
 		if r.Dropped() {
-			marks = append(marks, r.Record)
+			tombstones = append(tombstones, r.Record)
 		}
 	}
 
-	sort.Slice(marks, func(i, j int) bool { return marks[i].Offset < marks[j].Offset })
+	sort.Slice(tombstones, func(i, j int) bool { return tombstones[i].Offset < tombstones[j].Offset })
 
-	for _, r := range marks[:len(marks)-maxDropped/2] {
+	for _, r := range tombstones[:len(tombstones)-maxTombstones/2] {
 		delete(t.records, r.Key)
-		t.dropped--
+		t.tombstones--
 	}
 }
 
-// Since returns the records that said something new at offset from or later, markers
-// included.
+// Since returns the records whose content changed at offset from or later, including tombstones.
 func (t *Topic) Since(from int64) Batch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	b := Batch{End: t.end, AsOf: t.fresh}
+	b := Batch{End: t.end, AsOf: t.syncedAt}
 
 	for _, r := range t.records {
-		if r.changed >= from {
+		if r.changedOffset >= from {
 			b.Records = append(b.Records, r.Record)
 		}
 	}
@@ -210,7 +213,7 @@
 	return b
 }
 
-// Get returns the record of a key that exists.
+// Get returns the newest record of a key, and whether the key exists.
 func (t *Topic) Get(key string) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,19 +223,19 @@
 	return r.Record, ok && !r.Dropped()
 }
 
-// News returns a channel that is closed when something new is merged.
-func (t *Topic) News() <-chan struct{} {
+// Changed returns a channel that is closed when the next change is merged.
+func (t *Topic) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	if t.news == nil {
-		t.news = make(chan struct{})
+	if t.changed == nil {
+		t.changed = make(chan struct{})
 	}
 
-	return t.news
+	return t.changed
 }
 
-// End returns the offset from which to read on.
+// End returns the offset from which to continue reading.
 func (t *Topic) End() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -240,8 +243,8 @@
 	return t.end
 }
 
-// Loaded reports whether a whole batch was ever merged, so that reading on
-// from End misses nothing.
+// Loaded reports whether a snapshot has been merged, so that continuing to read from End misses
+// no records.
 func (t *Topic) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,19 +252,21 @@
 	return t.loaded
 }
 
-// Fresh returns a time at which the topic was surely up to date; zero for never.
+// Fresh returns the latest time at which the topic is known to have been up to date; zero if
+// there is none.
 func (t *Topic) Fresh() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	return t.fresh
+	return t.syncedAt
 }
 
-// Before returns a time at which the newest record was surely not there yet; zero
-// when it was there from the start.
+// Before returns a time at which the records of the latest merged change were not yet in the
+// log: the value of Fresh before they were merged. It is zero if the topic had never been up to
+// date before.
 func (t *Topic) Before() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	return t.before
+	return t.latestUpdateAfter
 }
