--- a/side/call.go
+++ b/side/call.go
@@ -16,21 +16,22 @@
 	"boragehub/peer"
 )
 
-// Headers that a plain service gets besides the caller's content type.
+// Request headers sent to a plain service besides the caller's content type.
 const (
 	headerRequestID    = "X-Request-Id"
 	headerOrganisation = "X-Organisation"
 	headerKey          = "Idempotency-Key"
 )
 
-// maxReply bounds a plain service's answer, in bytes.
-const maxReply = 4 << 20
+// maxReplyBytes bounds the body of a plain service's response.
+const maxReplyBytes = 4 << 20
 
-// call answers a Call. What it returns has not been told to the entry yet.
-func (s *Side) call(ctx context.Context, to *peer.Stream, m message.Call) error {
+// handleCall answers a Call. An error that it returns has not been sent to the
+// entry yet.
+func (s *Side) handleCall(ctx context.Context, to *peer.Stream, m message.Call) error {
 	now := time.Now()
 
-	id, err := s.guard.enter(m.Fingerprint, "")
+	id, err := s.target.admit(m.Fingerprint, "")
 	if err != nil {
 		event.Log(s.cfg.Log, event.RunRefused, "request_id", m.RequestID, "reason", err.Error())
 
@@ -45,15 +46,15 @@
 	if m.Once {
 		reply, err = s.callOnce(ctx, now, id, m)
 	} else {
-		reply, err = s.forward(s.giving(ctx, id), m)
-		err = notGiven(err)
+		reply, err = s.forward(s.traceSent(ctx, id), m)
+		err = notReadyIfRefused(err)
 	}
 
 	lost := err != nil && failure.KindOf(err) == failure.TargetLost
-	s.guard.leave(time.Now(), id, lost)
+	s.target.finish(time.Now(), id, lost)
 
 	if lost {
-		s.checkCrash(ctx, id, to)
+		s.reportCrashTo(ctx, id, to)
 	}
 
 	event.Log(s.cfg.Log, event.CallEnded, "request_id", m.RequestID, "organisation", m.Organisation, "once", m.Once,
@@ -63,17 +64,17 @@
 		return err
 	}
 
-	reply.Load = s.guard.currentLoad(time.Now())
+	reply.Load = s.target.currentLoad(time.Now())
 
 	return to.Send(reply)
 }
 
-// callOnce runs a call that may run at most once: only after its claim was read
-// back as the first for its key. From then on the call no longer ends with the
-// conversation, since nobody else may run it.
+// callOnce runs a call that may run at most once: it starts only after its claim
+// was read back from the log as the first for its key. From then on the call is
+// not cancelled with the stream, since no other process may run it.
 func (s *Side) callOnce(ctx context.Context, now time.Time, id uint64, m message.Call) (message.Reply, error) {
 	if s.cfg.Claims == nil {
-		return message.Reply{}, failure.New(failure.LogUnavailable, "this target records no claims")
+		return message.Reply{}, failure.New(failure.LogUnavailable, "this side process has no claim log")
 	}
 
 	deadline, _ := ctx.Deadline()
@@ -95,33 +96,34 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 
-	reply, err := s.forward(s.giving(ctx, id), m)
+	reply, err := s.forward(s.traceSent(ctx, id), m)
 
 	switch {
 	case err == nil:
-		settled := s.cfg.Claims.Settle(ctx, ticket, claim.Outcome{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body})
-		if settled != nil {
-			event.Fail(s.cfg.Log, settled, event.ReportLost, "request_id", m.RequestID)
+		settleErr := s.cfg.Claims.Settle(ctx, ticket, claim.Outcome{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body})
+		if settleErr != nil {
+			event.Fail(s.cfg.Log, settleErr, event.ReportLost, "request_id", m.RequestID)
 		}
 
 		return reply, nil
 	case errors.Is(err, syscall.ECONNREFUSED):
-		// Nothing listened, so nothing ran: the key is free for another try.
-		if withdrawn := s.cfg.Claims.Withdraw(ctx, ticket); withdrawn != nil {
-			event.Fail(s.cfg.Log, withdrawn, event.ReportLost, "request_id", m.RequestID)
+		// The connection was refused, so nothing ran: the claim is withdrawn and the
+		// key may be used for a retry.
+		if withdrawErr := s.cfg.Claims.Withdraw(ctx, ticket); withdrawErr != nil {
+			event.Fail(s.cfg.Log, withdrawErr, event.ReportLost, "request_id", m.RequestID)
 		}
 
 		return reply, failure.Wrap(failure.Unavailable, err, "the service is down").After(time.Second)
 	default:
-		if lost := s.cfg.Claims.Lose(ctx, ticket); lost != nil {
-			event.Fail(s.cfg.Log, lost, event.ReportLost, "request_id", m.RequestID)
+		if loseErr := s.cfg.Claims.Lose(ctx, ticket); loseErr != nil {
+			event.Fail(s.cfg.Log, loseErr, event.ReportLost, "request_id", m.RequestID)
 		}
 
-		return reply, failure.Wrap(failure.OutcomeUnknown, err, "the call may have run; it will not be run again")
+		return reply, failure.Wrap(failure.OutcomeUnknown, err, "the call may have run; it will not be retried")
 	}
 }
 
-// forward makes the HTTP call.
+// forward sends the call to the plain service over HTTP.
 func (s *Side) forward(ctx context.Context, m message.Call) (message.Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, m.Method, "http://"+s.cfg.Address+m.Path, bytes.NewReader(m.Body))
 	if err != nil {
@@ -139,16 +141,16 @@
 		}
 	}
 
-	resp, err := s.plain.Do(req)
+	resp, err := s.plainHTTP.Do(req)
 	if err != nil {
-		return message.Reply{}, failure.Wrap(failure.TargetLost, err, "the service does not answer")
+		return message.Reply{}, failure.Wrap(failure.TargetLost, err, "the service does not respond")
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return message.Reply{}, failure.Wrap(failure.TargetLost, err, "the service's answer was cut")
+		return message.Reply{}, failure.Wrap(failure.TargetLost, err, "the service's response ended early")
 	}
 
 	return message.Reply{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
--- a/side/guard.go
+++ b/side/guard.go
@@ -14,96 +14,98 @@
 	"boragehub/quarantine"
 )
 
-// guard is the admission truth of one target.
-type guard struct {
+// targetState is the state of the target, by which requests are admitted, and of
+// the requests in flight.
+type targetState struct {
 	maxWaiting int
-	self       string    // new with each start of this process
-	began      time.Time // of the boot that is up, of target and this process
-
-	mu       sync.Mutex
-	sequence uint64
-	up       bool
-	draining bool
-	info     engine.Info
-	load     engine.Load
-	next     uint64
-	gone     bool // nothing listened at the target's address when it was last asked
-	inFlight map[uint64]*flight
-	judged   map[uint64]verdict // of lost requests, until those who sent them have asked
-	idle     chan struct{}      // closed and replaced whenever nothing is in flight
+	instanceID string    // new each time this process starts
+	startedAt  time.Time // start of the current boot
+
+	mu           sync.Mutex
+	sequence     uint64
+	up           bool
+	draining     bool
+	info         engine.Info
+	load         engine.Load
+	lastID       uint64
+	notListening bool // the last poll's connection to the target's address was refused
+	inFlight     map[uint64]*request
+	results      map[uint64]crashResult // of lost requests, until takeResult
+	idle         chan struct{}          // closed and replaced whenever no request is in flight
 }
 
-func newGuard(maxWaiting int) *guard {
-	return &guard{maxWaiting: maxWaiting, self: uuid.NewString(), began: time.Now(), inFlight: map[uint64]*flight{}, judged: map[uint64]verdict{}, idle: make(chan struct{})}
+func newTargetState(maxWaiting int) *targetState {
+	return &targetState{maxWaiting: maxWaiting, instanceID: uuid.NewString(), startedAt: time.Now(), inFlight: map[uint64]*request{}, results: map[uint64]crashResult{}, idle: make(chan struct{})}
 }
 
-// plainRunning is how many calls a plain service is taken to run at once.
-const plainRunning = 64
+// plainMaxRunning is the number of calls that a plain service is assumed to run
+// concurrently.
+const plainMaxRunning = 64
 
-// enter admits a request or refuses it before anything ran. version is the
-// weight version that it needs, empty for a plain call.
-func (g *guard) enter(fingerprint quarantine.Fingerprint, version string) (uint64, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// admit admits a request, or refuses it before anything was sent to the target.
+// version is the weight version that the request requires; empty for a plain call.
+func (t *targetState) admit(fingerprint quarantine.Fingerprint, version string) (uint64, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
 	switch {
-	case g.draining:
-		return 0, failure.New(failure.Draining, "the target is leaving").After(time.Second)
-	case !g.up:
+	case t.draining:
+		return 0, failure.New(failure.Draining, "the target is draining").After(time.Second)
+	case !t.up:
 		return 0, failure.New(failure.NotReady, "the target is not ready").After(time.Second)
-	case version != "" && version != g.info.WeightVersion:
-		return 0, failure.New(failure.WrongVersion, "the target holds version %s, not %s", g.info.WeightVersion, version).After(time.Second)
-	case g.live() >= g.places()+g.maxWaiting:
-		return 0, failure.New(failure.QueueFull, "the target has %d requests", g.live()).After(g.untilRoom())
+	case version != "" && version != t.info.WeightVersion:
+		return 0, failure.New(failure.WrongVersion, "the target has loaded version %s, not %s", t.info.WeightVersion, version).After(time.Second)
+	case t.active() >= t.maxRunning()+t.maxWaiting:
+		return 0, failure.New(failure.QueueFull, "the target has %d requests in flight", t.active()).After(t.queueDelay())
 	}
 
-	g.next++
-	g.inFlight[g.next] = &flight{fingerprint: fingerprint, boot: g.boot()}
+	t.lastID++
+	t.inFlight[t.lastID] = &request{fingerprint: fingerprint, boot: t.bootID()}
 
-	return g.next, nil
+	return t.lastID, nil
 }
 
-// give notes that an admitted request goes to the target now, over a connection
-// that stands: what was never connected can't be what the target dies of.
-func (g *guard) give(id uint64, conn net.Conn) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// markSent records that an admitted request is being sent to the target over conn.
+// A request without a connection can't have crashed the target.
+func (t *targetState) markSent(id uint64, conn net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	if f := g.inFlight[id]; f != nil {
-		f.conn = conn
-		f.boot = g.boot()
+	if r := t.inFlight[id]; r != nil {
+		r.conn = conn
+		r.boot = t.bootID()
 	}
 }
 
-// leave ends a request. One that was lost with its target stays on the books
-// until it is judged whether the target died of it.
-func (g *guard) leave(now time.Time, id uint64, lost bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// finish ends a request. A lost one, whose connection to the target broke, is kept
+// until it is known whether the target crashed.
+func (t *targetState) finish(now time.Time, id uint64, lost bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	f := g.inFlight[id]
-	if f == nil {
+	r := t.inFlight[id]
+	if r == nil {
 		return
 	}
 
 	if lost {
-		f.lost = now
+		r.lostAt = now
 	} else {
-		delete(g.inFlight, id)
+		delete(t.inFlight, id)
 	}
 
-	if g.live() == 0 {
-		close(g.idle)
-		g.idle = make(chan struct{})
+	if t.active() == 0 {
+		close(t.idle)
+		t.idle = make(chan struct{})
 	}
 }
 
-// live counts the requests that have not ended.
-func (g *guard) live() int {
+// active returns the number of requests that have not ended. The caller holds mu.
+func (t *targetState) active() int {
 	n := 0
 
-	for _, f := range g.inFlight {
-		if f.lost.IsZero() {
+	for _, r := range t.inFlight {
+		if r.lostAt.IsZero() {
 			n++
 		}
 	}
@@ -111,100 +113,103 @@
 	return n
 }
 
-func (g *guard) places() int {
-	if g.info.MaxRunning > 0 {
-		return g.info.MaxRunning
+func (t *targetState) maxRunning() int {
+	if t.info.MaxRunning > 0 {
+		return t.info.MaxRunning
 	}
 
-	return plainRunning
+	return plainMaxRunning
 }
 
-// untilRoom estimates the time until a place is free: the prefill that waits, spread
-// over what the engine computes in a second.
-func (g *guard) untilRoom() time.Duration {
-	if g.info.PrefillRate <= 0 {
+// queueDelay estimates the time until a queued prompt could start: the waiting
+// prefill tokens divided by the engine's prefill rate. The caller holds mu.
+func (t *targetState) queueDelay() time.Duration {
+	if t.info.PrefillRate <= 0 {
 		return time.Second
 	}
 
-	seconds := float64(g.load.WaitingTokens) / g.info.PrefillRate
+	seconds := float64(t.load.WaitingTokens) / t.info.PrefillRate
 
 	return max(time.Duration(seconds*float64(time.Second)), 100*time.Millisecond)
 }
 
-// observe takes in what the target says of itself. It returns the requests that were lost
-// with an earlier boot.
-func (g *guard) observe(now time.Time, info engine.Info, load engine.Load) (first bool, crashes []verdict) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// observe records the state that the target reported. It returns whether the
+// target has become ready and the crashes of earlier boots.
+func (t *targetState) observe(now time.Time, info engine.Info, load engine.Load) (becameReady bool, crashes []crashResult) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	first = !g.up
-	g.up = info.Ready()
-	g.gone = false
+	becameReady = !t.up
+	t.up = info.Ready()
+	t.notListening = false
 
-	if g.info.BootID != "" && g.info.BootID != info.BootID {
-		g.began = now
+	if t.info.BootID != "" && t.info.BootID != info.BootID {
+		t.startedAt = now
 	}
 
-	g.info = info
-	g.load = load
-	g.acquit()
+	t.info = info
+	t.load = load
+	t.resolveSurvived()
 
-	return first && g.up, g.convict(now)
+	return becameReady && t.up, t.resolveDown(now)
 }
 
-// died notes that nothing listens at the target's address any more.
-func (g *guard) died(now time.Time) (last bool, crashes []verdict) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// observeDown records that the connection to the target's address was refused. It
+// returns whether the target was ready before and the crashes that this shows.
+func (t *targetState) observeDown(now time.Time) (wasReady bool, crashes []crashResult) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	last = g.up
-	g.up, g.gone = false, true
+	wasReady = t.up
+	t.up, t.notListening = false, true
 
-	return last, g.convict(now)
+	return wasReady, t.resolveDown(now)
 }
 
-// silent notes that the target does not answer though something listens.
-func (g *guard) silent() (last bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// observeUnresponsive records that the target did not respond although its
+// connection was not refused. It returns whether the target was ready before.
+func (t *targetState) observeUnresponsive() (wasReady bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	last = g.up
-	g.up, g.gone = false, false
+	wasReady = t.up
+	t.up, t.notListening = false, false
 
-	return last
+	return wasReady
 }
 
-// boot names one life of target and side process: a drained side process that
-// is started again must not be taken for the one that said it was leaving.
-func (g *guard) boot() string { return g.info.BootID + "." + g.self }
+// bootID identifies one start of the target and of this process: without the latter,
+// entries would take a side process that has restarted after a drain for the one
+// that reported that it was draining.
+func (t *targetState) bootID() string { return t.info.BootID + "." + t.instanceID }
 
-func (g *guard) drain() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *targetState) startDrain() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	g.draining = true
+	t.draining = true
 }
 
-func (g *guard) ready() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *targetState) ready() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	return g.up && !g.draining
+	return t.up && !t.draining
 }
 
-func (g *guard) count() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *targetState) activeCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	return g.live()
+	return t.active()
 }
 
-// wait returns when nothing is in flight or ctx ends.
-func (g *guard) wait(ctx context.Context) {
+// waitIdle waits until no request is in flight or ctx ends.
+func (t *targetState) waitIdle(ctx context.Context) {
 	for {
-		g.mu.Lock()
-		n, idle := g.live(), g.idle
-		g.mu.Unlock()
+		t.mu.Lock()
+		n, idle := t.active(), t.idle
+		t.mu.Unlock()
 
 		if n == 0 {
 			return
@@ -218,59 +223,59 @@
 	}
 }
 
-// engineInfo returns what the engine last said of itself.
-func (g *guard) engineInfo() engine.Info {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// engineInfo returns what the engine last reported of itself.
+func (t *targetState) engineInfo() engine.Info {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	return g.info
+	return t.info
 }
 
-func (g *guard) state(now time.Time) message.State {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *targetState) stateMessage(now time.Time) message.State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	g.sequence++
+	t.sequence++
 
 	return message.State{
-		Sequence:      g.sequence,
-		Boot:          g.boot(),
-		Model:         g.info.Model,
-		Version:       g.info.WeightVersion,
-		BlockTokens:   g.info.BlockTokens,
-		Ready:         g.up && !g.draining,
-		Draining:      g.draining,
-		Gone:          g.gone,
-		Load:          g.loadAt(now),
-		PrefillRate:   g.info.PrefillRate,
-		DecodeRate:    g.info.DecodeRate,
-		MaxRunning:    g.places(),
-		BytesPerToken: g.info.BytesPerToken,
-		UpMS:          now.Sub(g.began).Milliseconds(),
+		Sequence:      t.sequence,
+		Boot:          t.bootID(),
+		Model:         t.info.Model,
+		Version:       t.info.WeightVersion,
+		BlockTokens:   t.info.BlockTokens,
+		Ready:         t.up && !t.draining,
+		Draining:      t.draining,
+		Gone:          t.notListening,
+		Load:          t.loadAt(now),
+		PrefillRate:   t.info.PrefillRate,
+		DecodeRate:    t.info.DecodeRate,
+		MaxRunning:    t.maxRunning(),
+		BytesPerToken: t.info.BytesPerToken,
+		UpMS:          now.Sub(t.startedAt).Milliseconds(),
 	}
 }
 
-// loadAt combines the target's own report, which lags, with what is known here
-// at first hand: at least the requests in flight are there.
-func (g *guard) loadAt(now time.Time) message.Load {
-	live := g.live()
-	running := min(live, g.places())
+// loadAt combines the load that the target reported, which lags, with the requests
+// that are known here to be in flight. The caller holds mu.
+func (t *targetState) loadAt(now time.Time) message.Load {
+	active := t.active()
+	running := min(active, t.maxRunning())
 	l := message.Load{
-		Running:       max(g.load.Running, running),
-		Waiting:       max(g.load.Waiting, live-running),
-		WaitingTokens: g.load.WaitingTokens,
+		Running:       max(t.load.Running, running),
+		Waiting:       max(t.load.Waiting, active-running),
+		WaitingTokens: t.load.WaitingTokens,
 	}
 
-	if g.load.AtMS > 0 {
-		l.AgeMS = max(0, now.UnixMilli()-g.load.AtMS)
+	if t.load.AtMS > 0 {
+		l.AgeMS = max(0, now.UnixMilli()-t.load.AtMS)
 	}
 
 	return l
 }
 
-func (g *guard) currentLoad(now time.Time) message.Load {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (t *targetState) currentLoad(now time.Time) message.Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	return g.loadAt(now)
+	return t.loadAt(now)
 }
--- a/side/held.go
+++ b/side/held.go
@@ -7,28 +7,28 @@
 	"boragehub/prompt"
 )
 
-// held is what the engine's cache holds, by its cache events. It may be wrong for
-// a moment, since events come late; the engine then computes what is missing, so
-// an error costs time and never a wrong answer.
-type held struct {
-	mu     sync.Mutex
-	boot   string
-	seq    uint64
-	synced bool
-	blocks map[prompt.Hash]struct{}
+// cacheIndex is the set of blocks in the engine's cache according to its cache events.
+// Events arrive late, so it may be out of date; the engine then computes the missing
+// blocks, so an error costs time but never gives a wrong response.
+type cacheIndex struct {
+	mu      sync.Mutex
+	boot    string
+	lastSeq uint64
+	synced  bool
+	blocks  map[prompt.Hash]struct{}
 }
 
-func newHeld() *held {
-	return &held{blocks: map[prompt.Hash]struct{}{}}
+func newCacheIndex() *cacheIndex {
+	return &cacheIndex{blocks: map[prompt.Hash]struct{}{}}
 }
 
-// prefix returns how many leading blocks of chain are held.
-func (h *held) prefix(chain prompt.Chain) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// prefix returns the number of leading blocks of chain that are cached.
+func (c *cacheIndex) prefix(chain prompt.Chain) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
 	for i, b := range chain {
-		if _, ok := h.blocks[b]; !ok {
+		if _, ok := c.blocks[b]; !ok {
 			return i
 		}
 	}
@@ -36,86 +36,86 @@
 	return len(chain)
 }
 
-// add notes blocks that the engine has just computed or imported; its events
-// will say the same later.
-func (h *held) add(chain prompt.Chain) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// add records blocks that the engine has just computed or imported, before its events
+// report them.
+func (c *cacheIndex) add(chain prompt.Chain) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
 	for _, b := range chain {
-		h.blocks[b] = struct{}{}
+		c.blocks[b] = struct{}{}
 	}
 }
 
-// position returns the event to go on after.
-func (h *held) position() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// lastEvent returns the sequence number of the last event applied.
+func (c *cacheIndex) lastEvent() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	return h.seq
+	return c.lastSeq
 }
 
-// isSynced reports whether the list was read since the last gap.
-func (h *held) isSynced() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// isSynced reports whether the complete list was read since the last gap in the events.
+func (c *cacheIndex) isSynced() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	return h.synced
+	return c.synced
 }
 
-// apply takes events in and reports whether they follow without a gap. After a
-// gap nothing is taken in: a removal may be among what was lost, and the list
-// must be read anew.
-func (h *held) apply(e engine.Events) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// apply applies events and reports whether they follow the last one without a gap. It
+// stops at a gap: a removal may be among the lost events, so the complete list has to be
+// read again.
+func (c *cacheIndex) apply(e engine.Events) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	if e.BootID != h.boot || e.FirstSeq > h.seq+1 {
-		h.synced = false
+	if e.BootID != c.boot || e.FirstSeq > c.lastSeq+1 {
+		c.synced = false
 
 		return false
 	}
 
 	for _, v := range e.Events {
-		if v.Seq != h.seq+1 {
-			h.synced = false
+		if v.Seq != c.lastSeq+1 {
+			c.synced = false
 
 			return false
 		}
 
-		h.seq = v.Seq
-		h.change(v)
+		c.lastSeq = v.Seq
+		c.applyEvent(v)
 	}
 
 	return true
 }
 
-func (h *held) change(v engine.Event) {
+func (c *cacheIndex) applyEvent(v engine.Event) {
 	switch v.Type {
 	case "stored":
 		for _, b := range v.Hashes {
-			h.blocks[b] = struct{}{}
+			c.blocks[b] = struct{}{}
 		}
 	case "removed":
 		for _, b := range v.Hashes {
-			delete(h.blocks, b)
+			delete(c.blocks, b)
 		}
 	case "cleared":
-		clear(h.blocks)
+		clear(c.blocks)
 	}
 }
 
-// reset takes the engine's whole list in.
-func (h *held) reset(b engine.Blocks) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// reset replaces the index by the engine's complete list.
+func (c *cacheIndex) reset(b engine.Blocks) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	h.boot = b.BootID
-	h.seq = b.Seq
-	h.synced = true
-	h.blocks = make(map[prompt.Hash]struct{}, len(b.Hashes))
+	c.boot = b.BootID
+	c.lastSeq = b.Seq
+	c.synced = true
+	c.blocks = make(map[prompt.Hash]struct{}, len(b.Hashes))
 
 	for _, k := range b.Hashes {
-		h.blocks[k] = struct{}{}
+		c.blocks[k] = struct{}{}
 	}
 }
--- a/side/order.go
+++ b/side/order.go
@@ -14,29 +14,29 @@
 	"boragehub/weights"
 )
 
-// orders is what this process knows of the orders to its engine. It is the fence
-// for engines that ignore fencing numbers: a leader that was paused past its
-// lease still sends its order when it wakes, and the engine would drop weights
-// that the new leader counts on.
-type orders struct {
-	mu       sync.Mutex
-	fence    lease.Guard
-	accepted uint64
-	version  string // ordered and not seen yet; empty for none
-	began    bool   // the engine was seen loading since
-
-	loading  bool
-	since    time.Time
-	role     string
-	adapters []string
-	failed   string
-	failedAt time.Time
+// orderState is what this process knows of the orders to its engine. It checks fencing
+// numbers for engines that ignore them: a leader that was paused past its lease still
+// sends its order when it resumes, and the engine would drop weights that the new leader
+// relies on.
+type orderState struct {
+	mu             sync.Mutex
+	fence          lease.Guard
+	accepted       uint64
+	pendingVersion string // ordered but not loaded yet; empty for none
+	loadStarted    bool   // the engine has reported loading since that order
+
+	loading       bool
+	stateSince    time.Time
+	role          string
+	adapters      []string
+	failedVersion string
+	failedAt      time.Time
 }
 
-// check passes an order by the fence. A process that has just started has
-// forgotten which fencing number was the newest, so it takes no order before the
-// leader has announced its own.
-func (o *orders) check(m message.Order) error {
+// check returns an error for an order that is out of date. A process that has just started
+// does not know the newest fencing number, so it refuses all orders until the leader has
+// announced its own.
+func (o *orderState) check(m message.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -56,75 +56,75 @@
 	}
 
 	if !announced && m.Number <= o.accepted {
-		return failure.New(failure.StaleFence, "order %d came after order %d", m.Number, o.accepted)
+		return failure.New(failure.StaleFence, "order %d arrived after order %d", m.Number, o.accepted)
 	}
 
 	return nil
 }
 
-// accept notes an order that the engine took.
-func (o *orders) accept(m message.Order) {
+// recordAccepted records an order that the engine has accepted.
+func (o *orderState) recordAccepted(m message.Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	o.accepted = max(o.accepted, m.Number)
 
 	if m.Kind == string(weights.LoadWeights) {
-		o.version = m.Version
-		o.began = false
+		o.pendingVersion = m.Version
+		o.loadStarted = false
 	}
 }
 
-// observe follows what the engine says, and returns the version of a load that
-// has just failed.
-func (o *orders) observe(now time.Time, info engine.Info) (failed string) {
+// observe records the state that the engine reported, and returns the weight version of a
+// load that has just failed, or an empty string.
+func (o *orderState) observe(now time.Time, info engine.Info) (failed string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	loading := !info.Ready()
-	if loading != o.loading || o.since.IsZero() {
-		o.since = now
+	if loading != o.loading || o.stateSince.IsZero() {
+		o.stateSince = now
 	}
 
 	o.loading = loading
 	o.role = info.Role
 	o.adapters = info.Adapters
-	o.began = o.began || loading
+	o.loadStarted = o.loadStarted || loading
 
 	switch {
-	case o.version == "":
-	case info.WeightVersion == o.version:
-		o.version = ""
-	case o.began && !loading:
-		failed = o.version
-		o.failed, o.failedAt = o.version, now
-		o.version = ""
+	case o.pendingVersion == "":
+	case info.WeightVersion == o.pendingVersion:
+		o.pendingVersion = ""
+	case o.loadStarted && !loading:
+		failed = o.pendingVersion
+		o.failedVersion, o.failedAt = o.pendingVersion, now
+		o.pendingVersion = ""
 	}
 
 	return failed
 }
 
-// describe adds what is known of orders to the target's state.
-func (o *orders) describe(now time.Time, st *message.State) {
+// fillState sets the fields of the target's state that follow from orders.
+func (o *orderState) fillState(now time.Time, st *message.State) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
 	st.Loading = o.loading
-	st.StateAgeMS = now.Sub(o.since).Milliseconds()
+	st.StateAgeMS = now.Sub(o.stateSince).Milliseconds()
 	st.Role = o.role
 	st.Adapters = o.adapters
 	st.Fence = o.fence.Newest()
 	st.Accepted = o.accepted
-	st.FailedVersion = o.failed
+	st.FailedVersion = o.failedVersion
 
-	if o.failed != "" {
+	if o.failedVersion != "" {
 		st.FailedAgeMS = now.Sub(o.failedAt).Milliseconds()
 	}
 }
 
-// order answers an Order.
-func (s *Side) order(ctx context.Context, to *peer.Stream, m message.Order) error {
-	if err := s.obey(ctx, m); err != nil {
+// handleOrder answers an Order.
+func (s *Side) handleOrder(ctx context.Context, to *peer.Stream, m message.Order) error {
+	if err := s.forwardOrder(ctx, m); err != nil {
 		event.Fail(s.cfg.Log, err, event.OrderRefused, "kind", m.Kind, "fence", m.Fence, "number", m.Number)
 
 		return err
@@ -135,9 +135,9 @@
 	return to.Send(message.Ack{})
 }
 
-func (s *Side) obey(ctx context.Context, m message.Order) error {
-	s.ordering.Lock()
-	defer s.ordering.Unlock()
+func (s *Side) forwardOrder(ctx context.Context, m message.Order) error {
+	s.orderMu.Lock()
+	defer s.orderMu.Unlock()
 
 	if err := s.orders.check(m); err != nil {
 		return err
@@ -147,7 +147,7 @@
 		return nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, targetTimeout)
 	defer cancel()
 
 	err := s.engine.Order(ctx, engine.Order{
@@ -161,7 +161,7 @@
 		return err
 	}
 
-	s.orders.accept(m)
+	s.orders.recordAccepted(m)
 
 	return nil
 }
--- a/side/park.go
+++ b/side/park.go
@@ -15,53 +15,53 @@
 	"boragehub/vm"
 )
 
-// parkJob is a context that may be worth a copy.
+// parkJob is a context that may be worth copying to a store.
 type parkJob struct {
-	run   *run
-	chain prompt.Chain
-	seen  time.Time
+	run     *run
+	chain   prompt.Chain
+	endedAt time.Time
 }
 
-// parkTimeout bounds the export of one context and its way to a store.
+// parkTimeout bounds the export of one context and its transfer to a store.
 const parkTimeout = storeTimeout
 
-// maxParked bounds how many contexts a side process remembers having parked.
+// maxParked is the maximum number of contexts whose copies are remembered.
 const maxParked = 4096
 
-// parkedSet remembers what this process parked, so that a context is exported
-// again only when it has grown, and an older copy is freed. Only the park duty
-// uses it.
-type parkedSet struct {
+// parkedContexts remembers the copies that this process made, so that a context is
+// exported again only when it has grown, and its older copy is deleted. Only
+// exportContexts uses it.
+type parkedContexts struct {
 	byAnchor *lru.LRU[prompt.Hash, parkedCopy]
 	gaps     *lru.LRU[workload, *parking.Gaps]
 }
 
-// workload is whose contexts return after about the same gaps.
+// workload identifies the contexts that share statistics of the gaps between uses.
 type workload struct{ organisation, name string }
 
-// maxWorkloads bounds the workloads whose gaps a side process learns; each takes
-// about 1.5 KB.
+// maxWorkloads is the maximum number of workloads with gap statistics; each takes about
+// 1.5 KB.
 const maxWorkloads = 512
 
-// parkedCopy is one copy that this process made.
+// parkedCopy is a copy that this process made.
 type parkedCopy struct {
-	id      string
-	address string
-	holder  string
-	blocks  int
-	seen    time.Time
+	id       string
+	address  string
+	holder   string
+	blocks   int
+	lastUsed time.Time
 }
 
-func newParkedSet() *parkedSet {
-	// NewLRU fails only for a size under one.
+func newParkedContexts() *parkedContexts {
+	// NewLRU returns an error only for a size below 1.
 	l, _ := lru.NewLRU[prompt.Hash, parkedCopy](maxParked, nil)
 	g, _ := lru.NewLRU[workload, *parking.Gaps](maxWorkloads, nil)
 
-	return &parkedSet{byAnchor: l, gaps: g}
+	return &parkedContexts{byAnchor: l, gaps: g}
 }
 
-// visited notes a visit and returns what is known of its workload's gaps.
-func (p *parkedSet) visited(j parkJob, old parkedCopy) *parking.Gaps {
+// recordVisit records a use of a context and returns the gap statistics of its workload.
+func (p *parkedContexts) recordVisit(j parkJob, old parkedCopy) *parking.Gaps {
 	key := workload{j.run.Organisation, j.run.Workload}
 
 	g, ok := p.gaps.Get(key)
@@ -72,62 +72,62 @@
 
 	g.Visited()
 
-	if !old.seen.IsZero() {
-		g.Returned(j.seen.Sub(old.seen))
+	if !old.lastUsed.IsZero() {
+		g.Returned(j.endedAt.Sub(old.lastUsed))
 	}
 
 	return g
 }
 
-// offerPark hands the finished context to the park duty. A full ring loses the
-// copy and not the answer.
+// offerPark queues the context of a completed run for parking. If the queue is full the
+// context is not copied; the response is not affected.
 func (r *run) offerPark() {
 	if r.ParkMinTokens <= 0 {
 		return
 	}
 
-	tokens := r.s.guard.engineInfo().BlockTokens
+	tokens := r.side.target.engineInfo().BlockTokens
 	chain := r.scope().Chain(r.Prompt+r.Resume+string(r.text), tokens)
 
 	if len(chain)*tokens < r.ParkMinTokens {
 		return
 	}
 
-	if !r.s.parks.Offer(parkJob{run: r, chain: chain, seen: time.Now()}) {
-		event.Log(r.s.cfg.Log, event.CopyNotParked, "request_id", r.RequestID, "reason", "busy")
+	if !r.side.parkJobs.Offer(parkJob{run: r, chain: chain, endedAt: time.Now()}) {
+		event.Log(r.side.cfg.Log, event.CopyNotParked, "request_id", r.RequestID, "reason", "busy")
 	}
 }
 
-// park exports contexts one after the other until ctx ends: exports share the
-// link with imports, which callers wait for.
-func (s *Side) park(ctx context.Context) {
+// exportContexts exports the queued contexts until ctx ends, one at a time because exports
+// share the link with imports, for which callers wait.
+func (s *Side) exportContexts(ctx context.Context) {
 	for {
-		j, ok := s.parks.Take(ctx)
+		j, ok := s.parkJobs.Take(ctx)
 		if !ok {
 			return
 		}
 
-		if err := s.parkOne(ctx, j); err != nil {
+		if err := s.parkContext(ctx, j); err != nil {
 			event.Fail(s.cfg.Log, err, event.CopyNotParked, "request_id", j.run.RequestID, "reason", "failed")
 		}
 	}
 }
 
-func (s *Side) parkOne(ctx context.Context, j parkJob) error {
+func (s *Side) parkContext(ctx context.Context, j parkJob) error {
 	ctx, cancel := context.WithTimeout(ctx, parkTimeout)
 	defer cancel()
 
 	old, _ := s.parked.byAnchor.Get(j.run.Anchor)
-	gaps := s.parked.visited(j, old)
-	rooms, stores := s.rooms(ctx)
-	d := s.decidePark(j, old, gaps, rooms)
+	gaps := s.parked.recordVisit(j, old)
+	view, stores := s.queryStores(ctx)
+	d := s.decidePark(j, old, gaps, view)
 
 	if old.id != "" {
-		old.seen = j.seen
+		old.lastUsed = j.endedAt
 		s.parked.byAnchor.Add(j.run.Anchor, old)
 	}
 
-	event.Log(s.cfg.Log, parkEvent(d), append([]any{"request_id", j.run.RequestID}, d.Fields(rooms)...)...)
+	event.Log(s.cfg.Log, parkEvent(d), append([]any{"request_id", j.run.RequestID}, d.Fields(view)...)...)
 
 	if !d.Export() {
 		return nil
@@ -139,7 +139,7 @@
 	}
 
 	if version != j.run.Version {
-		return failure.New(failure.WrongVersion, "the engine moved to version %s", version)
+		return failure.New(failure.WrongVersion, "the engine has loaded version %s in the meantime", version)
 	}
 
 	made, err := s.put(ctx, j, blocks, body, stores[d.First()])
@@ -147,9 +147,9 @@
 		return err
 	}
 
-	made.seen = j.seen
+	made.lastUsed = j.endedAt
 	s.parked.byAnchor.Add(j.run.Anchor, made)
-	s.free(ctx, old)
+	s.deleteCopy(ctx, old)
 
 	return nil
 }
@@ -162,9 +162,9 @@
 	return event.ContextNotParked
 }
 
-// decidePark weighs the copy with what is known at first hand.
-func (s *Side) decidePark(j parkJob, old parkedCopy, gaps *parking.Gaps, rooms parking.View) parking.Decision {
-	info := s.guard.engineInfo()
+// decidePark decides whether to copy a context, and to which store.
+func (s *Side) decidePark(j parkJob, old parkedCopy, gaps *parking.Gaps, view parking.View) parking.Decision {
+	info := s.target.engineInfo()
 	tokens := len(j.chain) * info.BlockTokens
 	parked := min(old.blocks*info.BlockTokens, tokens)
 
@@ -173,14 +173,14 @@
 		Parked:                 parked,
 		Bytes:                  int64(tokens) * int64(info.BytesPerToken),
 		PrefillTokensPerSecond: info.PrefillRate,
-		Seen:                   j.seen,
+		Seen:                   j.endedAt,
 		Gaps:                   gaps,
-	}, rooms)
+	}, view)
 }
 
-// rooms asks the stores for their room, those of this data centre first. One
-// that does not answer is shown as down.
-func (s *Side) rooms(ctx context.Context) (parking.View, []vm.VM) {
+// queryStores queries the stores for their free space, those of this data centre first. A
+// store that does not respond is returned as down.
+func (s *Side) queryStores(ctx context.Context) (parking.View, []vm.VM) {
 	var view parking.View
 
 	stores := s.cfg.VMs.List().Of(vm.Store, s.cfg.DataCentre)
@@ -192,7 +192,7 @@
 		room := parking.Room{Name: m.Name, Down: m.State == vm.Leaving}
 
 		if !room.Down {
-			space, err := store.Client{Address: m.Address, HTTP: s.rooming}.Space(ctx)
+			space, err := store.Client{Address: m.Address, HTTP: s.spaceHTTP}.Space(ctx)
 			room.Down = err != nil
 			room.Free = space.TotalBytes - space.UsedBytes
 			room.Total = space.TotalBytes
@@ -204,14 +204,15 @@
 	return view, stores
 }
 
-// put seals the blocks, writes them under an id of their own and tells the owner.
+// put seals the blocks, writes them to a store under a new id and reports the copy to the
+// anchor's owner.
 func (s *Side) put(ctx context.Context, j parkJob, blocks int, body []byte, to vm.VM) (parkedCopy, error) {
 	id, err := store.NewCopyID(blocks)
 	if err != nil {
 		return parkedCopy{}, err
 	}
 
-	sealed, err := store.Seal(j.run.header(id.String(), j.chain[:blocks]), body)
+	sealed, err := store.Seal(j.run.copyHeader(id.String(), j.chain[:blocks]), body)
 	if err != nil {
 		return parkedCopy{}, err
 	}
@@ -222,7 +223,7 @@
 
 	event.Log(s.cfg.Log, event.CopyParked, "request_id", j.run.RequestID, "store", to.Name, "copy", id.String(), "blocks", blocks, "bytes", len(sealed))
 
-	s.tellOwner(j.run.Anchor, message.Learn{
+	s.reportToOwner(j.run.Anchor, message.Learn{
 		Anchor: j.run.Anchor,
 		Chain:  j.chain[:blocks],
 		Holding: message.Holding{
@@ -240,9 +241,10 @@
 	return parkedCopy{id: id.String(), address: to.Address, holder: to.Name, blocks: blocks}, nil
 }
 
-// write puts a copy into a store, once more after making room when it is full.
+// write writes a copy to a store. If the store is full, it deletes the oldest copies and
+// tries once more.
 func (s *Side) write(ctx context.Context, to vm.VM, id string, sealed []byte) error {
-	c := store.Client{Address: to.Address, HTTP: s.stores}
+	c := store.Client{Address: to.Address, HTTP: s.storeHTTP}
 
 	err := c.Put(ctx, id, sealed)
 	if err == nil || failure.KindOf(err) != failure.StoreFull {
@@ -263,14 +265,14 @@
 	return c.Put(ctx, id, sealed)
 }
 
-// free deletes a copy that a longer one has replaced. A reader that is still
-// fetching it gets a cut copy, which its seal shows, and goes on without.
-func (s *Side) free(ctx context.Context, c parkedCopy) {
+// deleteCopy deletes a copy that a longer one has replaced. A process that is still
+// reading it gets a truncated copy, detects that by the seal, and continues without it.
+func (s *Side) deleteCopy(ctx context.Context, c parkedCopy) {
 	if c.id == "" {
 		return
 	}
 
-	if err := (store.Client{Address: c.address, HTTP: s.stores}).Delete(ctx, c.id); err != nil {
+	if err := (store.Client{Address: c.address, HTTP: s.storeHTTP}).Delete(ctx, c.id); err != nil {
 		event.Fail(s.cfg.Log.V(1), err, event.CopyNotParked, "copy", c.id, "reason", "old copy stays")
 	}
 }
--- a/side/report.go
+++ b/side/report.go
@@ -12,13 +12,13 @@
 	"boragehub/vm"
 )
 
-// report is a message that some entries have to get.
+// report is a message to deliver to some entries.
 type report struct {
 	to []peer.Address
 	m  message.Message
 }
 
-// reportTimeout bounds the delivery to one entry.
+// reportTimeout bounds the delivery of a report to one entry.
 const reportTimeout = 3 * time.Second
 
 // entries returns the entries on the platform's list.
@@ -26,19 +26,19 @@
 	return s.cfg.VMs.List().Of(vm.Entry, s.cfg.DataCentre)
 }
 
-// tellAll reports to every entry.
-func (s *Side) tellAll(m message.Message) {
+// reportToEntries queues a report to every entry.
+func (s *Side) reportToEntries(m message.Message) {
 	var to []peer.Address
 
 	for _, e := range s.entries() {
 		to = append(to, peer.Address{VM: e.Name, Addr: e.SideAddress})
 	}
 
-	s.offer(report{to: to, m: m})
+	s.enqueueReport(report{to: to, m: m})
 }
 
-// tellOwner reports to the entry that keeps what is known of anchor.
-func (s *Side) tellOwner(anchor prompt.Hash, m message.Message) {
+// reportToOwner queues a report to the entry that owns the directory record of anchor.
+func (s *Side) reportToOwner(anchor prompt.Hash, m message.Message) {
 	entries := s.entries()
 	names := make([]string, len(entries))
 	at := make(map[string]peer.Address, len(entries))
@@ -49,20 +49,20 @@
 	}
 
 	if len(names) > 0 {
-		s.offer(report{to: []peer.Address{at[directory.Owner(anchor, names)]}, m: m})
+		s.enqueueReport(report{to: []peer.Address{at[directory.Owner(anchor, names)]}, m: m})
 	}
 }
 
-func (s *Side) offer(r report) {
+func (s *Side) enqueueReport(r report) {
 	if !s.reports.Offer(r) {
 		event.Log(s.cfg.Log, event.ReportLost, "type", r.m.Type(), "reason", "busy")
 	}
 }
 
-// report delivers reports until ctx ends. One that can't be delivered is
-// dropped: a copy that its owner doesn't know is only not used, and a crash is
-// told to the entry that ran the request on the conversation itself.
-func (s *Side) report(ctx context.Context) {
+// deliverReports delivers reports until ctx ends. A report that can't be delivered is
+// dropped: a copy that its owner doesn't know of is only not used, and the entry that sent
+// a request gets the crash report on the request's own stream.
+func (s *Side) deliverReports(ctx context.Context) {
 	for {
 		r, ok := s.reports.Take(ctx)
 		if !ok {
--- a/side/run.go
+++ b/side/run.go
@@ -20,30 +20,30 @@
 // run is one run of a prompt, from admission to its last token.
 type run struct {
 	message.Run
-	id       uint64 // on the guard's books
-	s        *Side
-	to       *peer.Stream
-	chain    prompt.Chain
-	imported int
-	moved    int64
-	index    int
-	text     []byte
-	began    time.Time
-	first    time.Duration
-	usage    engine.Usage
-	finish   string
-	dog      *watchdog
+	id             uint64 // from targetState.admit
+	side           *Side
+	stream         *peer.Stream
+	chain          prompt.Chain
+	importedBlocks int
+	importedBytes  int64
+	nextIndex      int
+	text           []byte
+	startedAt      time.Time
+	firstTokenTime time.Duration
+	usage          engine.Usage
+	finishReason   string
+	watchdog       *watchdog
 }
 
-// run answers a Run. What it returns has not been told to the entry yet.
-func (s *Side) run(ctx context.Context, to *peer.Stream, m message.Run) error {
+// handleRun answers a Run. An error that it returns has not been sent to the entry yet.
+func (s *Side) handleRun(ctx context.Context, to *peer.Stream, m message.Run) error {
 	now := time.Now()
 
 	if m.Version == "" {
-		return failure.New(failure.BadMessage, "a run names no weight version")
+		return failure.New(failure.BadMessage, "the run has no weight version")
 	}
 
-	id, err := s.guard.enter(m.Fingerprint, m.Version)
+	id, err := s.target.admit(m.Fingerprint, m.Version)
 	if err != nil {
 		event.Log(s.cfg.Log, event.RunRefused, "request_id", m.RequestID, "reason", err.Error())
 
@@ -55,7 +55,7 @@
 
 	if m.Suspect {
 		if err := s.isolate(ctx, m.Fingerprint); err != nil {
-			s.guard.leave(time.Now(), id, false)
+			s.target.finish(time.Now(), id, false)
 
 			return err
 		}
@@ -63,11 +63,11 @@
 		defer s.isolation.End(m.Fingerprint)
 	}
 
-	r := &run{Run: m, id: id, s: s, to: to, index: m.ResumeTokens, began: now}
-	r.prepare(ctx)
+	r := &run{Run: m, id: id, side: s, stream: to, nextIndex: m.ResumeTokens, startedAt: now}
+	r.importCopy(ctx)
 
 	if len(m.Copies) > 0 {
-		err = to.Send(message.Imported{Bytes: r.moved})
+		err = to.Send(message.Imported{Bytes: r.importedBytes})
 	}
 
 	if err == nil {
@@ -75,19 +75,19 @@
 	}
 
 	lost := failure.KindOf(err) == failure.TargetLost && err != nil
-	s.guard.leave(time.Now(), id, lost)
+	s.target.finish(time.Now(), id, lost)
 
 	switch {
 	case lost:
-		s.checkCrash(ctx, id, to)
-	case err != nil && stale(err):
-		// The engine has moved on, or gone, since it was last asked. The entry
-		// asks again when it gets this refusal, and must then hear of it.
+		s.reportCrashTo(ctx, id, to)
+	case err != nil && targetChanged(err):
+		// The engine has changed its state, or exited, since the last poll. The entry
+		// queries the state again on this error and must then get the new one.
 		s.probe(ctx)
 	}
 
-	event.Log(s.cfg.Log, event.RunEnded, "request_id", m.RequestID, "tokens", r.index, "cached_tokens", r.usage.Details.CachedTokens,
-		"imported_blocks", r.imported, "first_token_ms", r.first.Milliseconds(), "took_ms", time.Since(now).Milliseconds(), "outcome", outcome(err))
+	event.Log(s.cfg.Log, event.RunEnded, "request_id", m.RequestID, "tokens", r.nextIndex, "cached_tokens", r.usage.Details.CachedTokens,
+		"imported_blocks", r.importedBlocks, "first_token_ms", r.firstTokenTime.Milliseconds(), "took_ms", time.Since(now).Milliseconds(), "outcome", outcome(err))
 
 	if err != nil {
 		return err
@@ -95,30 +95,30 @@
 
 	r.offerPark()
 
-	return r.done()
+	return r.sendDone()
 }
 
-// isolatePause is the time between two looks whether a suspect may run.
-const isolatePause = 20 * time.Millisecond
+// isolationPollInterval is the time between two checks whether a suspect may run.
+const isolationPollInterval = 20 * time.Millisecond
 
-// isolate waits until no other suspect runs on the target. When an engine dies,
-// all that ran on it are suspects, and most of them are in the middle of an
-// answer that somebody reads: they wait for their turn rather than fail.
+// isolate waits until no other suspect runs on the target. After an engine has crashed,
+// all requests that ran on it are suspects, and callers are reading most of their
+// responses: suspects wait in turn rather than fail.
 func (s *Side) isolate(ctx context.Context, f quarantine.Fingerprint) error {
 	for !s.isolation.Begin(f) {
-		pause.For(ctx, isolatePause)
+		pause.For(ctx, isolationPollInterval)
 
 		if ctx.Err() != nil {
-			return failure.New(failure.QueueFull, "other requests under suspicion are running").After(time.Second)
+			return failure.New(failure.QueueFull, "another suspected request is running").After(time.Second)
 		}
 	}
 
 	return nil
 }
 
-// stale reports whether a refusal shows that this process was wrong about its
-// target.
-func stale(err error) bool {
+// targetChanged reports whether an error shows that the recorded state of the target is
+// out of date.
+func targetChanged(err error) bool {
 	kind := failure.KindOf(err)
 
 	return kind == failure.WrongVersion || kind == failure.NotReady
@@ -136,40 +136,40 @@
 	return prompt.Scope{Salt: r.Salt, Model: r.Model, Version: r.Version, Adapter: r.Adapter}
 }
 
-// prepare finds out what the engine holds of the prompt and imports a copy where
-// that brings more. A copy that can't be used only costs the time of the attempt.
-func (r *run) prepare(ctx context.Context) {
-	r.chain = r.scope().Chain(r.Prompt, r.s.guard.engineInfo().BlockTokens)
-	warm := r.s.held.prefix(r.chain)
+// importCopy looks up how much of the prompt is cached and imports a copy if one has more
+// blocks. A copy that can't be used costs only the time of the attempt.
+func (r *run) importCopy(ctx context.Context) {
+	r.chain = r.scope().Chain(r.Prompt, r.side.target.engineInfo().BlockTokens)
+	warmBlocks := r.side.cache.prefix(r.chain)
 
 	for _, c := range r.Copies {
-		if c.Version != r.Version || min(c.Blocks, len(r.chain)) <= warm {
+		if c.Version != r.Version || min(c.Blocks, len(r.chain)) <= warmBlocks {
 			continue
 		}
 
-		err := r.fetch(ctx, c, warm)
+		err := r.fetch(ctx, c, warmBlocks)
 		if err == nil {
 			break
 		}
 
-		event.Fail(r.s.cfg.Log, err, event.CopyRejected, "request_id", r.RequestID, "store", c.Holder, "copy", c.Copy)
-		r.reportGone(c, err)
+		event.Fail(r.side.cfg.Log, err, event.CopyRejected, "request_id", r.RequestID, "store", c.Holder, "copy", c.Copy)
+		r.reportTornCopy(c, err)
 	}
 
-	event.Log(r.s.cfg.Log, event.RunAdmitted, "request_id", r.RequestID, "organisation", r.Organisation, "blocks", len(r.chain),
-		"warm_blocks", warm, "imported_blocks", r.imported, "weight_version", r.Version)
+	event.Log(r.side.cfg.Log, event.RunAdmitted, "request_id", r.RequestID, "organisation", r.Organisation, "blocks", len(r.chain),
+		"warm_blocks", warmBlocks, "imported_blocks", r.importedBlocks, "weight_version", r.Version)
 }
 
-// reportGone tells the owner of a copy that can't be used, so that nobody is sent to
-// it again. A store that only does not answer keeps its copies.
-func (r *run) reportGone(c message.Holding, err error) {
+// reportTornCopy reports an unusable copy to the anchor's owner, so that it is not offered
+// again. Copies in a store that only does not respond stay listed.
+func (r *run) reportTornCopy(c message.Holding, err error) {
 	if failure.KindOf(err) == failure.TornCopy {
-		r.s.tellOwner(r.Anchor, message.Learn{Anchor: r.Anchor, Holding: c, Gone: true})
+		r.side.reportToOwner(r.Anchor, message.Learn{Anchor: r.Anchor, Holding: c, Gone: true})
 	}
 }
 
-// header says what a copy of chain must be of.
-func (r *run) header(id string, chain prompt.Chain) store.Header {
+// copyHeader returns the header that a copy of chain must have.
+func (r *run) copyHeader(id string, chain prompt.Chain) store.Header {
 	return store.Header{
 		ID:           id,
 		Organisation: r.Organisation,
@@ -180,9 +180,9 @@
 	}
 }
 
-// complete runs the prompt and passes each token on. Each run has a connection of its own:
-// an engine that stops in order closes those that it holds to be idle, also while the
-// next run is on its way there, which looks as if the engine had died of it.
+// complete runs the prompt and passes each token on. Each run has its own connection: an
+// engine that shuts down gracefully closes idle connections, also while the next run is
+// being sent on one, which would look like a crash.
 func (r *run) complete(ctx context.Context) error {
 	q := engine.Completion{
 		Sampling:      r.Sampling,
@@ -197,38 +197,38 @@
 		ResumeText:    r.Resume,
 	}
 
-	ctx, r.dog = newWatchdog(ctx, r.s.cfg.FirstSilence)
-	defer r.dog.stop()
+	ctx, r.watchdog = newWatchdog(ctx, r.side.cfg.FirstTokenTimeout)
+	defer r.watchdog.stop()
 
-	err := notGiven(r.s.runs.Complete(r.s.giving(ctx, r.id), q, r.take))
-	if err != nil && r.dog.barked() {
-		return failure.Wrap(failure.TargetLost, err, "the engine's connection fell silent")
+	err := notReadyIfRefused(r.side.runEngine.Complete(r.side.traceSent(ctx, r.id), q, r.onPiece))
+	if err != nil && r.watchdog.expired() {
+		return failure.Wrap(failure.TargetLost, err, "the engine sent no token in time")
 	}
 
 	if err == nil {
-		err = r.count()
+		err = r.checkTokenCount()
 	}
 
 	return err
 }
 
-// count compares the engine's own number of tokens with those that were passed
-// on. A piece that was lost or came twice on its way leaves an answer that looks
-// whole, and a caller would read it with a hole. What was passed on can't be
-// mended by going on elsewhere, so this is no kind that is repeated.
-func (r *run) count() error {
-	if n := r.usage.CompletionTokens; n != r.index {
-		return failure.New(failure.Internal, "the engine's answer has %d tokens, and %d came", n, r.index)
+// checkTokenCount compares the engine's own token count with the tokens that were passed
+// on. If a token is lost or duplicated in transit, the response looks complete but is
+// wrong. Tokens that were passed on can't be corrected by resuming on another engine, so
+// the failure kind is one that is not retried.
+func (r *run) checkTokenCount() error {
+	if n := r.usage.CompletionTokens; n != r.nextIndex {
+		return failure.New(failure.Internal, "the engine's response has %d tokens, but %d were received", n, r.nextIndex)
 	}
 
 	return nil
 }
 
-func (r *run) take(p engine.Piece) error {
-	r.dog.heard(r.s.cfg.TokenSilence)
+func (r *run) onPiece(p engine.Piece) error {
+	r.watchdog.reset(r.side.cfg.TokenTimeout)
 
 	if p.Finish != "" {
-		r.finish = p.Finish
+		r.finishReason = p.Finish
 		r.usage = p.Usage
 	}
 
@@ -236,24 +236,24 @@
 		return nil
 	}
 
-	if r.first == 0 {
-		r.first = time.Since(r.began)
+	if r.firstTokenTime == 0 {
+		r.firstTokenTime = time.Since(r.startedAt)
 	}
 
-	t := message.Token{Index: r.index, Text: p.Text}
-	r.index++
+	t := message.Token{Index: r.nextIndex, Text: p.Text}
+	r.nextIndex++
 	r.text = append(r.text, p.Text...)
 
-	return r.to.Send(t)
+	return r.stream.Send(t)
 }
 
-func (r *run) done() error {
-	return r.to.Send(message.Done{
-		Tokens:         r.index,
-		Finish:         r.finish,
+func (r *run) sendDone() error {
+	return r.stream.Send(message.Done{
+		Tokens:         r.nextIndex,
+		Finish:         r.finishReason,
 		PromptTokens:   r.usage.PromptTokens,
 		CachedTokens:   r.usage.Details.CachedTokens,
-		ImportedTokens: r.imported * r.s.guard.engineInfo().BlockTokens,
-		Load:           r.s.guard.currentLoad(time.Now()),
+		ImportedTokens: r.importedBlocks * r.side.target.engineInfo().BlockTokens,
+		Load:           r.side.target.currentLoad(time.Now()),
 	})
 }
--- a/side/side.go
+++ b/side/side.go
@@ -1,24 +1,25 @@
-// Package side is the process beside each target: the guard of what the target
-// is given and the checkCrash of what it does.
+// Package side implements the side process, which runs beside each target. It
+// admits the requests for the target and reports the target's state and crashes.
 //
 // # Model
 //
-// Entries route by beliefs that are late. The side process is where belief ends:
-// it admits or refuses at first hand, checks that the target holds the weight
-// version that a run asks for, follows the cache events, verifies every copy
-// before the engine gets it, and tells the entries when its target crashed and
-// what ran then.
+// Entries route by state that may be out of date. The side process decides with
+// the target's own state: it admits or refuses requests, checks that the target
+// has loaded the weight version that a run requires, tracks the engine's cache
+// by its events, verifies every copy before it is imported, and reports a crash
+// of the target to the entries with the requests that were running.
 //
-// # Duties
+// # Goroutines
 //
-// Each runs in a goroutine of its own; rings join them:
+// Each of these loops runs in its own goroutine; they pass work on through ring
+// buffers:
 //
-//	watch    asks the target how it is, notices a new boot
-//	events   follows the engine's cache events
-//	park     exports contexts and seals them in stores
-//	report   tells entries of copies and crashes
+//	pollTarget      polls the target's state and detects a new boot
+//	followEvents    applies the engine's cache events
+//	exportContexts  exports contexts and writes them to stores as sealed copies
+//	deliverReports  reports copies and crashes to entries
 //
-// Conversations from entries come through Handle, each in its own goroutine.
+// Handle serves the streams that peers open, each in its own goroutine.
 package side
 
 import (
@@ -43,13 +44,13 @@
 	"boragehub/vm"
 )
 
-// Sizes of the rings between duties.
+// Capacities of the ring buffers between the loops, in items.
 const (
-	parkRing   = 64
-	reportRing = 256
+	parkQueueSize   = 64
+	reportQueueSize = 256
 )
 
-// entryRole is the role that a peer's certificate must bear to give work.
+// entryRole is the role that a peer's certificate must have to send work.
 const entryRole = "entry"
 
 // Claims records the runs of non-idempotent calls; see package claim.
@@ -58,184 +59,186 @@
 	Settle(ctx context.Context, t claim.Ticket, o claim.Outcome) error
 	Withdraw(ctx context.Context, t claim.Ticket) error
 	Lose(ctx context.Context, t claim.Ticket) error
-	// Homes returns the shards whose home this process is.
+	// Homes returns the claim shards whose home is this process.
 	Homes() []int
 }
 
-// Opener opens conversations with peers; *peer.Dialer is one.
+// Opener sends requests to peers; *peer.Dialer implements it.
 type Opener interface {
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
-// Lister knows the platform's list of VMs; *vm.Follower is one.
+// Lister returns the platform's list of VMs; *vm.Follower implements it.
 type Lister interface {
 	List() *vm.List
 }
 
-// Config says what a side process guards.
+// Config configures a side process and its target.
 type Config struct {
-	// VM and DataCentre are where it runs.
+	// VM and DataCentre are the names of the VM and data centre that it runs in.
 	VM         string
 	DataCentre string
-	// Service is what the target serves.
+	// Service is the name of the service that the target provides.
 	Service string
-	// Plain says that the target is a plain service and not an engine.
+	// Plain is true if the target is a plain service and not an engine.
 	Plain bool
 	// Address is the target's IP and port.
 	Address string
-	// MaxWaiting is how many requests may be admitted beyond those that the
-	// target runs at once; zero is DefaultMaxWaiting.
+	// MaxWaiting is the maximum number of requests admitted beyond those that the
+	// target runs concurrently; zero means DefaultMaxWaiting.
 	MaxWaiting int
-	// FirstSilence is how long the engine may be silent before a first token, and
-	// TokenSilence between two; zero is DefaultFirstSilence and DefaultTokenSilence.
-	FirstSilence time.Duration
-	TokenSilence time.Duration
-	// DrainTimeout is how long a planned stop waits for what runs.
+	// FirstTokenTimeout is the maximum time until the first token of a run, and
+	// TokenTimeout between two tokens; zero means DefaultFirstTokenTimeout and
+	// DefaultTokenTimeout.
+	FirstTokenTimeout time.Duration
+	TokenTimeout      time.Duration
+	// DrainTimeout is the maximum time that Drain waits for requests in flight.
 	DrainTimeout time.Duration
-	// Settings are passed on to other processes.
+	// Settings answers other processes' requests for settings.
 	Settings exchange.Keeper
-	// Claims records non-idempotent calls; nil refuses them.
+	// Claims records non-idempotent calls; if nil, such calls are refused.
 	Claims Claims
-	// Post puts a crash into the log; nil does nothing.
+	// Post appends a crash to the log; nil means that crashes are not logged.
 	Post func(quarantine.Crash)
-	// Peers opens conversations with entries.
+	// Peers sends reports to entries.
 	Peers Opener
-	// VMs knows the entries and stores.
+	// VMs lists the entries and stores.
 	VMs Lister
-	// Views are documents for operators.
+	// Views are the documents that operators can query.
 	Views []operator.View
-	// Log gets a line for each decision.
+	// Log receives one line for each decision.
 	Log logr.Logger
 }
 
-// Defaults of Config. A prompt may wait long for its first token, behind others
-// and for its own prefill; after it, tokens come every few hundredths of a second.
+// Defaults of Config. The first token may take long because the prompt waits in
+// the queue and is prefilled first; later tokens arrive every few hundredths of
+// a second.
 const (
-	DefaultMaxWaiting   = 64
-	DefaultFirstSilence = time.Minute
-	DefaultTokenSilence = 3 * time.Second
+	DefaultMaxWaiting        = 64
+	DefaultFirstTokenTimeout = time.Minute
+	DefaultTokenTimeout      = 3 * time.Second
 )
 
-// Side is a side process. Use New.
+// Side is a side process. Create it with New.
 type Side struct {
 	cfg       Config
 	engine    engine.Client
-	runs      engine.Client // the same engine, with a connection for each run
-	plain     *http.Client
-	stores    *http.Client
-	rooming   *http.Client
-	guard     *guard
-	held      *held
-	parks     *ring.Ring[parkJob]
+	runEngine engine.Client // the same engine, with a connection for each run
+	plainHTTP *http.Client
+	storeHTTP *http.Client
+	spaceHTTP *http.Client
+	target    *targetState
+	cache     *cacheIndex
+	parkJobs  *ring.Ring[parkJob]
 	reports   *ring.Ring[report]
-	parked    *parkedSet
+	parked    *parkedContexts
 	isolation quarantine.Isolation
-	orders    orders
+	orders    orderState
 
-	ordering sync.Mutex // one order at a time reaches the engine
+	orderMu sync.Mutex // one order at a time reaches the engine
 }
 
-// storeTimeout bounds the transfer of one copy, roomTimeout the question for a
-// store's room.
+// storeTimeout bounds the transfer of one copy, spaceTimeout a query for a store's
+// free space.
 const (
 	storeTimeout = 30 * time.Second
-	roomTimeout  = time.Second
+	spaceTimeout = time.Second
 )
 
-// engineConnections is how many idle connections to the engine are kept.
-const engineConnections = 256
+// maxIdleEngineConns is the maximum number of idle connections to the engine.
+const maxIdleEngineConns = 256
 
-// New returns a Side that has not seen its target yet.
+// New returns a Side that has not contacted its target yet.
 func New(cfg Config) *Side {
 	if cfg.MaxWaiting <= 0 {
 		cfg.MaxWaiting = DefaultMaxWaiting
 	}
 
-	if cfg.FirstSilence <= 0 {
-		cfg.FirstSilence = DefaultFirstSilence
+	if cfg.FirstTokenTimeout <= 0 {
+		cfg.FirstTokenTimeout = DefaultFirstTokenTimeout
 	}
 
-	if cfg.TokenSilence <= 0 {
-		cfg.TokenSilence = DefaultTokenSilence
+	if cfg.TokenTimeout <= 0 {
+		cfg.TokenTimeout = DefaultTokenTimeout
 	}
 
 	return &Side{
-		cfg:     cfg,
-		engine:  engine.Client{Address: cfg.Address, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: engineConnections}}},
-		runs:    engine.Client{Address: cfg.Address, HTTP: once.NewClient()},
-		plain:   once.NewClient(),
-		stores:  &http.Client{Timeout: storeTimeout, Transport: &http.Transport{}},
-		rooming: &http.Client{Timeout: roomTimeout, Transport: &http.Transport{}},
-		guard:   newGuard(cfg.MaxWaiting),
-		held:    newHeld(),
-		parks:   ring.New[parkJob](parkRing),
-		reports: ring.New[report](reportRing),
-		parked:  newParkedSet(),
+		cfg:       cfg,
+		engine:    engine.Client{Address: cfg.Address, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns}}},
+		runEngine: engine.Client{Address: cfg.Address, HTTP: once.NewClient()},
+		plainHTTP: once.NewClient(),
+		storeHTTP: &http.Client{Timeout: storeTimeout, Transport: &http.Transport{}},
+		spaceHTTP: &http.Client{Timeout: spaceTimeout, Transport: &http.Transport{}},
+		target:    newTargetState(cfg.MaxWaiting),
+		cache:     newCacheIndex(),
+		parkJobs:  ring.New[parkJob](parkQueueSize),
+		reports:   ring.New[report](reportQueueSize),
+		parked:    newParkedContexts(),
 	}
 }
 
-// Run does the duties until ctx ends.
+// Run runs the background loops until ctx ends.
 func (s *Side) Run(ctx context.Context) {
-	duties := []func(context.Context){s.watch, s.report}
+	loops := []func(context.Context){s.pollTarget, s.deliverReports}
 	if !s.cfg.Plain {
-		duties = append(duties, s.followEvents, s.park)
+		loops = append(loops, s.followEvents, s.exportContexts)
 	}
 
 	var all sync.WaitGroup
 
-	for _, duty := range duties {
-		all.Go(func() { duty(ctx) })
+	for _, loop := range loops {
+		all.Go(func() { loop(ctx) })
 	}
 
 	all.Wait()
 }
 
-// Ready reports whether new work is taken.
-func (s *Side) Ready() bool { return s.guard.ready() }
+// Ready reports whether new requests are admitted.
+func (s *Side) Ready() bool { return s.target.ready() }
 
-// Drain refuses new work at once and waits until nothing runs, the drain
-// timeout passes or ctx ends.
+// Drain refuses new requests at once and waits until none is in flight, the
+// drain timeout elapses or ctx ends.
 func (s *Side) Drain(ctx context.Context) {
-	event.Log(s.cfg.Log, event.DrainBegan, "running", s.guard.count())
-	s.guard.drain()
+	event.Log(s.cfg.Log, event.DrainBegan, "running", s.target.activeCount())
+	s.target.startDrain()
 
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.DrainTimeout)
 	defer cancel()
 
-	s.guard.wait(ctx)
-	event.Log(s.cfg.Log, event.DrainEnded, "running", s.guard.count())
+	s.target.waitIdle(ctx)
+	event.Log(s.cfg.Log, event.DrainEnded, "running", s.target.activeCount())
 }
 
-// Handle answers one conversation of an entry.
+// Handle answers the message on a stream that a peer opened.
 func (s *Side) Handle(ctx context.Context, from peer.Identity, t *peer.Stream) {
 	m, err := t.Receive()
 	if err != nil {
 		return
 	}
 
-	if givesWork(m) && from.Role != entryRole {
-		peer.Refuse(t, failure.New(failure.Forbidden, "role %q gives no work", from.Role))
+	if isEntryOnly(m) && from.Role != entryRole {
+		peer.Refuse(t, failure.New(failure.Forbidden, "role %q may not send work", from.Role))
 
 		return
 	}
 
-	// The run ends with the conversation: an entry that cancels or is gone has
-	// nobody left to answer.
+	// The request is cancelled with the stream: once the entry has cancelled or
+	// disconnected, nobody receives the response.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	stop := context.AfterFunc(t.Context(), cancel) //nolint:contextcheck // the peer's end of it
+	stop := context.AfterFunc(t.Context(), cancel) //nolint:contextcheck // the stream's context ends when the peer closes it
 	defer stop()
 
 	switch m := m.(type) {
 	case message.Ask:
-		err = t.Send(s.state(time.Now()))
+		err = t.Send(s.stateMessage(time.Now()))
 	case message.Run:
-		err = s.run(ctx, t, m)
+		err = s.handleRun(ctx, t, m)
 	case message.Call:
-		err = s.call(ctx, t, m)
+		err = s.handleCall(ctx, t, m)
 	case message.Order:
-		err = s.order(ctx, t, m)
+		err = s.handleOrder(ctx, t, m)
 	default:
 		answers := operator.Responder{Settings: s.cfg.Settings, Views: s.cfg.Views}
 		err = t.Send(answers.Answer(time.Now(), from, m))
@@ -246,8 +249,8 @@
 	}
 }
 
-// givesWork reports whether only an entry may send m.
-func givesWork(m message.Message) bool {
+// isEntryOnly reports whether m is work, which only an entry may send.
+func isEntryOnly(m message.Message) bool {
 	switch m.(type) {
 	case message.Run, message.Call, message.Order:
 		return true
@@ -256,13 +259,13 @@
 	}
 }
 
-// state describes the target at first hand.
-func (s *Side) state(now time.Time) message.State {
-	st := s.guard.state(now)
+// stateMessage returns the current state of the target, as sent to entries.
+func (s *Side) stateMessage(now time.Time) message.State {
+	st := s.target.stateMessage(now)
 	st.VM = s.cfg.VM
 	st.Service = s.cfg.Service
 
-	s.orders.describe(now, &st)
+	s.orders.fillState(now, &st)
 
 	if s.cfg.Claims != nil {
 		st.Homes = s.cfg.Claims.Homes()
--- a/side/verdict.go
+++ b/side/verdict.go
@@ -8,90 +8,92 @@
 	"boragehub/socket"
 )
 
-// flight is a request that was admitted.
-type flight struct {
+// request is an admitted request.
+type request struct {
 	fingerprint quarantine.Fingerprint
 	boot        string
-	conn        net.Conn  // by which the target has it; nil before, when it can't be what the target dies of
-	lost        time.Time // when its connection broke; zero before
-	unasked     bool      // nobody waits for its verdict any more
+	conn        net.Conn  // connection to the target; nil until the request is sent
+	lostAt      time.Time // when its connection broke; zero before
+	abandoned   bool      // no caller waits for its crashResult any more
 }
 
-// verdict is what is concluded of requests that were lost together: what ran on a boot as
-// it died, or nothing when the target lived on.
-type verdict struct {
+// crashResult is the result for requests that were lost together: the requests that
+// ran on a boot when it crashed, or the zero value if the target did not crash.
+type crashResult struct {
 	boot    string
 	running []quarantine.Fingerprint
 }
 
 const (
-	// settled is how long after a connection broke the others of a target that died have been
-	// closed as well: the system closes them one after the other.
-	settled = 5 * time.Millisecond
-	// unreadTime is how long after a connection broke it is waited until those that hold
-	// unread bytes show whether they are open.
-	unreadTime = 500 * time.Millisecond
+	// connCloseDelay is the time within which, after one connection to a crashed target
+	// broke, the others have been closed as well: the kernel closes them one by one.
+	connCloseDelay = 5 * time.Millisecond
+	// unreadTimeout is the maximum wait, after a connection broke, for other connections
+	// with unread bytes to show whether they are still open.
+	unreadTimeout = 500 * time.Millisecond
 )
 
-// acquit judges what was lost with the present boot, which lives on. The caller holds mu.
-func (g *guard) acquit() {
-	for id, f := range g.inFlight {
-		if !f.lost.IsZero() && f.boot == g.boot() {
-			g.judge(id, verdict{})
+// resolveSurvived clears the requests that were lost on the current boot, which has
+// just responded and so did not crash. The caller holds mu.
+func (t *targetState) resolveSurvived() {
+	for id, r := range t.inFlight {
+		if !r.lostAt.IsZero() && r.boot == t.bootID() {
+			t.resolve(id, crashResult{})
 		}
 	}
 }
 
-// convict judges requests that were lost with a target whose port is closed, or that has
-// another boot. The caller holds mu.
-func (g *guard) convict(now time.Time) []verdict {
+// resolveDown resolves the requests that were lost on a target which refuses
+// connections, or which now reports another boot. It returns the crashes found.
+// Requests for which it is too early to tell stay unresolved. The caller holds mu.
+func (t *targetState) resolveDown(now time.Time) []crashResult {
 	lost := map[string][]uint64{}
 
-	for id, f := range g.inFlight {
-		if f.lost.IsZero() || f.conn != nil && now.Sub(f.lost) < settled {
+	for id, r := range t.inFlight {
+		if r.lostAt.IsZero() || r.conn != nil && now.Sub(r.lostAt) < connCloseDelay {
 			continue
 		}
 
-		switch others := g.others(f.boot); {
-		case f.conn == nil, others == socket.Quiet:
-			g.judge(id, verdict{})
-		case others == socket.Ended, now.Sub(f.lost) >= unreadTime:
-			lost[f.boot] = append(lost[f.boot], id)
+		switch conns := t.otherConns(r.boot); {
+		case r.conn == nil, conns == socket.Quiet:
+			t.resolve(id, crashResult{})
+		case conns == socket.Ended, now.Sub(r.lostAt) >= unreadTimeout:
+			lost[r.boot] = append(lost[r.boot], id)
 		}
 	}
 
-	verdicts := make([]verdict, 0, len(lost))
+	results := make([]crashResult, 0, len(lost))
 
 	for boot, ids := range lost {
-		v := verdict{boot: boot}
+		result := crashResult{boot: boot}
 		for _, id := range ids {
-			v.running = append(v.running, g.inFlight[id].fingerprint)
+			result.running = append(result.running, t.inFlight[id].fingerprint)
 		}
 
 		for _, id := range ids {
-			g.judge(id, v)
+			t.resolve(id, result)
 		}
 
-		verdicts = append(verdicts, v)
+		results = append(results, result)
 	}
 
-	return verdicts
+	return results
 }
 
-// others tells of the connections that a boot's requests still use: Quiet if one is open,
-// and Unread if bytes have to be read before that is known. A target that stops in order
-// closes its port and may drop what has just arrived, but ends what runs; one that dies
-// leaves no connection open. Without this, what was dropped counts as what brought the
-// target down. The caller holds mu.
-func (g *guard) others(boot string) socket.State {
+// otherConns returns the state of the connections of a boot's requests in flight: Quiet
+// if one is open, Unread if that is known only after reading bytes, otherwise Ended. A
+// target that shuts down gracefully closes its port and may drop requests that have just
+// arrived, but completes the running ones; a crash leaves no connection open. Without
+// this check a dropped request would be held responsible for a crash. The caller holds mu.
+func (t *targetState) otherConns(boot string) socket.State {
 	state := socket.Ended
 
-	for _, f := range g.inFlight {
-		if !f.lost.IsZero() || f.conn == nil || f.boot != boot {
+	for _, r := range t.inFlight {
+		if !r.lostAt.IsZero() || r.conn == nil || r.boot != boot {
 			continue
 		}
 
-		switch socket.Peek(f.conn) {
+		switch socket.Peek(r.conn) {
 		case socket.Quiet:
 			return socket.Quiet
 		case socket.Unread:
@@ -103,34 +105,37 @@
 	return state
 }
 
-// judge takes a lost request off the books. The caller holds mu.
-func (g *guard) judge(id uint64, v verdict) {
-	if !g.inFlight[id].unasked {
-		g.judged[id] = v
+// resolve stores the result of a lost request, unless it was abandoned, and removes the
+// request. The caller holds mu.
+func (t *targetState) resolve(id uint64, result crashResult) {
+	if !t.inFlight[id].abandoned {
+		t.results[id] = result
 	}
 
-	delete(g.inFlight, id)
+	delete(t.inFlight, id)
 }
 
-// verdict returns what was concluded of a lost request, once.
-func (g *guard) verdict(id uint64) (v verdict, judged bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// takeResult returns and removes the result of a lost request; resolved is false if there
+// is none yet.
+func (t *targetState) takeResult(id uint64) (result crashResult, resolved bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	v, judged = g.judged[id]
-	delete(g.judged, id)
+	result, resolved = t.results[id]
+	delete(t.results, id)
 
-	return v, judged
+	return result, resolved
 }
 
-// abandon ends the wait for a verdict. The request stays on the books for the watch.
-func (g *guard) abandon(id uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// abandon ends the wait for a lost request's result. The request is kept until a later
+// poll resolves it.
+func (t *targetState) abandon(id uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	delete(g.judged, id)
+	delete(t.results, id)
 
-	if f := g.inFlight[id]; f != nil {
-		f.unasked = true
+	if r := t.inFlight[id]; r != nil {
+		r.abandoned = true
 	}
 }
--- a/side/verdict_test.go
+++ b/side/verdict_test.go
@@ -10,7 +10,7 @@
 	"boragehub/quarantine"
 )
 
-// pair returns both ends of a connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 
@@ -36,79 +36,79 @@
 	return near, far
 }
 
-// A run is lost and the engine's port is closed. If the engine died, the run may have
-// brought it down, and has to be kept from a third engine. If it stops in order, other
-// runs there go on, and blaming this one would keep its rider waiting for nothing.
+// A run is lost and the engine refuses connections. If the engine crashed, the run may be
+// the cause and must be kept from a third engine. If the engine shuts down gracefully,
+// other runs continue there, and the lost run must not be quarantined.
 func TestLostRunIsJudgedByTheOthers(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	lost, other := quarantine.Of("desk", []byte("lost")), quarantine.Of("desk", []byte("other"))
 	tests := []struct {
-		name  string
-		given bool               // whether the lost run had a connection
-		other func(far net.Conn) // what the engine does to the other run's connection; nil for no other run
-		after time.Duration
-		want  []quarantine.Fingerprint
-		still bool // nothing is concluded yet
+		name    string
+		sent    bool               // whether the lost run had a connection
+		other   func(far net.Conn) // what the engine does to the other run's connection; nil for no other run
+		after   time.Duration
+		want    []quarantine.Fingerprint
+		pending bool // the lost run is not resolved yet
 	}{
-		{"alone", true, nil, settled, []quarantine.Fingerprint{lost}, false},
-		{"alone, too soon to tell", true, nil, settled - 1, nil, true},
-		{"never given", false, nil, 0, nil, false},
-		{"another goes on", true, func(net.Conn) {}, settled, nil, false},
-		{"another has ended too", true, func(far net.Conn) { _ = far.Close() }, settled, []quarantine.Fingerprint{lost}, false},
-		{"another has unread bytes", true, func(far net.Conn) { _, _ = far.Write([]byte("x")) }, settled, nil, true},
-		{"another has unread bytes for long", true, func(far net.Conn) { _, _ = far.Write([]byte("x")) }, unreadTime, []quarantine.Fingerprint{lost}, false},
+		{"alone", true, nil, connCloseDelay, []quarantine.Fingerprint{lost}, false},
+		{"alone, too soon to tell", true, nil, connCloseDelay - 1, nil, true},
+		{"never sent", false, nil, 0, nil, false},
+		{"another continues", true, func(net.Conn) {}, connCloseDelay, nil, false},
+		{"another has ended too", true, func(far net.Conn) { _ = far.Close() }, connCloseDelay, []quarantine.Fingerprint{lost}, false},
+		{"another has unread bytes", true, func(far net.Conn) { _, _ = far.Write([]byte("x")) }, connCloseDelay, nil, true},
+		{"another has unread bytes until the timeout", true, func(far net.Conn) { _, _ = far.Write([]byte("x")) }, unreadTimeout, []quarantine.Fingerprint{lost}, false},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGuard(10)
-			g.observe(t0, engine.Info{State: "ready", BootID: "b"}, engine.Load{})
+			s := newTargetState(10)
+			s.observe(t0, engine.Info{State: "ready", BootID: "b"}, engine.Load{})
 
-			id, err := g.enter(lost, "")
+			id, err := s.admit(lost, "")
 			if err != nil {
 				t.Fatal(err)
 			}
 
-			if tt.given {
+			if tt.sent {
 				near, _ := pair(t)
-				g.give(id, near)
+				s.markSent(id, near)
 			}
 
 			if tt.other != nil {
-				i, err := g.enter(other, "")
+				i, err := s.admit(other, "")
 				if err != nil {
 					t.Fatal(err)
 				}
 
 				near, far := pair(t)
-				g.give(i, near)
+				s.markSent(i, near)
 				tt.other(far)
 				await(t)
 			}
 
-			g.leave(t0, id, true)
+			s.finish(t0, id, true)
 
 			var got []quarantine.Fingerprint
 
-			_, crashes := g.died(t0.Add(tt.after))
-			for _, v := range crashes {
-				got = append(got, v.running...)
+			_, crashes := s.observeDown(t0.Add(tt.after))
+			for _, c := range crashes {
+				got = append(got, c.running...)
 			}
 
 			if !slices.Equal(got, tt.want) {
-				t.Errorf("got %x blamed, want %x", got, tt.want)
+				t.Errorf("got %x as suspects, want %x", got, tt.want)
 			}
 
-			v, judged := g.verdict(id)
-			if judged == tt.still || !slices.Equal(v.running, tt.want) {
-				t.Errorf("got %x, judged %v, want %x, %v", v.running, judged, tt.want, !tt.still)
+			result, resolved := s.takeResult(id)
+			if resolved == tt.pending || !slices.Equal(result.running, tt.want) {
+				t.Errorf("got %x, resolved %v, want %x, %v", result.running, resolved, tt.want, !tt.pending)
 			}
 		})
 	}
 }
 
-// await waits until what the far end did has arrived, which it has on one machine once
-// something that was done later has.
+// await waits until the far end's last action has arrived: on one machine it has once
+// data sent later on another connection has.
 func await(t *testing.T) {
 	t.Helper()
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// The engine answers as the same start as before: it lived on, and nobody is blamed. With
-// another start, whoever was lost with the one before is.
+// If the engine then responds with the same boot id it did not crash, and nothing is
+// suspected. With another boot id the lost request is.
 func TestLostRunIsJudgedByTheNextStart(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 
@@ -132,24 +132,24 @@
 		boot string
 		want int
 	}{{"b", 0}, {"c", 1}} {
-		g := newGuard(10)
-		g.observe(t0, engine.Info{State: "ready", BootID: "b"}, engine.Load{})
+		s := newTargetState(10)
+		s.observe(t0, engine.Info{State: "ready", BootID: "b"}, engine.Load{})
 
-		id, err := g.enter(quarantine.Of("desk", nil), "")
+		id, err := s.admit(quarantine.Of("desk", nil), "")
 		if err != nil {
 			t.Fatal(err)
 		}
 
 		near, _ := pair(t)
-		g.give(id, near)
-		g.leave(t0, id, true)
+		s.markSent(id, near)
+		s.finish(t0, id, true)
 
-		if _, crashes := g.observe(t0.Add(settled), engine.Info{State: "ready", BootID: tt.boot}, engine.Load{}); len(crashes) != tt.want {
+		if _, crashes := s.observe(t0.Add(connCloseDelay), engine.Info{State: "ready", BootID: tt.boot}, engine.Load{}); len(crashes) != tt.want {
 			t.Errorf("boot %s: got %d crashes, want %d", tt.boot, len(crashes), tt.want)
 		}
 
-		if _, judged := g.verdict(id); !judged {
-			t.Errorf("boot %s: got no verdict", tt.boot)
+		if _, resolved := s.takeResult(id); !resolved {
+			t.Errorf("boot %s: got no result", tt.boot)
 		}
 	}
 }
--- a/side/watchdog.go
+++ b/side/watchdog.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// watchdog ends a context when nothing is heard for too long. The connection to
-// an engine can fall silent for good in the middle of an answer: nothing fails,
-// the beats to the entry go on, and the caller would wait until its timeout.
+// watchdog cancels a context after a time without a token. The connection to an engine
+// can stall in the middle of a response without an error, while heartbeats to the entry
+// continue; the caller would then wait until its timeout.
 type watchdog struct {
-	timer *time.Timer
-	bark  atomic.Bool
-	end   context.CancelFunc
+	timer  *time.Timer
+	fired  atomic.Bool
+	cancel context.CancelFunc
 }
 
-// newWatchdog returns a context that ends with ctx, or when the watchdog has not
-// heard anything for the given time.
+// newWatchdog returns a context that ends with ctx, or when the watchdog was not reset
+// for the given time.
 func newWatchdog(ctx context.Context, silence time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancel(ctx)
-	d := &watchdog{end: cancel}
+	d := &watchdog{cancel: cancel}
 	d.timer = time.AfterFunc(silence, func() {
-		d.bark.Store(true)
+		d.fired.Store(true)
 		cancel()
 	})
 
 	return ctx, d
 }
 
-// heard gives it so long again.
-func (d *watchdog) heard(silence time.Duration) { d.timer.Reset(silence) }
+// reset restarts the timer with the given time.
+func (d *watchdog) reset(silence time.Duration) { d.timer.Reset(silence) }
 
-// barked reports whether it ended the context.
-func (d *watchdog) barked() bool { return d.bark.Load() }
+// expired reports whether the watchdog cancelled the context.
+func (d *watchdog) expired() bool { return d.fired.Load() }
 
-// stop ends its work and the context.
+// stop stops the timer and cancels the context.
 func (d *watchdog) stop() {
 	d.timer.Stop()
-	d.end()
+	d.cancel()
 }
