--- a/drain/answer.go
+++ b/drain/answer.go
@@ -5,50 +5,51 @@
 	"strconv"
 )
 
-// answer answers one request and tells its caller how long its connection is of use.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
-	m := &marked{ResponseWriter: w, server: s}
-	s.cfg.Handler.ServeHTTP(m, r)
-	m.mark()
+// serveHTTP serves one request; its response announces how long the connection may be reused.
+func (s *Server) serveHTTP(w http.ResponseWriter, r *http.Request) {
+	kw := &keepAliveWriter{ResponseWriter: w, server: s}
+	s.cfg.Handler.ServeHTTP(kw, r)
+	kw.setHeaders()
 }
 
-// marked is an answer whose head says how long its connection is of use. It is marked as
-// late as possible: a request that was being worked on as the stop began is told as well.
-type marked struct {
+// keepAliveWriter adds the header that announces how long the connection may be reused. It
+// does so as late as possible, so that a request that is being served when the drain begins
+// gets the announcement of the close as well.
+type keepAliveWriter struct {
 	http.ResponseWriter
 
-	server *Server
-	done   bool
+	server     *Server
+	headersSet bool
 }
 
-func (m *marked) mark() {
-	if m.done {
+func (w *keepAliveWriter) setHeaders() {
+	if w.headersSet {
 		return
 	}
 
-	m.done = true
-	h := m.Header()
+	w.headersSet = true
+	h := w.Header()
 
 	switch {
-	case m.server.leaving.Load():
+	case w.server.draining.Load():
 		h.Set("Connection", "close")
-	case m.server.cfg.KeepAlive > 0 && h.Get("Connection") == "":
-		h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(m.server.cfg.KeepAlive.Seconds())))
+	case w.server.cfg.KeepAlive > 0 && h.Get("Connection") == "":
+		h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(w.server.cfg.KeepAlive.Seconds())))
 	}
 }
 
-// WriteHeader marks the answer and sends its head.
-func (m *marked) WriteHeader(status int) {
-	m.mark()
-	m.ResponseWriter.WriteHeader(status)
+// WriteHeader adds the announcement and sends the header.
+func (w *keepAliveWriter) WriteHeader(status int) {
+	w.setHeaders()
+	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write marks the answer and sends a part of its body.
-func (m *marked) Write(b []byte) (int, error) {
-	m.mark()
+// Write adds the announcement and sends part of the body.
+func (w *keepAliveWriter) Write(b []byte) (int, error) {
+	w.setHeaders()
 
-	return m.ResponseWriter.Write(b)
+	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap returns the writer below, for http.ResponseController.
-func (m *marked) Unwrap() http.ResponseWriter { return m.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *keepAliveWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/drain/balancer.go
+++ b/drain/balancer.go
@@ -7,76 +7,77 @@
 )
 
 const (
-	// enough refusals take a process out of a balancer that asks once a second and
-	// believes the second answer.
-	enough = 2
-	// lastCallers is how long after that callers may come whom the balancer sent before.
-	lastCallers = 100 * time.Millisecond
-	// mostAsked is the time after which a balancer is taken to know, though it wasn't seen
-	// to ask: one that asks each second has asked three times.
-	mostAsked = 3 * time.Second
+	// minRefusals failed health checks remove a process from a load balancer that checks
+	// once a second and acts on the second failure.
+	minRefusals = 2
+	// lastCallerDelay is the time after the last failed check in which callers that the
+	// balancer sent earlier may still arrive.
+	lastCallerDelay = 100 * time.Millisecond
+	// maxHealthCheckWait is the time after which a balancer is assumed to have removed the
+	// process even if no checks were seen: one that checks each second has checked three times.
+	maxHealthCheckWait = 3 * time.Second
 )
 
-// Balancer answers a balancer's question whether callers may come here, and notes when
-// the balancer has heard often enough that they may not. A stop that waited for a fixed
-// time would last longer than it has to nearly always; while many processes are stopped
-// one after the other, more of them are away at once, and callers find nobody.
+// Balancer answers the health checks of a load balancer, and determines when the balancer
+// has seen enough failed checks to send no more callers. Waiting a fixed time instead would
+// nearly always take longer than needed; while many processes are restarted one after the
+// other, more of them would be out of service at once, and callers would find none.
 //
-// It is an http.Handler. Use NewBalancer.
+// It is an http.Handler. Create it with NewBalancer.
 type Balancer struct {
 	ready func() bool
 
-	mu       sync.Mutex
-	left     time.Time // when the stop began; zero before
-	refusals int       // since then
-	last     time.Time // when the last of them was given
+	mu          sync.Mutex
+	drainStart  time.Time // zero if no drain has begun
+	refusals    int       // failed checks since drainStart
+	lastRefusal time.Time // time of the last failed check
 }
 
-// NewBalancer returns a Balancer. Ready tells whether callers may come while no stop is
-// under way.
+// NewBalancer returns a Balancer. Until Leave is called, ready reports whether callers may
+// be sent to this process.
 func NewBalancer(ready func() bool) *Balancer { return &Balancer{ready: ready} }
 
-// Leave begins a planned stop: no callers may come from now on.
+// Leave begins a drain: all health checks fail from now on.
 func (b *Balancer) Leave(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.left = now
+	b.drainStart = now
 }
 
-// Released reports whether the balancer sends no more callers, as far as it does what it
-// is told.
+// Released reports whether a drain has begun and the balancer, if it acts on the checks as
+// expected, sends no more callers.
 func (b *Balancer) Released(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	if b.left.IsZero() {
+	if b.drainStart.IsZero() {
 		return false
 	}
 
-	return now.Sub(b.left) >= mostAsked || b.refusals >= enough && now.Sub(b.last) >= lastCallers
+	return now.Sub(b.drainStart) >= maxHealthCheckWait || b.refusals >= minRefusals && now.Sub(b.lastRefusal) >= lastCallerDelay
 }
 
-// ServeHTTP answers 200 or 503.
+// ServeHTTP responds with status 200 if callers may be sent here, otherwise 503.
 func (b *Balancer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if b.takes(time.Now()) {
+	if b.accepts(time.Now()) {
 		return
 	}
 
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// takes reports whether callers may come, and counts a refusal.
-func (b *Balancer) takes(now time.Time) bool {
+// accepts reports whether callers may be sent here, and counts a failed check.
+func (b *Balancer) accepts(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	if b.left.IsZero() {
+	if b.drainStart.IsZero() {
 		return b.ready()
 	}
 
 	b.refusals++
-	b.last = now
+	b.lastRefusal = now
 
 	return false
 }
--- a/drain/census.go
+++ b/drain/census.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Count is how many connections are in each state.
+// Count is the number of connections in each state.
 type Count struct {
-	// Opened have not had a request, Busy are being served, Idle wait for their next
+	// Opened have not received a request, Busy are being served, Idle wait for the next
 	// request.
 	Opened, Busy, Idle int
-	// Pending are those of Opened and Idle whose next request has arrived, at least in
-	// part, and isn't being served.
+	// Pending are those of Opened and Idle whose next request has arrived, at least in part,
+	// and is not being served yet.
 	Pending int
 }
 
-// census knows the callers' connections.
-type census struct {
+// connTracker tracks the open connections of callers.
+type connTracker struct {
 	mu    sync.Mutex
 	conns map[*conn]struct{}
 }
 
-func newCensus() *census { return &census{conns: make(map[*conn]struct{})} }
+func newConnTracker() *connTracker { return &connTracker{conns: make(map[*conn]struct{})} }
 
-// add takes a new connection in.
-func (s *census) add(now time.Time, tcp *net.TCPConn) *conn {
-	c := &conn{TCPConn: tcp, born: now}
-	c.enter(now, opened)
+// add registers a new connection.
+func (t *connTracker) add(now time.Time, tcp *net.TCPConn) *conn {
+	c := &conn{TCPConn: tcp, acceptedAt: now}
+	c.setPhase(now, phaseOpened)
 
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	s.conns[c] = struct{}{}
+	t.conns[c] = struct{}{}
 
 	return c
 }
 
-// changed takes what the HTTP server says of a connection.
-func (s *census) changed(now time.Time, nc net.Conn, state http.ConnState) {
+// setState records a state change that net/http reported for a connection.
+func (t *connTracker) setState(now time.Time, nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
@@ -47,32 +47,32 @@
 
 	switch state {
 	case http.StateActive:
-		c.enter(now, busy)
+		c.setPhase(now, phaseBusy)
 	case http.StateIdle:
-		c.enter(now, idle)
+		c.setPhase(now, phaseIdle)
 	case http.StateClosed, http.StateHijacked:
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		t.mu.Lock()
+		defer t.mu.Unlock()
 
-		delete(s.conns, c)
+		delete(t.conns, c)
 	case http.StateNew:
 	}
 }
 
-// count counts the connections.
-func (s *census) count(now time.Time) Count {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// count returns the number of connections in each state.
+func (t *connTracker) count(now time.Time) Count {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
 	var n Count
 
-	for c := range s.conns {
+	for c := range t.conns {
 		switch phase(c.phase.Load()) {
-		case opened:
+		case phaseOpened:
 			n.Opened++
-		case busy:
+		case phaseBusy:
 			n.Busy++
-		case idle:
+		case phaseIdle:
 			n.Idle++
 		}
 
@@ -84,14 +84,14 @@
 	return n
 }
 
-// expected reports whether a caller may still send a request on a connection that it was
-// told to be of use.
-func (s *census) expected(now time.Time, keepAlive time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// mayReceive reports whether a caller may still send a request on an idle connection whose
+// keep-alive time has not expired.
+func (t *connTracker) mayReceive(now time.Time, keepAlive time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	for c := range s.conns {
-		if phase(c.phase.Load()) == idle && !c.unused(now, keepAlive) {
+	for c := range t.conns {
+		if phase(c.phase.Load()) == phaseIdle && !c.expired(now, keepAlive) {
 			return true
 		}
 	}
@@ -99,21 +99,21 @@
 	return false
 }
 
-// settled reports whether no caller would miss an answer if all connections were closed
-// now: none is being served, none has a request that has arrived, and none was used so
-// lately that its caller may have a request on its way. The sockets are looked at last,
-// as each look is a system call.
-func (s *census) settled(now time.Time, keepAlive time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// canClose reports whether all connections could be closed now without losing a response:
+// none is being served, none has a request that has arrived, and none was used so recently
+// that a request may be in transit. The sockets are checked last, as each check is a system
+// call.
+func (t *connTracker) canClose(now time.Time, keepAlive time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	for c := range s.conns {
-		if phase(c.phase.Load()) == busy || c.begun(now) || !c.unused(now, keepAlive) {
+	for c := range t.conns {
+		if phase(c.phase.Load()) == phaseBusy || c.partlyRead(now) || !c.expired(now, keepAlive) {
 			return false
 		}
 	}
 
-	for c := range s.conns {
+	for c := range t.conns {
 		if c.pending(now) {
 			return false
 		}
--- a/drain/conn.go
+++ b/drain/conn.go
@@ -8,82 +8,82 @@
 	"boragehub/socket"
 )
 
-// phase is what a caller's connection is doing.
+// phase is the state of a caller's connection.
 type phase uint32
 
 const (
-	// opened: no request has come on it yet.
-	opened phase = iota
-	// busy: a request is being served.
-	busy
-	// idle: its last answer is complete.
-	idle
+	// phaseOpened: no request has been received yet.
+	phaseOpened phase = iota
+	// phaseBusy: a request is being served.
+	phaseBusy
+	// phaseIdle: the last response is complete.
+	phaseIdle
 )
 
-// conn is a caller's connection. It notes when bytes of a request have been read: the
-// HTTP server calls a connection idle until it has read the whole head of the next
-// request, and one that is closed by then loses that request.
+// conn is a caller's connection. It records when bytes of a request were read: net/http
+// reports a connection as idle until it has read the complete header of the next request,
+// and closing the connection in between would lose that request.
 type conn struct {
 	*net.TCPConn
 
-	// Times are in ns since it was accepted: the time of day may jump.
-	born  time.Time
-	phase atomic.Uint32
-	since atomic.Int64 // when the phase began
-	heard atomic.Int64 // when bytes were last read in this phase, plus one; zero for never
+	// Times are in ns since acceptedAt, which is monotonic: the wall clock may jump.
+	acceptedAt time.Time
+	phase      atomic.Uint32
+	phaseStart atomic.Int64 // when the phase began
+	lastRead   atomic.Int64 // when bytes were last read in this phase, plus one; zero for never
 }
 
-// Read reads from the caller.
+// Read reads from the connection and records the time.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
-		c.hear(time.Now())
+		c.recordRead(time.Now())
 	}
 
 	return n, err
 }
 
-// hear takes that bytes were read.
-func (c *conn) hear(now time.Time) { c.heard.Store(int64(now.Sub(c.born)) + 1) }
+// recordRead records that bytes were read.
+func (c *conn) recordRead(now time.Time) { c.lastRead.Store(int64(now.Sub(c.acceptedAt)) + 1) }
 
-// enter begins a phase.
-func (c *conn) enter(now time.Time, p phase) {
-	c.since.Store(int64(now.Sub(c.born)))
+// setPhase sets the phase and its start.
+func (c *conn) setPhase(now time.Time, p phase) {
+	c.phaseStart.Store(int64(now.Sub(c.acceptedAt)))
 	c.phase.Store(uint32(p))
-	// Last, so that no look in between finds a connection idle, unused and nothing heard.
-	c.heard.Store(0)
+	// Stored last, so that no check in between sees an idle, expired connection without a read.
+	c.lastRead.Store(0)
 }
 
-// pending reports whether a request, or a part of one, has reached this machine and
-// isn't being served yet.
+// pending reports whether a request, or part of one, has reached this machine and is not
+// being served yet.
 func (c *conn) pending(now time.Time) bool {
-	return phase(c.phase.Load()) != busy && (c.begun(now) || socket.Peek(c.TCPConn) == socket.Unread)
+	return phase(c.phase.Load()) != phaseBusy && (c.partlyRead(now) || socket.Peek(c.TCPConn) == socket.Unread)
 }
 
-// begun reports whether a part of a request was read, and the rest is still to be expected.
-// A caller that sends half a head and nothing more would otherwise hold a stop up until
-// its time is over.
-func (c *conn) begun(now time.Time) bool {
-	heard := c.heard.Load()
+// partlyRead reports whether part of a request was read and the rest may still arrive. A
+// caller that sends half a header and nothing more would otherwise delay a drain until its
+// timeout.
+func (c *conn) partlyRead(now time.Time) bool {
+	lastRead := c.lastRead.Load()
 
-	return heard > 0 && now.Sub(c.born)-time.Duration(heard) < nextPart
+	return lastRead > 0 && now.Sub(c.acceptedAt)-time.Duration(lastRead) < nextPartTimeout
 }
 
-// unused reports whether the connection has been without a request for so long that its
-// caller will send none on it.
-func (c *conn) unused(now time.Time, keepAlive time.Duration) bool {
-	most := keepAlive
-	if phase(c.phase.Load()) == opened {
-		most = firstRequest
+// expired reports whether the connection has been without a request for so long that its
+// caller sends none on it any more.
+func (c *conn) expired(now time.Time, keepAlive time.Duration) bool {
+	limit := keepAlive
+	if phase(c.phase.Load()) == phaseOpened {
+		limit = firstRequestTimeout
 	}
 
-	return now.Sub(c.born)-time.Duration(c.since.Load()) >= most
+	return now.Sub(c.acceptedAt)-time.Duration(c.phaseStart.Load()) >= limit
 }
 
-// firstRequest is how long a caller that has opened a connection may take to send its
-// first request. Callers send it at once; the time is for a way that is full.
-const firstRequest = time.Second
+// firstRequestTimeout is the maximum time from accepting a connection to its first request.
+// Callers send it at once; the time allows for a congested network.
+const firstRequestTimeout = time.Second
 
-// nextPart is how long the next part of a request may take to come. Parts are sent one
-// behind the other; one that is lost on the way is sent again within half a second.
-const nextPart = time.Second
+// nextPartTimeout is the maximum time between two parts of a request. Parts are sent in
+// succession; a lost one is retransmitted within half a second.
+const nextPartTimeout = time.Second
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,28 +1,27 @@
-// Package drain serves callers over HTTP/1.1, and at a planned stop lets them go without
-// losing a request.
+// Package drain implements an HTTP/1.1 server that can be drained without losing a request.
 //
 // # Model
 //
-// HTTP/1.1 lets a server close a connection at any time, and a request that crosses the
-// close is lost: its caller sees neither answer nor refusal, and doesn't know whether a
-// seat was booked. http.Server.Shutdown loses requests in two ways. It closes each
-// connection that it holds to be idle, which it does until the whole head of the next
-// request was parsed; on a busy machine that is up to half a second after the request
-// arrived. And a request whose head is read after Shutdown began is dropped without a
-// word, as are all on connections opened shortly before.
+// HTTP/1.1 lets a server close a connection at any time, and a request that is in transit at
+// that moment is lost: its caller gets neither a response nor an error from the server, and
+// doesn't know whether a seat was booked. http.Server.Shutdown loses requests in two ways. It
+// closes each connection that it regards as idle, which it does until the complete header of
+// the next request was parsed; on a busy machine that is up to half a second after the request
+// arrived. And a request whose header is read after Shutdown began is dropped without a
+// response, as are all requests on connections opened shortly before.
 //
-// A Server therefore tells callers beforehand. Each answer says how long its connection
-// may stay unused (Keep-Alive); after Leave each answer says that its connection closes
-// (Connection: close). Drain closes a connection only when its caller knows by one of
-// these that it must not be used any more.
+// A Server therefore announces the close to callers. Each response states how long its
+// connection may stay unused (Keep-Alive); after Leave each response states that its
+// connection closes (Connection: close). Drain closes a connection only when its caller knows
+// by one of these that it must not be used any more.
 //
-// The port stays open while anything runs that takes long. A balancer may go on sending
-// callers to a process that has said that it leaves, when too many others leave as well;
-// who comes is served meanwhile, and finds nobody only while the last quick answers end and
-// the process starts anew.
+// The port stays open while long requests are running. A load balancer may go on sending
+// callers to a draining process when too many other processes are draining as well. Their
+// requests are served meanwhile, and are refused only while the last short responses end and
+// the process restarts.
 //
-// One case is left: a connection whose opening crosses the close of the port is reset, and
-// so is a request that its caller sent on it at once. Nobody has read it then.
+// One case is not covered: a connection that is being opened while the port closes is reset,
+// and a request that its caller sent on it at once is lost. No part of that request was read.
 package drain
 
 import (
@@ -38,109 +37,109 @@
 	"boragehub/socket"
 )
 
-// Config says how callers are served.
+// Config configures a Server.
 type Config struct {
-	// Handler answers requests.
+	// Handler serves the requests.
 	Handler http.Handler
-	// HeaderTimeout is how long a caller may take to send a header.
+	// HeaderTimeout is the maximum time to read a request header; zero means no limit.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay unused, for callers who don't heed
-	// KeepAlive.
+	// IdleTimeout is how long a connection may stay idle before it is closed, for callers
+	// that ignore KeepAlive; zero means no limit.
 	IdleTimeout time.Duration
-	// KeepAlive is how long a connection may stay unused, as told to callers, in whole
-	// seconds. A stop takes at least that long.
+	// KeepAlive is how long a connection may stay unused, as announced to callers in whole
+	// seconds; zero announces nothing. A drain takes at least that long.
 	KeepAlive time.Duration
-	// MaxHeaderBytes bounds a header; zero leaves the default of net/http.
+	// MaxHeaderBytes bounds a request header; zero means the default of net/http.
 	MaxHeaderBytes int
 }
 
-// Times of a stop.
+// Timing of a drain.
 const (
-	// onTheWay is how long an answer may be under way to its caller and the next request
-	// back. Ways are some milliseconds long; a link of 10 Mbit/s that has half a megabyte
-	// waiting takes 0.4 s.
-	onTheWay = 400 * time.Millisecond
-	// lookEvery is the pause between two looks whether the stop may end.
-	lookEvery = 10 * time.Millisecond
-	// looks is how many looks in a row have to find all settled: what came just as the first
-	// one was made, and wasn't taken in yet, is seen by the second.
-	looks = 2
+	// maxTransit is the maximum time that a response to its caller and the next request back
+	// are in transit, together. That usually takes some milliseconds; a link of 10 Mbit/s with
+	// half a megabyte queued takes 0.4 s.
+	maxTransit = 400 * time.Millisecond
+	// checkInterval is the time between two checks whether the drain may go on.
+	checkInterval = 10 * time.Millisecond
+	// stableChecks is the number of consecutive checks that have to succeed before connections
+	// are closed: a request that arrives during the first check is seen by the second.
+	stableChecks = 2
 )
 
-// Server serves callers. Use NewServer.
+// Server is an HTTP server. Create it with NewServer.
 type Server struct {
-	cfg     Config
-	http    *http.Server
-	census  *census
-	leaving atomic.Bool
+	cfg      Config
+	http     *http.Server
+	conns    *connTracker
+	draining atomic.Bool
 
 	mu        sync.Mutex
 	listeners []net.Listener
 }
 
-// NewServer returns a Server.
+// NewServer returns a Server; call Serve to start it.
 func NewServer(cfg Config) *Server {
-	s := &Server{cfg: cfg, census: newCensus()}
+	s := &Server{cfg: cfg, conns: newConnTracker()}
 	s.http = &http.Server{
-		Handler: http.HandlerFunc(s.answer), ReadHeaderTimeout: cfg.HeaderTimeout, IdleTimeout: cfg.IdleTimeout, MaxHeaderBytes: cfg.MaxHeaderBytes,
-		ConnState: func(nc net.Conn, state http.ConnState) { s.census.changed(time.Now(), nc, state) },
+		Handler: http.HandlerFunc(s.serveHTTP), ReadHeaderTimeout: cfg.HeaderTimeout, IdleTimeout: cfg.IdleTimeout, MaxHeaderBytes: cfg.MaxHeaderBytes,
+		ConnState: func(nc net.Conn, state http.ConnState) { s.conns.setState(time.Now(), nc, state) },
 	}
 
 	return s
 }
 
-// Serve serves the callers of l until Drain or Close closes it; it returns
-// http.ErrServerClosed then.
+// Serve serves the connections of l until Drain or Close closes it, and then returns
+// http.ErrServerClosed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listeners = append(s.listeners, l)
 	s.mu.Unlock()
 
-	err := s.http.Serve(&listener{l, s.census})
-	if s.leaving.Load() {
+	err := s.http.Serve(&listener{l, s.conns})
+	if s.draining.Load() {
 		return http.ErrServerClosed
 	}
 
 	return err
 }
 
-// Leave begins a planned stop: from now on each answer closes its connection.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Leave announces a drain: from now on each response closes its connection.
+func (s *Server) Leave() { s.draining.Store(true) }
 
-// Stop says how a planned stop goes. Nil functions stand for no more to wait for.
+// Stop configures a drain. A nil function means that there is nothing to wait for or to do.
 type Stop struct {
-	// Released reports whether nobody sends new callers any more, for all that is known.
+	// Released reports whether, as far as is known, no new callers are sent here any more.
 	Released func(now time.Time) bool
-	// Closing is called when those who couldn't know of the stop have come: who comes from
-	// then on may be refused.
+	// Closing is called once Released is true and KeepAlive has passed, so that all callers
+	// can know of the drain, or when ctx has ended: later requests may be refused.
 	Closing func()
-	// Short reports whether all that is being served is done soon, so that the port may
-	// close.
+	// Short reports whether all requests in flight end soon, so that the port may be closed.
 	Short func(now time.Time) bool
 }
 
-// Drain makes a planned stop: it serves callers until none would miss an answer, and then
-// closes the port and all connections. If ctx ends before, all is closed with what is in
-// work. It returns what the connections were doing just before they were closed.
+// Drain shuts the server down gracefully: it serves requests until none would lose its
+// response, and then closes the port and all connections. If ctx ends earlier, all connections
+// are closed with the requests in flight. It returns the states of the connections just before
+// they were closed.
 func (s *Server) Drain(ctx context.Context, stop Stop) Count {
 	s.Leave()
 
-	told := time.Now().Add(s.keepAlive())
-	s.until(ctx, 1, func(now time.Time) bool { return !now.Before(told) && holds(stop.Released, now) })
+	keepAliveEnd := time.Now().Add(s.keepAlive())
+	s.waitUntil(ctx, 1, func(now time.Time) bool { return !now.Before(keepAliveEnd) && isMet(stop.Released, now) })
 
 	if stop.Closing != nil {
 		stop.Closing()
 	}
 
-	// An answer whose head went out before the stop has told its caller that the connection
-	// is of use. Nobody is to find the port closed while such a connection is waited for.
-	s.until(ctx, 1, func(now time.Time) bool {
-		return holds(stop.Short, now) && !s.census.expected(now, s.keepAlive()) && s.shut()
+	// A response whose header was sent before the drain has announced that its connection may
+	// be used again. The port stays open as long as there are such connections.
+	s.waitUntil(ctx, 1, func(now time.Time) bool {
+		return isMet(stop.Short, now) && !s.conns.mayReceive(now, s.keepAlive()) && s.refuseConns()
 	})
 	s.closePort()
 
 	for {
-		s.until(ctx, looks, func(now time.Time) bool { return s.census.settled(now, s.keepAlive()) })
+		s.waitUntil(ctx, stableChecks, func(now time.Time) bool { return s.conns.canClose(now, s.keepAlive()) })
 
 		if n := s.Count(); n.Busy+n.Pending == 0 || ctx.Err() != nil {
 			s.Close()
@@ -150,27 +149,29 @@
 	}
 }
 
-// holds reports whether a condition holds; nil always does.
-func holds(condition func(now time.Time) bool, now time.Time) bool {
+// isMet reports whether a condition holds; a nil condition always does.
+func isMet(condition func(now time.Time) bool, now time.Time) bool {
 	return condition == nil || condition(now)
 }
 
-// keepAlive is how long after an answer its caller may still use the connection.
-func (s *Server) keepAlive() time.Duration { return s.cfg.KeepAlive + onTheWay }
+// keepAlive returns how long after a response the caller's next request may still arrive.
+func (s *Server) keepAlive() time.Duration { return s.cfg.KeepAlive + maxTransit }
 
-// until waits until a condition holds at so many looks in a row, or ctx ends.
-func (s *Server) until(ctx context.Context, looks int, holds func(now time.Time) bool) {
-	for n := 0; n < looks && pause.For(ctx, lookEvery); {
+// waitUntil waits until a condition holds at the given number of consecutive checks, or ctx
+// ends.
+func (s *Server) waitUntil(ctx context.Context, checks int, condition func(now time.Time) bool) {
+	for n := 0; n < checks && pause.For(ctx, checkInterval); {
 		n++
 
-		if !holds(time.Now()) {
+		if !condition(time.Now()) {
 			n = 0
 		}
 	}
 }
 
-// shut makes the port take no more connections, unless one waits to be accepted.
-func (s *Server) shut() bool {
+// refuseConns makes the port refuse connections, unless one is waiting to be accepted; it
+// reports whether it did for all listeners.
+func (s *Server) refuseConns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -182,7 +183,7 @@
 	defer s.mu.Unlock()
 
 	for _, l := range s.listeners {
-		//nolint:errcheck,gosec // one that is closed already is what is wanted
+		//nolint:errcheck,gosec // fails only if it is closed already
 		l.Close()
 	}
 }
@@ -190,9 +191,9 @@
 // Close closes the port and all connections at once.
 func (s *Server) Close() {
 	s.Leave()
-	//nolint:errcheck,gosec // what can't be closed is closed already
+	//nolint:errcheck,gosec // fails only for what is closed already
 	s.http.Close()
 }
 
-// Count returns what the connections are doing.
-func (s *Server) Count() Count { return s.census.count(time.Now()) }
+// Count returns the number of connections in each state.
+func (s *Server) Count() Count { return s.conns.count(time.Now()) }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// serving is a Server on a port of its own.
-type serving struct {
+// testServer is a Server on its own port.
+type testServer struct {
 	*Server
 
 	address string
 }
 
-func serve(t *testing.T, h http.Handler, keepAlive time.Duration) *serving {
+func startServer(t *testing.T, h http.Handler, keepAlive time.Duration) *testServer {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 
-	s := &serving{NewServer(Config{Handler: h, HeaderTimeout: time.Minute, KeepAlive: keepAlive}), l.Addr().String()}
+	s := &testServer{NewServer(Config{Handler: h, HeaderTimeout: time.Minute, KeepAlive: keepAlive}), l.Addr().String()}
 	served := make(chan error, 1)
 
 	go func() { served <- s.Serve(l) }()
@@ -44,14 +44,14 @@
 	return s
 }
 
-// caller is a caller on one connection.
+// caller is a caller with one connection.
 type caller struct {
 	net.Conn
 
 	br *bufio.Reader
 }
 
-func (s *serving) connect(t *testing.T) *caller {
+func (s *testServer) connect(t *testing.T) *caller {
 	t.Helper()
 
 	nc, err := net.Dial("tcp", s.address)
@@ -72,11 +72,11 @@
 	}
 }
 
-// request is a whole request.
+// request is a complete request.
 const request = "GET / HTTP/1.1\r\nHost: desk\r\n\r\n"
 
-// answer reads an answer whole.
-func (c *caller) answer() (*http.Response, string, error) {
+// response reads a complete response.
+func (c *caller) response() (*http.Response, string, error) {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		return nil, "", err
@@ -88,35 +88,37 @@
 	return resp, string(b), err
 }
 
-// gate lets requests through one by one.
-type gate struct {
-	begun, open chan struct{}
+// gatedHandler holds each request until release receives a value.
+type gatedHandler struct {
+	started, release chan struct{}
 }
 
-func newGate() gate { return gate{make(chan struct{}, 100), make(chan struct{}, 100)} }
+func newGatedHandler() gatedHandler {
+	return gatedHandler{make(chan struct{}, 100), make(chan struct{}, 100)}
+}
 
-func (g gate) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	g.begun <- struct{}{}
-	<-g.open
+func (g gatedHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	g.started <- struct{}{}
+	<-g.release
 
 	_, _ = io.WriteString(w, "ok")
 }
 
-var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
+var okHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 
-// eventually waits for a condition, for far longer than it should take.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds; its timeout is far longer than needed.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 
-	for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-// Callers keep their connections for the next request. One that doesn't hear that the
-// process leaves sends it just as the connection is closed, and is left without an answer.
+// Callers reuse connections. If the server does not announce that it closes one, a caller may
+// send the next request just as it is closed, and gets no response.
 func TestAnswersTellHowLongTheirConnectionIsOfUse(t *testing.T) {
 	silent := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	closing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
@@ -128,17 +130,17 @@
 		want      string
 		closes    bool
 	}{
-		{"told", ok, 2 * time.Second, false, "timeout=2", false},
-		{"nothing to tell", ok, 0, false, "", false},
-		{"an answer without a word", silent, 2 * time.Second, false, "timeout=2", false},
+		{"keep-alive", okHandler, 2 * time.Second, false, "timeout=2", false},
+		{"no keep-alive time", okHandler, 0, false, "", false},
+		{"empty response", silent, 2 * time.Second, false, "timeout=2", false},
 		{"the handler closes", closing, 2 * time.Second, false, "", true},
-		{"leaving", ok, 2 * time.Second, true, "", true},
-		{"leaving, without a word", silent, 2 * time.Second, true, "", true},
+		{"draining", okHandler, 2 * time.Second, true, "", true},
+		{"draining, empty response", silent, 2 * time.Second, true, "", true},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := serve(t, tt.handler, tt.keepAlive)
+			s := startServer(t, tt.handler, tt.keepAlive)
 			if tt.leaves {
 				s.Leave()
 			}
@@ -146,7 +148,7 @@
 			c := s.connect(t)
 			c.send(t, request)
 
-			resp, _, err := c.answer()
+			resp, _, err := c.response()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -158,31 +160,31 @@
 	}
 }
 
-// A request is being worked on as the stop begins. Its caller has to hear that the
-// connection is of no use, too.
+// A request is being served when the drain begins. Its response, too, must announce that the
+// connection closes.
 func TestStopTellsTheCallersOfWhatIsInWork(t *testing.T) {
-	g := newGate()
-	s := serve(t, g, time.Second)
+	g := newGatedHandler()
+	s := startServer(t, g, time.Second)
 	c := s.connect(t)
 	c.send(t, request)
-	<-g.begun
+	<-g.started
 	s.Leave()
 
-	g.open <- struct{}{}
+	g.release <- struct{}{}
 
-	if resp, _, err := c.answer(); err != nil || !resp.Close {
+	if resp, _, err := c.response(); err != nil || !resp.Close {
 		t.Errorf("got %v, %v, want an answer that closes", resp, err)
 	}
 }
 
-// Guards against a stop that closes a connection as idle when the head of the next request has
-// been read only in part.
+// Guards against a drain that closes a connection as idle when the header of the next request
+// has been read only in part.
 func TestStopWaitsForARequestThatIsPartlyRead(t *testing.T) {
-	s := serve(t, ok, 0)
+	s := startServer(t, okHandler, 0)
 	c := s.connect(t)
 	c.send(t, request)
 
-	if _, _, err := c.answer(); err != nil {
+	if _, _, err := c.response(); err != nil {
 		t.Fatal(err)
 	}
 
@@ -194,15 +196,15 @@
 	go func() { drained <- s.Drain(t.Context(), Stop{}) }()
 
 	// Sends a header line before each check of the port, so that the interval between parts
-	// doesn't grow to nextPart while the port is still open.
+	// doesn't grow to nextPartTimeout while the port is still open.
 	eventually(t, "the port is closed", func() bool {
 		c.send(t, "X-Part: 1\r\n")
 
-		return !s.takes()
+		return !s.accepts()
 	})
 	c.send(t, "\r\n")
 
-	if _, body, err := c.answer(); err != nil || body != "ok" {
+	if _, body, err := c.response(); err != nil || body != "ok" {
 		t.Errorf("got %q, %v, want ok", body, err)
 	}
 
@@ -211,8 +213,8 @@
 	}
 }
 
-// takes reports whether the port is open.
-func (s *serving) takes() bool {
+// accepts reports whether the port accepts connections.
+func (s *testServer) accepts() bool {
 	nc, err := net.Dial("tcp", s.address)
 	if err != nil {
 		return false
@@ -223,20 +225,20 @@
 	return true
 }
 
-// A long answer still runs, and the balancer goes on sending callers to the process that
-// stops, since it finds no others. With its port closed they would find nobody.
+// A long request is running, and the load balancer still sends callers to the draining process
+// because it has no other. If the port were closed, their connections would be refused.
 func TestPortStaysOpenWhileSomethingRunsLong(t *testing.T) {
-	g := newGate()
-	s := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	g := newGatedHandler()
+	s := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			g.ServeHTTP(w, r)
 		} else {
-			ok(w, r)
+			okHandler(w, r)
 		}
 	}), 0)
 	long := s.connect(t)
 	long.send(t, "GET /long HTTP/1.1\r\nHost: desk\r\n\r\n")
-	<-g.begun
+	<-g.started
 
 	runs := make(chan struct{})
 	drained := make(chan Count, 1)
@@ -252,21 +254,21 @@
 		}})
 	}()
 
-	eventually(t, "the stop has begun", s.leaving.Load)
+	eventually(t, "the drain has begun", s.draining.Load)
 
 	for n := range 20 {
 		late := s.connect(t)
 		late.send(t, request)
 
-		if resp, body, err := late.answer(); err != nil || body != "ok" || !resp.Close {
+		if resp, body, err := late.response(); err != nil || body != "ok" || !resp.Close {
 			t.Errorf("late caller %d: got %q, %v, want ok and a closed connection", n, body, err)
 		}
 	}
 
 	close(runs)
-	g.open <- struct{}{}
+	g.release <- struct{}{}
 
-	if _, body, err := long.answer(); err != nil || body != "ok" {
+	if _, body, err := long.response(); err != nil || body != "ok" {
 		t.Errorf("got %q, %v, want ok", body, err)
 	}
 
@@ -275,15 +277,15 @@
 	}
 }
 
-// The head of a long answer went out before the stop, and says that the connection may be
-// used for a while behind the answer. With the port closed meanwhile, callers find nobody
-// for seconds although the process lives and serves nothing.
+// The header of a long response was sent before the drain, and announces that the connection
+// may be used for some time after the response. If the port were closed meanwhile, callers
+// would be refused for seconds although the process is idle.
 func TestPortStaysOpenWhileACallerMayUseItsConnection(t *testing.T) {
 	head := make(chan struct{})
 	rest := make(chan struct{})
-	s := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/long" {
-			ok(w, r)
+			okHandler(w, r)
 
 			return
 		}
@@ -304,21 +306,21 @@
 
 	go func() { drained <- s.Drain(t.Context(), Stop{}) }()
 
-	eventually(t, "the stop has begun", s.leaving.Load)
+	eventually(t, "the drain has begun", s.draining.Load)
 	close(rest)
 
-	if resp, body, err := c.answer(); err != nil || body != "ok" || resp.Close {
-		t.Fatalf("got %q, %v, want ok and no word that the connection closes", body, err)
+	if resp, body, err := c.response(); err != nil || body != "ok" || resp.Close {
+		t.Fatalf("got %q, %v, want ok and no announced close", body, err)
 	}
 
-	if !s.takes() {
-		t.Error("got the port closed behind the answer, want it open")
+	if !s.accepts() {
+		t.Error("got the port closed after the response, want it open")
 	}
 
 	c.send(t, request)
 
-	if resp, body, err := c.answer(); err != nil || body != "ok" || !resp.Close {
-		t.Errorf("got %q, %v, want ok and that the connection closes", body, err)
+	if resp, body, err := c.response(); err != nil || body != "ok" || !resp.Close {
+		t.Errorf("got %q, %v, want ok and an announced close", body, err)
 	}
 
 	if got, want := <-drained, (Count{}); got != want {
@@ -326,14 +328,14 @@
 	}
 }
 
-// An answer that doesn't end in the time that a stop may take is broken off, and the
-// count says so.
+// A response that does not end before the drain's context ends is aborted, and the returned
+// count reports it.
 func TestStopEndsInTime(t *testing.T) {
-	g := newGate()
-	s := serve(t, g, 0)
+	g := newGatedHandler()
+	s := startServer(t, g, 0)
 	c := s.connect(t)
 	c.send(t, request)
-	<-g.begun
+	<-g.started
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -342,55 +344,55 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 
-	if _, _, err := c.answer(); err == nil {
-		t.Error("got an answer, want a broken connection")
+	if _, _, err := c.response(); err == nil {
+		t.Error("got a response, want a closed connection")
 	}
 
-	g.open <- struct{}{}
+	g.release <- struct{}{}
 }
 
-// What may be closed without anybody missing an answer.
+// Covers which connections may be closed without losing a response.
 func TestSettled(t *testing.T) {
 	const keepAlive = 2 * time.Second
 
 	t0 := time.Unix(1000, 0)
 	tests := []struct {
-		name  string
-		phase phase
-		heard time.Duration // before the look; zero for never
-		after time.Duration
-		want  bool
+		name      string
+		phase     phase
+		sinceRead time.Duration // time since the last read; zero for never
+		after     time.Duration
+		want      bool
 	}{
-		{"being served", busy, 0, time.Minute, false},
-		{"used lately", idle, 0, keepAlive - 1, false},
-		{"not used any more", idle, 0, keepAlive, true},
-		{"a part of the next request read", idle, nextPart - 1, time.Minute, false},
-		{"a part read, and no more came", idle, nextPart + 1, time.Minute, true},
-		{"opened just now", opened, 0, firstRequest - 1, false},
-		{"opened for nothing", opened, 0, firstRequest, true},
-		{"a part of its first request read", opened, nextPart - 1, time.Minute, false},
+		{"being served", phaseBusy, 0, time.Minute, false},
+		{"used recently", phaseIdle, 0, keepAlive - 1, false},
+		{"expired", phaseIdle, 0, keepAlive, true},
+		{"part of the next request read", phaseIdle, nextPartTimeout - 1, time.Minute, false},
+		{"part read, rest overdue", phaseIdle, nextPartTimeout + 1, time.Minute, true},
+		{"just opened", phaseOpened, 0, firstRequestTimeout - 1, false},
+		{"opened and never used", phaseOpened, 0, firstRequestTimeout, true},
+		{"part of its first request read", phaseOpened, nextPartTimeout - 1, time.Minute, false},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newCensus()
-			c := s.add(t0, quiet(t))
-			c.enter(t0, tt.phase)
+			s := newConnTracker()
+			c := s.add(t0, idleConn(t))
+			c.setPhase(t0, tt.phase)
 
 			now := t0.Add(tt.after)
-			if tt.heard > 0 {
-				c.hear(now.Add(-tt.heard))
+			if tt.sinceRead > 0 {
+				c.recordRead(now.Add(-tt.sinceRead))
 			}
 
-			if got := s.settled(now, keepAlive); got != tt.want {
+			if got := s.canClose(now, keepAlive); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// quiet returns a connection on which nothing comes.
-func quiet(t *testing.T) *net.TCPConn {
+// idleConn returns a connection on which nothing is received.
+func idleConn(t *testing.T) *net.TCPConn {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -410,14 +412,14 @@
 	return nc.(*net.TCPConn)
 }
 
-// A stop that waits too long keeps many entries away at once while all are replaced; one
-// that doesn't wait for the balancer closes the port before callers who are on their way.
+// A drain that waits too long keeps many entries out of service at once while all are replaced;
+// one that doesn't wait for the load balancer refuses callers that it has already sent.
 func TestBalancerKnowsWhenItWasToldTwice(t *testing.T) {
 	t0 := time.Now()
 	b := NewBalancer(func() bool { return true })
 
 	if b.Released(t0.Add(time.Hour)) {
-		t.Error("without a stop: got released")
+		t.Error("without a drain: got released")
 	}
 
 	ask := func() int {
@@ -428,12 +430,12 @@
 	}
 
 	if got := ask(); got != http.StatusOK {
-		t.Errorf("before the stop: got %d, want 200", got)
+		t.Errorf("before the drain: got %d, want 200", got)
 	}
 
 	b.Leave(t0)
 
-	for n := 1; n <= enough; n++ {
+	for n := 1; n <= minRefusals; n++ {
 		if got, want := b.Released(t0.Add(time.Second)), false; got != want {
 			t.Errorf("after %d refusals: got released %v, want %v", n-1, got, want)
 		}
@@ -447,13 +449,13 @@
 		at   time.Time
 		want bool
 	}{
-		{b.last.Add(lastCallers - 1), false},
-		{b.last.Add(lastCallers), true},
+		{b.lastRefusal.Add(lastCallerDelay - 1), false},
+		{b.lastRefusal.Add(lastCallerDelay), true},
 	}
 
 	for _, s := range steps {
 		if got := b.Released(s.at); got != s.want {
-			t.Errorf("%v after the last refusal: got %v, want %v", s.at.Sub(b.last), got, s.want)
+			t.Errorf("%v after the last refusal: got %v, want %v", s.at.Sub(b.lastRefusal), got, s.want)
 		}
 	}
 
@@ -463,15 +465,15 @@
 	for _, s := range []struct {
 		after time.Duration
 		want  bool
-	}{{mostAsked - 1, false}, {mostAsked, true}} {
+	}{{maxHealthCheckWait - 1, false}, {maxHealthCheckWait, true}} {
 		if got := unasked.Released(t0.Add(s.after)); got != s.want {
-			t.Errorf("nobody asks for %v: got %v, want %v", s.after, got, s.want)
+			t.Errorf("no health check for %v: got %v, want %v", s.after, got, s.want)
 		}
 	}
 }
 
 func ExampleServer_Drain() {
-	s := NewServer(Config{Handler: ok, KeepAlive: time.Second})
+	s := NewServer(Config{Handler: okHandler, KeepAlive: time.Second})
 
 	fmt.Println(s.Drain(context.Background(), Stop{}))
 	// Output: {0 0 0 0}
--- a/drain/listener.go
+++ b/drain/listener.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// listener accepts callers' connections and takes them into the census.
+// listener registers the accepted connections with a connTracker.
 type listener struct {
 	net.Listener
 
-	census *census
+	conns *connTracker
 }
 
-// Accept returns the next caller's connection.
+// Accept returns the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 
 	if tcp, ok := nc.(*net.TCPConn); ok {
-		return l.census.add(time.Now(), tcp), nil
+		return l.conns.add(time.Now(), tcp), nil
 	}
 
 	return nc, nil
