--- a/setting/chunk.go
+++ b/setting/chunk.go
@@ -9,74 +9,78 @@
 	"github.com/zeebo/xxh3"
 )
 
-// chunkTables is how many tables of a file are decoded in one go, on average.
-const chunkTables = 64
+// tablesPerChunk is the average number of tables in a chunk.
+const tablesPerChunk = 64
 
-// cutBytes is how much of a table decides whether the file is cut before it.
-const cutBytes = 64
+// boundaryBytes is how many bytes of a table are hashed to decide whether a
+// chunk starts at it.
+const boundaryBytes = 64
 
-// piece is a part of a file that was decoded and checked.
-type piece struct {
+// decodedChunk is a chunk of a file, decoded and validated.
+type decodedChunk struct {
 	text []byte
-	part *document
+	doc  *document
 }
 
-// pieces are the parts of a file by their hashes.
-type pieces map[xxh3.Uint128]piece
+// chunkCache holds the decoded chunks of a file by the hash of their text.
+type chunkCache map[xxh3.Uint128]decodedChunk
 
-// find returns what a part of another file with the same text holds.
-func (p pieces) find(hash xxh3.Uint128, text []byte) *document {
-	if old, ok := p[hash]; ok && bytes.Equal(old.text, text) {
-		return old.part
+// find returns the decoded form of text, or nil if it is not cached. It
+// compares the text as well, so a hash collision is a miss.
+func (c chunkCache) find(hash xxh3.Uint128, text []byte) *document {
+	if chunk, ok := c[hash]; ok && bytes.Equal(chunk.text, text) {
+		return chunk.doc
 	}
 
 	return nil
 }
 
-// decodeTree reads text into doc as decode does, in time that grows with the
-// text and not with its square, and mostly with what differs from an older file.
+// decodeTree reads text into doc like decode, but in linear instead of quadratic
+// time, most of which goes to the chunks that are not in cached. It returns the
+// chunks to pass in for the next version of the file, or nil if the file was
+// decoded in one run.
 //
-// The TOML library compares each table with all its siblings, so that a tree
-// of 10,000 organisations takes it longer than all else together, at each of
-// thousands of changes a day. Pieces of the file are therefore decoded one by
-// one and put together, and those that the older file had are taken from there.
-// A file in which pieces could depend on each other, or that has a fault, is
-// decoded whole, so that what is right and what is told of a fault never
-// depends on the pieces.
-func decodeTree(file string, text []byte, doc *document, old pieces) (pieces, Problems) {
-	chunks := split(text)
+// The TOML library compares each table with all its siblings. For a tree of
+// 10,000 organisations this takes longer than all other work together, at each
+// of thousands of changes a day. The file is therefore decoded in chunks, and
+// unchanged chunks are reused. A file whose chunks could depend on each other,
+// or that has a problem, is decoded in one run, so that neither the result nor
+// the reported problems depend on where the chunks start.
+func decodeTree(file string, text []byte, doc *document, cached chunkCache) (chunkCache, Problems) {
+	chunks := splitChunks(text)
 	if len(chunks) < 2 {
 		return nil, decode(file, text, doc)
 	}
 
-	var whole document
+	var merged document
 
-	found := make(pieces, len(chunks))
+	decoded := make(chunkCache, len(chunks))
 
 	for _, chunk := range chunks {
 		hash := xxh3.Hash128(chunk)
 
-		part := old.find(hash, chunk)
-		if part == nil {
-			part = &document{}
-			if decodeStrict(chunk, part) != nil || checker.Struct(part) != nil {
+		partial := cached.find(hash, chunk)
+		if partial == nil {
+			partial = &document{}
+			if decodeStrict(chunk, partial) != nil || structValidator.Struct(partial) != nil {
 				return nil, decode(file, text, doc)
 			}
 		}
 
-		found[hash] = piece{chunk, part}
+		decoded[hash] = decodedChunk{chunk, partial}
 
-		whole.merge(part)
+		merged.merge(partial)
 	}
 
-	*doc = whole
+	*doc = merged
 
-	return found, nil
+	return decoded, nil
 }
 
-// split cuts text before headers. It returns nothing for a file with a fault,
-// or with anything but plain keys in tables that are each named once.
-func split(text []byte) [][]byte {
+// splitChunks splits text into chunks before some of its table headers. It returns
+// nil if text is not valid TOML, or has a dotted key, an inline table or a table
+// that is opened twice: the chunks could then depend on each other.
+func splitChunks(text []byte) [][]byte {
 	var (
 		p      unstable.Parser
 		chunks [][]byte
@@ -92,7 +96,7 @@
 
 		switch node.Kind {
 		case unstable.KeyValue:
-			if !plain(node) {
+			if !isPlainKey(node) {
 				return nil
 			}
 		case unstable.Table, unstable.ArrayTable:
@@ -103,7 +107,7 @@
 
 			headers[key] = true
 
-			if cut := bytes.LastIndexByte(text[:at], '\n') + 1; cut > start && cutsAt(text[cut:]) {
+			if cut := bytes.LastIndexByte(text[:at], '\n') + 1; cut > start && isBoundary(text[cut:]) {
 				chunks = append(chunks, text[start:cut])
 				start = cut
 			}
@@ -118,21 +122,22 @@
 	return append(chunks, text[start:])
 }
 
-// cutsAt says whether a file is cut before a table. The table's own text
-// decides, so that one more elsewhere doesn't move all cuts behind it.
-func cutsAt(table []byte) bool {
-	return xxh3.Hash(table[:min(cutBytes, len(table))])%chunkTables == 0
+// isBoundary reports whether a chunk starts at a table. This depends only on the
+// table's own text, so that a table added elsewhere doesn't move the boundaries
+// that follow it.
+func isBoundary(table []byte) bool {
+	return xxh3.Hash(table[:min(boundaryBytes, len(table))])%tablesPerChunk == 0
 }
 
-// plain says whether an expression sets one key of its own table to a value
-// that is no table.
-func plain(node *unstable.Node) bool {
+// isPlainKey reports whether an expression sets an undotted key to a value other
+// than an inline table.
+func isPlainKey(node *unstable.Node) bool {
 	it := node.Key()
 
 	return it.Next() && it.IsLast() && node.Value().Kind != unstable.InlineTable
 }
 
-// decodeStrict reads text into v; an unknown key is an error.
+// decodeStrict decodes text into v; an unknown key is an error.
 func decodeStrict(text []byte, v any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -140,8 +145,8 @@
 	return d.Decode(v)
 }
 
-// merge adds what a later piece of the same file names. It doesn't change the
-// piece, which may belong to an older tree that is in use.
+// merge adds the contents of a later chunk of the same file. It doesn't modify
+// later, which may be shared with an older tree that is still in use.
 func (d *document) merge(later *document) {
 	d.overrides.merge(&later.overrides)
 
@@ -170,7 +175,8 @@
 	a.Workloads = mergeLevels(a.Workloads, b.Workloads, func(a, b *workloadLevel) { a.merge(&b.overrides) })
 }
 
-// mergeLevels returns the levels of both; a is changed and later is not.
+// mergeLevels merges later into a and returns the result; it modifies a but not
+// later.
 func mergeLevels[L any](a, later map[string]L, merge func(a, b *L)) map[string]L {
 	if later == nil {
 		return a
@@ -189,7 +195,7 @@
 	return a
 }
 
-// merge adds what b changes; a and b never change the same value.
+// merge adds the values that b sets. o and b never set the same value.
 func (o *overrides) merge(b *overrides) {
 	if *o == (overrides{}) {
 		*o = *b
--- a/setting/diff.go
+++ b/setting/diff.go
@@ -9,18 +9,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Change is one key that two trees give another value.
+// Change is a key whose value differs between two trees.
 type Change struct {
-	// Key is the dotted key. An object of the world shows by its name, as in
-	// service.booking-api.kind.
+	// Key is the dotted key. An element of an array of tables appears under its
+	// name, as in service.booking-api.kind.
 	Key string `json:"key"`
-	// Before is the value in the older tree, as JSON; empty where the key is new.
+	// Before is the value in the older tree, as JSON; empty if the key was added.
 	Before string `json:"before,omitempty"`
-	// After is the value in the newer tree, as JSON; empty where the key is gone.
+	// After is the value in the newer tree, as JSON; empty if the key was removed.
 	After string `json:"after,omitempty"`
 }
 
-// String returns c as "key: before -> after" with - for what is absent.
+// String returns c as "key: before -> after", with - for a missing value.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %s -> %s", c.Key, orDash(c.Before), orDash(c.After))
 }
@@ -33,22 +33,22 @@
 	return s
 }
 
-// Diff returns the keys that differ from a to b, in order of key. Comments and
-// order don't count. A nil tree has no keys.
+// Diff returns the keys whose values differ from a to b, sorted by key. Comments
+// and the order of keys and tables are ignored. A nil tree has no keys.
 func Diff(a, b *Tree) []Change {
-	before, after := a.flat(), b.flat()
+	before, after := a.flatValues(), b.flatValues()
 
 	var changes []Change
 
-	for key, old := range before {
-		if now, ok := after[key]; !ok || now != old {
-			changes = append(changes, Change{key, old, now})
+	for key, oldValue := range before {
+		if newValue, ok := after[key]; !ok || newValue != oldValue {
+			changes = append(changes, Change{key, oldValue, newValue})
 		}
 	}
 
-	for key, now := range after {
+	for key, newValue := range after {
 		if _, ok := before[key]; !ok {
-			changes = append(changes, Change{key, "", now})
+			changes = append(changes, Change{key, "", newValue})
 		}
 	}
 
@@ -57,15 +57,15 @@
 	return changes
 }
 
-// flat returns the values that t's file names, by dotted key.
-func (t *Tree) flat() map[string]string {
+// flatValues returns the values that t's file sets, as JSON by dotted key.
+func (t *Tree) flatValues() map[string]string {
 	if t == nil {
 		return nil
 	}
 
 	var raw map[string]any
 	if err := toml.Unmarshal(t.text, &raw); err != nil {
-		return nil // t was parsed from the same text
+		return nil // unreachable: t was parsed from the same text
 	}
 
 	values := map[string]string{}
@@ -74,24 +74,25 @@
 	return values
 }
 
-// flatten adds what v holds under key to values.
+// flatten adds v, with everything nested in it, to values under key.
 func flatten(values map[string]string, key string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, child := range v {
-			flatten(values, join(key, name), child)
+			flatten(values, joinKey(key, name), child)
 		}
 	case []any:
 		if !flattenObjects(values, key, v) {
-			values[key] = literal(v)
+			values[key] = jsonText(v)
 		}
 	default:
-		values[key] = literal(v)
+		values[key] = jsonText(v)
 	}
 }
 
-// flattenObjects adds an array of tables by the names of its elements, so that
-// an element moved is no change. It reports false for any other array.
+// flattenObjects adds the elements of an array of tables to values under their
+// names, so that moving an element is not a change. It returns false for an
+// empty array and for an array of other values.
 func flattenObjects(values map[string]string, key string, elements []any) bool {
 	for i, element := range elements {
 		object, ok := element.(map[string]any)
@@ -99,14 +100,15 @@
 			return false
 		}
 
-		flatten(values, join(key, nameOf(object, i)), object)
+		flatten(values, joinKey(key, objectName(object, i)), object)
 	}
 
 	return len(elements) > 0
 }
 
-// nameOf returns the name by which operators know an object.
-func nameOf(object map[string]any, i int) string {
+// objectName returns the name of an element of an array of tables: its name,
+// target, service or pair of data centres, or else its index i.
+func objectName(object map[string]any, i int) string {
 	for _, key := range []string{"name", "target", "service"} {
 		if name, ok := object[key].(string); ok {
 			return name
@@ -114,7 +116,7 @@
 	}
 
 	if between, ok := object["between"].([]any); ok && len(between) == 2 {
-		pair := ends(fmt.Sprint(between[0]), fmt.Sprint(between[1]))
+		pair := sortedPair(fmt.Sprint(between[0]), fmt.Sprint(between[1]))
 
 		return pair[0] + "~" + pair[1]
 	}
@@ -122,7 +124,7 @@
 	return fmt.Sprint(i)
 }
 
-func join(key, name string) string {
+func joinKey(key, name string) string {
 	if key == "" {
 		return name
 	}
@@ -130,7 +132,7 @@
 	return key + "." + name
 }
 
-func literal(v any) string {
+func jsonText(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Sprint(v)
--- a/setting/example.go
+++ b/setting/example.go
@@ -1,9 +1,9 @@
 package setting
 
-import _ "embed" // for the example
+import _ "embed" // for example.toml
 
 //go:embed example.toml
 var example string
 
-// Example returns a tree of a small deployment with a comment at each part.
+// Example returns the commented settings tree of a small deployment, as TOML.
 func Example() string { return example }
--- a/setting/exchange/exchange.go
+++ b/setting/exchange/exchange.go
@@ -1,8 +1,8 @@
-// Package exchange passes published settings between boragehub's processes over
-// their own connections, so that not every process has to poll the log.
+// Package exchange transfers published settings between boragehub processes, so
+// that not every process has to poll the log.
 //
-// Peers is the asking end, which a publication.Follower uses; Answer the other
-// one, which the roles call for conversations that they don't know themselves.
+// Peers is the client side, for a publication.Follower. Answer is the server side,
+// which the roles call for messages that they don't handle themselves.
 package exchange
 
 import (
@@ -16,54 +16,54 @@
 	"boragehub/vm"
 )
 
-// Asker opens conversations; *peer.Dialer is one.
-type Asker interface {
+// Requester sends requests to peers; *peer.Dialer implements it.
+type Requester interface {
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
-// Lister knows the platform's list of VMs; *vm.Follower is one.
-type Lister interface {
+// VMLister returns the platform's VM list; *vm.Follower implements it.
+type VMLister interface {
 	List() *vm.List
 }
 
-// Peers reaches the other processes for a publication.Follower.
+// Peers sends the requests of a publication.Follower to other processes.
 type Peers struct {
-	// Asker opens conversations.
-	Asker Asker
-	// VMs knows where the processes listen.
-	VMs Lister
+	// Asker sends the requests.
+	Asker Requester
+	// VMs resolves VM names to addresses.
+	VMs VMLister
 }
 
 var _ publication.Peers = Peers{}
 
-// Fetch asks the process on vm for the settings after a version.
-func (p Peers) Fetch(ctx context.Context, vm string, after uint64) (publication.Handover, error) {
+// Fetch requests the settings after a version from the process on vm.
+func (p Peers) Fetch(ctx context.Context, vm string, after uint64) (publication.Update, error) {
 	to, err := p.address(vm)
 	if err != nil {
-		return publication.Handover{}, err
+		return publication.Update{}, err
 	}
 
 	m, err := p.Asker.Ask(ctx, to, message.Fetch{After: after})
 	if err != nil {
-		return publication.Handover{}, err
+		return publication.Update{}, err
 	}
 
 	s, err := message.Expect[message.Settings](m)
 	if err != nil {
-		return publication.Handover{}, err
+		return publication.Update{}, err
 	}
 
-	return publication.DecodeHandover(s.Body)
+	return publication.DecodeUpdate(s.Body)
 }
 
-// Push hands settings to the process on vm.
-func (p Peers) Push(ctx context.Context, vm string, h publication.Handover) error {
+// Push sends an update of the settings to the process on vm.
+func (p Peers) Push(ctx context.Context, vm string, u publication.Update) error {
 	to, err := p.address(vm)
 	if err != nil {
 		return err
 	}
 
-	m, err := p.Asker.Ask(ctx, to, message.Settings{Version: h.Version(), Body: h.Encode()})
+	m, err := p.Asker.Ask(ctx, to, message.Settings{Version: u.Version(), Body: u.Encode()})
 	if err != nil {
 		return err
 	}
@@ -76,13 +76,14 @@
 func (p Peers) address(name string) (peer.Address, error) {
 	m, ok := p.VMs.List().Get(name)
 	if !ok || m.SideAddress == "" {
-		return peer.Address{}, failure.New(failure.Unavailable, "VM %s is not on the list", name)
+		return peer.Address{}, failure.New(failure.Unavailable, "VM %s is not on the VM list or has no side address", name)
 	}
 
 	return peer.Address{VM: name, Addr: m.SideAddress}, nil
 }
 
-// Members returns the processes that take part in passing settings on.
+// Members returns the processes that take part in distributing settings: those on
+// VMs with a side address.
 func Members(l *vm.List) []publication.Member {
 	var all []publication.Member
 
@@ -95,30 +96,31 @@
 	return all
 }
 
-// Keeper keeps the settings; *publication.Follower is one.
+// Keeper holds the settings of this process; *publication.Follower implements it.
 type Keeper interface {
-	HandOver(now time.Time, vm string, after uint64) publication.Handover
-	Offer(h publication.Handover) error
+	UpdateFor(now time.Time, vm string, after uint64) publication.Update
+	ApplyUpdate(u publication.Update) error
 }
 
-// Answer returns the answer to a message about settings, and false for others.
+// Answer handles a message about settings and returns the response. It returns
+// false for other messages.
 func Answer(now time.Time, k Keeper, from peer.Identity, m message.Message) (message.Message, bool) {
 	switch m := m.(type) {
 	case message.Fetch:
-		h := k.HandOver(now, from.VM, m.After)
+		u := k.UpdateFor(now, from.VM, m.After)
 
-		return message.Settings{Version: h.Version(), Body: h.Encode()}, true
+		return message.Settings{Version: u.Version(), Body: u.Encode()}, true
 	case message.Settings:
-		return answerOffer(k, m), true
+		return respondToUpdate(k, m), true
 	default:
 		return nil, false
 	}
 }
 
-func answerOffer(k Keeper, m message.Settings) message.Message {
-	h, err := publication.DecodeHandover(m.Body)
+func respondToUpdate(k Keeper, m message.Settings) message.Message {
+	u, err := publication.DecodeUpdate(m.Body)
 	if err == nil {
-		err = k.Offer(h)
+		err = k.ApplyUpdate(u)
 	}
 
 	if err != nil {
--- a/setting/exchange/snapshot.go
+++ b/setting/exchange/snapshot.go
@@ -10,51 +10,52 @@
 	"boragehub/event"
 )
 
-// LeaseName is the lease of the one process that writes the settings again.
+// LeaseName is the name of the lease that the snapshot writer holds.
 const LeaseName = "settings"
 
-// snapshotEvery is how often the holder looks whether a snapshot is due.
-const snapshotEvery = 30 * time.Second
+// snapshotCheckInterval is the time between checks whether a snapshot is due.
+const snapshotCheckInterval = 30 * time.Second
 
-// Fence tells whether this process holds the lease; *lease.Keeper is one.
-type Fence interface {
+// Lease reports whether this process holds the lease; *lease.Keeper implements it.
+type Lease interface {
 	Fence(now time.Time) (uint64, bool)
 }
 
-// Snapshots writes the settings in force again; *publication.Follower does.
-type Snapshots interface {
+// SnapshotWriter writes snapshots of the settings in force; *publication.Follower
+// implements it.
+type SnapshotWriter interface {
 	SnapshotDue(now time.Time) bool
 	Snapshot(ctx context.Context, id string) error
 }
 
-// Snapshotter writes the settings in force into the log again before the log
-// forgets the changes that led to them: a process that starts later could
-// otherwise never learn them. Run is its duty.
+// Snapshotter appends snapshots of the settings in force to the log before the log
+// trims the changes that led to them. Otherwise a process that starts later could
+// never learn the settings.
 type Snapshotter struct {
-	// Lease says whether this process does it.
-	Lease Fence
-	// Settings writes the snapshot.
-	Settings Snapshots
-	// Log takes the events.
+	// Lease decides whether this process writes the snapshots.
+	Lease Lease
+	// Settings writes the snapshots.
+	Settings SnapshotWriter
+	// Log receives the events.
 	Log logr.Logger
 }
 
-// Run looks from time to time whether a snapshot is due, until ctx ends.
+// Run writes a snapshot whenever one is due and the lease is held, until ctx ends.
 func (s *Snapshotter) Run(ctx context.Context) {
-	t := time.NewTicker(snapshotEvery)
+	t := time.NewTicker(snapshotCheckInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-t.C:
-			s.look(ctx, time.Now())
+			s.writeIfDue(ctx, time.Now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Snapshotter) look(ctx context.Context, now time.Time) {
+func (s *Snapshotter) writeIfDue(ctx context.Context, now time.Time) {
 	if _, holds := s.Lease.Fence(now); !holds || !s.Settings.SnapshotDue(now) {
 		return
 	}
--- a/setting/level.go
+++ b/setting/level.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// overrides are the values that one level of the tree changes; nil inherits.
-// Each field bears the name of the field of Values that it overrides, its key
-// and its bounds.
+// overrides are the values that one level of the tree sets; a nil field is
+// inherited. Each field has the same name as the field of Values that it
+// overrides; its tags hold the key and the bounds.
 type overrides struct {
 	Class             *Class    `toml:"class" validate:"omitnil"`
 	Deadline          *Duration `toml:"deadline" validate:"omitnil,gte=10ms,lte=1h"`
@@ -29,7 +29,8 @@
 	IdempotentMethods *[]string `toml:"idempotent_methods" validate:"omitnil,dive,oneof=GET HEAD OPTIONS PUT DELETE POST PATCH"`
 }
 
-// apply returns v with what o changes. It runs when a tree is read, never for a request.
+// apply returns v with the values that o sets. It uses reflection, so it is called
+// when a tree is parsed and never on the request path.
 func (o *overrides) apply(v Values) Values {
 	from := reflect.ValueOf(o).Elem()
 	to := reflect.ValueOf(&v).Elem()
@@ -47,15 +48,16 @@
 	return v
 }
 
-// Duration is a length of time that settings write as text with its unit, such as "30s".
+// Duration is a time.Duration that is written in settings as text with a unit,
+// such as "30s".
 type Duration time.Duration
 
-// MarshalText returns d with its unit.
+// MarshalText returns d in the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText sets d from text with a unit.
+// UnmarshalText parses text with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -67,30 +69,32 @@
 	return nil
 }
 
-// siteLevel is what `[site.NAME]` holds.
+// siteLevel is the content of `[site.NAME]`.
 type siteLevel struct {
 	overrides
 	Services map[string]serviceLevel `toml:"service" validate:"dive,keys,object_name,endkeys"`
 }
 
-// serviceLevel is what `[site.NAME.service.NAME]` holds.
+// serviceLevel is the content of `[site.NAME.service.NAME]`.
 type serviceLevel struct {
 	overrides
 	Organisations map[string]organisationLevel `toml:"organisation" validate:"dive,keys,object_name,endkeys"`
 }
 
-// organisationLevel is what `[site.NAME.service.NAME.organisation.NAME]` holds.
+// organisationLevel is the content of
+// `[site.NAME.service.NAME.organisation.NAME]`.
 type organisationLevel struct {
 	overrides
 	Workloads map[string]workloadLevel `toml:"workload" validate:"dive,keys,object_name,endkeys"`
 }
 
-// workloadLevel is what `[site.NAME.service.NAME.organisation.NAME.workload.NAME]` holds.
+// workloadLevel is the content of
+// `[site.NAME.service.NAME.organisation.NAME.workload.NAME]`.
 type workloadLevel struct {
 	overrides
 }
 
-// Keys returns the keys of Values, in the order of its fields.
+// Keys returns the settings keys of the fields of Values, in their order.
 func Keys() []string {
 	t := reflect.TypeFor[overrides]()
 
@@ -102,8 +106,8 @@
 	return keys
 }
 
-// names says whether o changes the value called key.
-func (o *overrides) names(key string) bool {
+// sets reports whether o sets key. It returns false for an unknown key.
+func (o *overrides) sets(key string) bool {
 	v := reflect.ValueOf(o).Elem()
 
 	for i := range v.NumField() {
@@ -115,45 +119,45 @@
 	return false
 }
 
-// Source returns the level that gives key its value for p: its path, "root" or
-// "default".
+// Source returns the level that sets the value of key that is in force for p:
+// the path of the level, or "root", or "default" if no level sets it.
 func (t *Tree) Source(p Path, key string) string {
-	from := "default"
-	if t.doc.names(key) {
-		from = "root"
+	source := "default"
+	if t.doc.sets(key) {
+		source = "root"
 	}
 
 	site, ok := t.doc.Sites[p.Site]
 	if !ok {
-		return from
+		return source
 	}
 
-	if site.names(key) {
-		from = p.Site
+	if site.sets(key) {
+		source = p.Site
 	}
 
 	service, ok := site.Services[p.Service]
 	if !ok {
-		return from
+		return source
 	}
 
-	if service.names(key) {
-		from = p.Site + "/" + p.Service
+	if service.sets(key) {
+		source = p.Site + "/" + p.Service
 	}
 
 	organisation, ok := service.Organisations[p.Organisation]
 	if !ok {
-		return from
+		return source
 	}
 
-	if organisation.names(key) {
-		from = p.Site + "/" + p.Service + "/" + p.Organisation
+	if organisation.sets(key) {
+		source = p.Site + "/" + p.Service + "/" + p.Organisation
 	}
 
 	workload, ok := organisation.Workloads[p.Workload]
-	if ok && workload.names(key) {
-		from = p.String()
+	if ok && workload.sets(key) {
+		source = p.String()
 	}
 
-	return from
+	return source
 }
--- a/setting/page_test.go
+++ b/setting/page_test.go
@@ -13,12 +13,13 @@
 	"time"
 )
 
-const page = "../docs/CONFIGURATION.md"
+const referencePage = "../docs/CONFIGURATION.md"
 
-var update = flag.Bool("update", false, "write "+page+" anew")
+var update = flag.Bool("update", false, "write "+referencePage+" from the code")
 
-// comments returns the doc comment of each field of the package's structs, as TYPE.FIELD.
-func comments(t *testing.T) map[string]string {
+// fieldComments returns the doc comment of each field of the package's structs, by
+// TYPE.FIELD.
+func fieldComments(t *testing.T) map[string]string {
 	t.Helper()
 
 	texts := map[string]string{}
@@ -48,8 +49,8 @@
 	return texts
 }
 
-// meaning returns a field's comment without the field's name.
-func meaning(texts map[string]string, typ, field string) string {
+// keyMeaning returns a field's doc comment without the field's name and the verb.
+func keyMeaning(texts map[string]string, typ, field string) string {
 	text := strings.TrimPrefix(texts[typ+"."+field], field+" ")
 	for _, verb := range []string{"is ", "are "} {
 		text = strings.TrimPrefix(text, verb)
@@ -58,17 +59,17 @@
 	return strings.ToUpper(text[:1]) + text[1:]
 }
 
-// kind returns what to write in a file for a type.
-func kind(t reflect.Type) string {
+// keyType describes the TOML values of a type.
+func keyType(t reflect.Type) string {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 
 	switch t {
 	case reflect.TypeFor[Duration]():
-		return `time, as "30s"`
+		return `duration, such as "30s"`
 	case reflect.TypeFor[Class]():
-		return "one of " + strings.Join(classWords[:], ", ")
+		return "one of " + strings.Join(classNames[:], ", ")
 	}
 
 	switch t.Kind() {
@@ -87,8 +88,8 @@
 	}
 }
 
-// bounds returns a field's bounds as people write them.
-func bounds(tag string) string {
+// keyBounds describes the bounds in a validate tag.
+func keyBounds(tag string) string {
 	var parts []string
 
 	for rule := range strings.SplitSeq(tag, ",") {
@@ -123,7 +124,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func initial(v any) string {
+func defaultText(v any) string {
 	switch v := v.(type) {
 	case time.Duration:
 		return fmt.Sprintf("%q", v)
@@ -136,8 +137,8 @@
 	}
 }
 
-// table writes the keys of a struct.
-func table(b *strings.Builder, texts map[string]string, typ reflect.Type) {
+// writeKeyTable writes a table of the keys of a struct.
+func writeKeyTable(b *strings.Builder, texts map[string]string, typ reflect.Type) {
 	b.WriteString("| key | type | bounds | meaning |\n| --- | --- | --- | --- |\n")
 
 	for i := range typ.NumField() {
@@ -146,33 +147,33 @@
 			continue
 		}
 
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("toml"), kind(f.Type),
-			bounds(f.Tag.Get("validate")), meaning(texts, typ.Name(), f.Name))
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("toml"), keyType(f.Type),
+			keyBounds(f.Tag.Get("validate")), keyMeaning(texts, typ.Name(), f.Name))
 	}
 
 	b.WriteString("\n")
 }
 
-// document renders the reference from the code.
-func reference(t *testing.T) string {
+// renderReference renders the configuration reference from the code.
+func renderReference(t *testing.T) string {
 	t.Helper()
 
-	texts := comments(t)
+	texts := fieldComments(t)
 
 	var b strings.Builder
 
 	b.WriteString(`# Configuration
 
-Every key of the settings tree and of a process's own file. Written from the
-code by ` + "`go test ./setting -update`" + `; a test keeps both the same.
+Every key of the settings tree and of the process settings file. Generated from the
+code by ` + "`go test ./setting -update`" + `; a test checks that it is up to date.
 
-Names are letters, digits, ` + "`-`" + ` and ` + "`_`" + `, at most 63. Times bear their unit
+Names consist of letters, digits, ` + "`-`" + ` and ` + "`_`" + `, at most 63 characters. Durations have a unit
 (` + "`\"90s\"`, `\"10ms\"`, `\"24h\"`" + `); bytes and tokens are whole numbers. An unknown key is an
-error; every fault is told with file, line and key (` + "`boragehub ctl config check`" + `).
+error; every problem is reported with file, line and key (` + "`boragehub ctl config check`" + `).
 
 ## The tree
 
-Operators publish one tree. A level inherits what it does not change:
+Operators publish one tree. A level inherits the values that it does not set:
 
     KEY = …                                                       the root
     [site.NAME]
@@ -180,9 +181,9 @@
     [site.NAME.service.NAME.organisation.NAME]
     [site.NAME.service.NAME.organisation.NAME.workload.NAME]
 
-` + "`boragehub ctl config show --effective SITE/SERVICE/ORGANISATION/WORKLOAD`" + ` tells
-what is in force for a path and which level says so. A request's workload is
-what its caller names; one that the tree doesn't know inherits from its
+` + "`boragehub ctl config show --effective SITE/SERVICE/ORGANISATION/WORKLOAD`" + ` shows
+the values in force for a path and the level that sets each. The caller names the
+workload of a request. A workload that is not in the tree inherits from its
 organisation, an organisation without a level from the service, and so on.
 
 ### Values of every level
@@ -196,8 +197,8 @@
 
 	for i := range levels.NumField() {
 		f := levels.Field(i)
-		fmt.Fprintf(&b, "| `%s` | %s | `%s` | %s | %s |\n", f.Tag.Get("toml"), kind(f.Type),
-			initial(defaults.Field(i).Interface()), bounds(f.Tag.Get("validate")), meaning(texts, "Values", f.Name))
+		fmt.Fprintf(&b, "| `%s` | %s | `%s` | %s | %s |\n", f.Tag.Get("toml"), keyType(f.Type),
+			defaultText(defaults.Field(i).Interface()), keyBounds(f.Tag.Get("validate")), keyMeaning(texts, "Values", f.Name))
 	}
 
 	b.WriteString("\n")
@@ -206,19 +207,19 @@
 	for i := range doc.NumField() {
 		if f := doc.Field(i); f.Type.Kind() == reflect.Slice {
 			fmt.Fprintf(&b, "### `[[%s]]`\n\n", f.Tag.Get("toml"))
-			table(&b, texts, f.Type.Elem())
+			writeKeyTable(&b, texts, f.Type.Elem())
 		}
 	}
 
-	b.WriteString("### Example\n\nAs `boragehub ctl config example` writes it:\n\n```toml\n" + Example() + "```\n\n")
-	b.WriteString("## A process's own file\n\nWhat a process needs before it can reach the tree. It is read at the start; TLS files\nare read again when they change.\n\n")
-	table(&b, texts, reflect.TypeFor[Process]())
+	b.WriteString("### Example\n\nThe output of `boragehub ctl config example`:\n\n```toml\n" + Example() + "```\n\n")
+	b.WriteString("## A process's own file\n\nThe settings that a process needs before it can fetch the tree. The file is read at the\nstart; TLS files are reloaded when they change.\n\n")
+	writeKeyTable(&b, texts, reflect.TypeFor[Process]())
 
 	process := reflect.TypeFor[Process]()
 	for i := range process.NumField() {
 		if f := process.Field(i); f.Type.Kind() == reflect.Struct {
 			fmt.Fprintf(&b, "### `[%s]`\n\n", f.Tag.Get("toml"))
-			table(&b, texts, f.Type)
+			writeKeyTable(&b, texts, f.Type)
 		}
 	}
 
@@ -226,21 +227,21 @@
 }
 
 func TestPageTellsEveryKey(t *testing.T) {
-	want := reference(t)
+	want := renderReference(t)
 
 	if *update {
-		if err := os.WriteFile(page, []byte(want), 0o644); err != nil {
+		if err := os.WriteFile(referencePage, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 
-	b, err := os.ReadFile(page)
+	b, err := os.ReadFile(referencePage)
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	if got := string(b); got != want {
-		t.Errorf("%s differs from the code; run go test ./setting -update", page)
+		t.Errorf("%s differs from the code; run go test ./setting -update", referencePage)
 	}
 }
 
@@ -272,11 +273,11 @@
 	}
 
 	cases := []struct{ name, from, to, key string }{
-		{"no callers", "callers = \"127.0.0.1:8080\"\n", "", "listen.callers"},
-		{"a side without a target", `role = "entry"`, `role = "side"`, "target.url"},
+		{"entry without a callers address", "callers = \"127.0.0.1:8080\"\n", "", "listen.callers"},
+		{"side process without a target", `role = "entry"`, `role = "side"`, "target.url"},
 		{"unknown role", `role = "entry"`, `role = "king"`, "role"},
-		{"no port", `peers = "127.0.0.1:7000"`, `peers = "127.0.0.1"`, "listen.peers"},
-		{"no URL", `log_url = "http://127.0.0.1:9001"`, `log_url = "log"`, "platform.log_url"},
+		{"address without a port", `peers = "127.0.0.1:7000"`, `peers = "127.0.0.1"`, "listen.peers"},
+		{"not a URL", `log_url = "http://127.0.0.1:9001"`, `log_url = "log"`, "platform.log_url"},
 		{"unknown key", "key_file", "keyfile", "tls.keyfile"},
 	}
 
@@ -286,7 +287,7 @@
 
 			problems := ProblemsOf(err)
 			if len(problems) == 0 || problems[0].Key != c.key {
-				t.Errorf("got %v, want a fault at %s", err, c.key)
+				t.Errorf("got %v, want a problem at %s", err, c.key)
 			}
 		})
 	}
--- a/setting/problem.go
+++ b/setting/problem.go
@@ -15,22 +15,22 @@
 	"boragehub/failure"
 )
 
-// mostProblems bounds how many faults one error tells.
-const mostProblems = 20
+// maxProblems is the maximum number of problems in one error.
+const maxProblems = 20
 
-// Problem is one fault of a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
-	// File is the name that Parse was given.
+	// File is the name that was passed to Parse or ParseProcess.
 	File string `json:"file"`
-	// Line counts from 1; 0 when it is not known.
+	// Line counts from 1; 0 means unknown.
 	Line int `json:"line"`
-	// Key is the dotted key.
+	// Key is the dotted key; empty if the problem belongs to no key.
 	Key string `json:"key"`
-	// Text says what is wrong.
+	// Text describes the problem.
 	Text string `json:"text"`
 }
 
-// String returns p as "file:line: key: text".
+// String returns p as "file:line: key: text", without the key if it is empty.
 func (p Problem) String() string {
 	if p.Key == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Text)
@@ -39,21 +39,21 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Text)
 }
 
-// Problems are the faults of one settings file; as an error it is the cause of
-// a failure.BadSettings.
+// Problems are the problems of one settings file. As an error they are the cause
+// of a failure.BadSettings.
 type Problems []Problem
 
-// Error returns one line for each fault.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
-	for _, one := range p {
-		lines = append(lines, one.String())
+	for _, problem := range p {
+		lines = append(lines, problem.String())
 	}
 
 	return strings.Join(lines, "\n")
 }
 
-// ProblemsOf returns the faults that err tells; none when err has another cause.
+// ProblemsOf returns the Problems that err wraps, or nil if it wraps none.
 func ProblemsOf(err error) Problems {
 	var p Problems
 	if errors.As(err, &p) {
@@ -63,17 +63,18 @@
 	return nil
 }
 
-// refuse returns the failure.BadSettings that tells p; nil when p is empty.
-func refuse(p Problems) error {
+// badSettings returns a failure.BadSettings that wraps the first maxProblems of
+// p, or nil if p is empty.
+func badSettings(p Problems) error {
 	if len(p) == 0 {
 		return nil
 	}
 
-	if len(p) > mostProblems {
-		p = p[:mostProblems]
+	if len(p) > maxProblems {
+		p = p[:maxProblems]
 	}
 
-	return failure.Wrap(failure.BadSettings, p, "the settings have faults (%d)", len(p))
+	return failure.Wrap(failure.BadSettings, p, "the settings have problems (%d)", len(p))
 }
 
 const (
@@ -82,8 +83,8 @@
 	hashPrefix = "sha256:"
 )
 
-// isName says whether s may name an object. A tree has tens of thousands of
-// names, so this is no regular expression.
+// isName reports whether s is a valid object name. A tree has tens of thousands
+// of names, so this is a loop instead of a slower regular expression.
 func isName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -97,7 +98,8 @@
 	return len(s) > 0 && len(s) <= maxName
 }
 
-// isKeyHash says whether s is the hash of a caller's key.
+// isKeyHash reports whether s has the form of a key hash: hashPrefix and
+// hashDigits lower-case hexadecimal digits.
 func isKeyHash(s string) bool {
 	digits, ok := strings.CutPrefix(s, hashPrefix)
 	if !ok || len(digits) != hashDigits {
@@ -113,10 +115,11 @@
 	return true
 }
 
-// checker holds the bounds of all settings; it is safe for concurrent use.
-var checker = newChecker()
+// structValidator checks the bounds in the validate tags of settings. It is safe
+// for concurrent use.
+var structValidator = newValidator()
 
-func newChecker() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		return f.Tag.Get("toml")
@@ -125,52 +128,52 @@
 		return time.Duration(f.Int())
 	}, Duration(0))
 
-	forms := map[string]func(string) bool{"object_name": isName, "key_hash": isKeyHash}
-	for tag, form := range forms {
-		err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return form(f.Field().String()) })
+	rules := map[string]func(string) bool{"object_name": isName, "key_hash": isKeyHash}
+	for tag, valid := range rules {
+		err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return valid(f.Field().String()) })
 		if err != nil {
-			panic(err) // an empty tag, which is seen by the first test run
+			panic(err) // only for an invalid tag name, which any test of the package would hit
 		}
 	}
 
 	return v
 }
 
-// decode reads text into v strictly and checks its bounds.
+// decode decodes text into v, rejecting unknown keys, and checks its bounds.
 func decode(file string, text []byte, v any) Problems {
 	if err := decodeStrict(text, v); err != nil {
-		return decodeProblems(file, err)
+		return decodeErrorProblems(file, err)
 	}
 
-	return check(file, text, v)
+	return checkBounds(file, text, v)
 }
 
-// check checks the bounds of v, which text was decoded into.
-func check(file string, text []byte, v any) Problems {
-	var faults validator.ValidationErrors
+// checkBounds checks the bounds of v, which was decoded from text.
+func checkBounds(file string, text []byte, v any) Problems {
+	var violations validator.ValidationErrors
 
-	err := checker.Struct(v)
+	err := structValidator.Struct(v)
 	if err == nil {
 		return nil
 	}
 
-	if !errors.As(err, &faults) {
+	if !errors.As(err, &violations) {
 		return Problems{{File: file, Text: err.Error()}}
 	}
 
-	lines := lineIndex(text)
-	problems := make(Problems, 0, len(faults))
+	lines := indexKeyLines(text)
+	problems := make(Problems, 0, len(violations))
 
-	for _, f := range faults {
-		key := dotted(f.Namespace())
-		problems = append(problems, Problem{file, lines.of(key), key, bound(f)})
+	for _, f := range violations {
+		key := dottedKey(f.Namespace())
+		problems = append(problems, Problem{file, lines.line(key), key, violation(f)})
 	}
 
 	return problems
 }
 
-// decodeProblems returns what the TOML library found.
-func decodeProblems(file string, err error) Problems {
+// decodeErrorProblems converts an error of the TOML library to Problems.
+func decodeErrorProblems(file string, err error) Problems {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		problems := make(Problems, 0, len(strict.Errors))
@@ -183,18 +186,18 @@
 		return problems
 	}
 
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		line, _ := one.Position()
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
 
-		return Problems{{file, line, strings.Join(one.Key(), "."), strings.TrimPrefix(one.Error(), "toml: ")}}
+		return Problems{{file, line, strings.Join(decodeError.Key(), "."), strings.TrimPrefix(decodeError.Error(), "toml: ")}}
 	}
 
 	return Problems{{File: file, Text: err.Error()}}
 }
 
-// bound says which bound f broke.
-func bound(f validator.FieldError) string {
+// violation describes the bound that f violates.
+func violation(f validator.FieldError) string {
 	value := f.Value()
 	if d, ok := value.(time.Duration); ok {
 		value = d.String()
@@ -204,9 +207,9 @@
 	case "required":
 		return "is required"
 	case "object_name":
-		return fmt.Sprintf("%q is no name: letters, digits, - and _, at most 63", value)
+		return fmt.Sprintf("%q is not a valid name: use letters, digits, - and _, at most 63 characters", value)
 	case "key_hash":
-		return `is no key hash: want "sha256:" and 64 hexadecimal digits`
+		return `is not a key hash: want "sha256:" and 64 hexadecimal digits`
 	case "gte":
 		return fmt.Sprintf("%v is too small, want at least %s", value, f.Param())
 	case "gt":
@@ -216,33 +219,34 @@
 	case "max":
 		return "is too long, want at most " + f.Param()
 	case "oneof":
-		return fmt.Sprintf("%v is none of: %s", value, f.Param())
+		return fmt.Sprintf("%v is not one of: %s", value, f.Param())
 	default:
-		return fmt.Sprintf("%v breaks the rule %s %s", value, f.Tag(), f.Param())
+		return fmt.Sprintf("%v violates the rule %s %s", value, f.Tag(), f.Param())
 	}
 }
 
-// dotted turns a validator's namespace, as `document.overrides.site[a].class`,
-// into the key as operators write it, as `site.a.class`.
-func dotted(namespace string) string {
+// dottedKey converts a namespace of the validator, such as
+// `document.overrides.site[a].class`, to the key in the file, `site.a.class`.
+func dottedKey(namespace string) string {
 	_, key, _ := strings.Cut(namespace, ".")
 	key = strings.NewReplacer("overrides.", "", "[", ".", "]", "").Replace(key)
 
 	return key
 }
 
-// lines gives the line of each key of a file.
-type lines map[string]int
+// keyLines maps the dotted keys of a file to their line numbers.
+type keyLines map[string]int
 
-// lineIndex returns the lines of all keys in text, which is valid TOML.
-func lineIndex(text []byte) lines {
-	index := lines{}
+// indexKeyLines returns the line numbers of all keys in text, which is valid
+// TOML.
+func indexKeyLines(text []byte) keyLines {
+	index := keyLines{}
 	counts := map[string]int{}
 	prefix := ""
 	p := unstable.Parser{}
 
-	// Lines are counted on from the last key, so that a tree of megabytes
-	// with one fault is not read once for each of its keys.
+	// Newlines are counted from the previous key onwards, so that a tree of
+	// several megabytes is scanned once and not once per key.
 	line, offset := 1, 0
 	lineOf := func(at int) int {
 		line += bytes.Count(text[offset:max(at, offset)], []byte{'\n'})
@@ -256,19 +260,19 @@
 	for p.NextExpression() {
 		node := p.Expression()
 		key, at := keyOf(node)
-		here := lineOf(at)
+		keyLine := lineOf(at)
 
 		switch node.Kind {
 		case unstable.Table:
 			prefix = key + "."
-			index[key] = here
+			index[key] = keyLine
 		case unstable.ArrayTable:
 			element := fmt.Sprintf("%s.%d", key, counts[key])
 			counts[key]++
 			prefix = element + "."
-			index[element] = here
+			index[element] = keyLine
 		case unstable.KeyValue:
-			index[prefix+key] = here
+			index[prefix+key] = keyLine
 		default:
 		}
 	}
@@ -276,7 +280,7 @@
 	return index
 }
 
-// keyOf returns the dotted key of an expression and where it starts.
+// keyOf returns the dotted key of an expression and its byte offset in the text.
 func keyOf(node *unstable.Node) (string, int) {
 	var parts []string
 
@@ -294,8 +298,9 @@
 	return strings.Join(parts, "."), max(at, 0)
 }
 
-// of returns the line of key or of the nearest key that holds it.
-func (l lines) of(key string) int {
+// line returns the line of key or, if it has none, of the nearest enclosing key;
+// 0 if neither is known.
+func (l keyLines) line(key string) int {
 	for key != "" {
 		if line, ok := l[key]; ok {
 			return line
--- a/setting/process.go
+++ b/setting/process.go
@@ -7,14 +7,14 @@
 	"boragehub/failure"
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
-// The roles of processes with a settings file.
+// The roles that have a process settings file.
 const (
-	// EntryRole takes callers' requests.
+	// EntryRole accepts callers' requests and routes them to targets.
 	EntryRole Role = "entry"
-	// SideRole guards one target.
+	// SideRole is a side process, which serves one target.
 	SideRole Role = "side"
 )
 
@@ -22,80 +22,82 @@
 type Process struct {
 	// Role is entry or side.
 	Role Role `toml:"role" validate:"required,oneof=entry side"`
-	// VM is the name of the VM that the process runs on.
+	// VM is the name of the process's VM.
 	VM string `toml:"vm" validate:"required,object_name"`
 	// DataCentre is the data centre of the VM.
 	DataCentre string `toml:"data_centre" validate:"required,object_name"`
 	// Site is the site of the data centre.
 	Site string `toml:"site" validate:"required,object_name"`
-	// LogLevel is error, info or debug; empty means info.
+	// LogLevel is the log level; empty means info.
 	LogLevel string `toml:"log_level" validate:"omitempty,oneof=error info debug"`
-	// Listen are the addresses that the process serves on.
+	// Listen holds the listen addresses.
 	Listen Listen `toml:"listen"`
-	// Platform are the systems that the process reads from.
+	// Platform holds the URLs of the platform's services.
 	Platform Platform `toml:"platform"`
-	// Target is what a side process guards; an entry has none.
+	// Target is the target of a side process; an entry has none.
 	Target ProcessTarget `toml:"target"`
-	// TLS are the process's keys.
+	// TLS holds the certificate and key files.
 	TLS TLS `toml:"tls"`
-	// Limits bound what the process takes on.
+	// Limits bounds connections, requests and shutdown times.
 	Limits Limits `toml:"limits"`
 }
 
-// Listen are the addresses that a process serves on, as IP:PORT.
+// Listen holds the listen addresses of a process, as IP:PORT.
 type Listen struct {
-	// Callers is where an entry takes requests.
+	// Callers is the address on which an entry accepts requests.
 	Callers string `toml:"callers" validate:"omitempty,hostname_port"`
-	// Peers is where the process takes the connections of its own kind.
+	// Peers is the address for connections from other boragehub processes.
 	Peers string `toml:"peers" validate:"required,hostname_port"`
-	// Operators is where health, readiness and metrics are served.
+	// Operators is the address that serves health, readiness and metrics.
 	Operators string `toml:"operators" validate:"required,hostname_port"`
 }
 
-// Platform are the systems that a process reads from.
+// Platform holds the URLs of the platform's services that a process uses.
 type Platform struct {
-	// LogURL is the log service.
+	// LogURL is the URL of the log service.
 	LogURL string `toml:"log_url" validate:"required,http_url"`
-	// VMListURL is the list of VMs.
+	// VMListURL is the URL of the VM list.
 	VMListURL string `toml:"vm_list_url" validate:"required,http_url"`
 }
 
-// ProcessTarget is what a side process guards.
+// ProcessTarget is the target of a side process.
 type ProcessTarget struct {
 	// Service is the service that the target belongs to.
 	Service string `toml:"service" validate:"omitempty,object_name"`
-	// Kind is engine or plain; empty means engine.
+	// Kind is the kind of the service; empty means engine.
 	Kind ServiceKind `toml:"kind" validate:"omitempty,oneof=engine plain"`
-	// URL is where the target listens.
+	// URL is the base URL of the target.
 	URL string `toml:"url" validate:"omitempty,http_url"`
 }
 
-// TLS are the files of a process's keys. They are read again when they change.
+// TLS holds the paths of a process's certificate and key files. The files are
+// reloaded when they change.
 type TLS struct {
-	// CAFile holds the certificates that peers' certificates are signed by.
+	// CAFile is the file with the CA certificates that sign peers' certificates.
 	CAFile string `toml:"ca_file" validate:"required"`
-	// CertificateFile holds the process's own certificate.
+	// CertificateFile is the file with the process's own certificate.
 	CertificateFile string `toml:"certificate_file" validate:"required"`
-	// KeyFile holds its private key.
+	// KeyFile is the file with its private key.
 	KeyFile string `toml:"key_file" validate:"required"`
 }
 
-// Limits bound what a process takes on; zero means the default.
+// Limits bounds a process's connections, requests and shutdown times; zero means
+// the default.
 type Limits struct {
-	// MaxConnections bounds the callers' connections.
+	// MaxConnections is the maximum number of callers' connections.
 	MaxConnections int `toml:"max_connections" validate:"gte=0,lte=1000000"`
-	// MaxRequests bounds the requests in work at once.
+	// MaxRequests is the maximum number of requests in flight.
 	MaxRequests int `toml:"max_requests" validate:"gte=0,lte=1000000"`
-	// MaxHeaderBytes bounds a request's header.
+	// MaxHeaderBytes is the maximum size of a request's header.
 	MaxHeaderBytes int `toml:"max_header_bytes" validate:"gte=0,lte=1048576"`
-	// BalancerGrace is how long an entry that stops still takes callers after it
-	// has become unready, so that the platform's balancer has noticed.
+	// BalancerGrace is how long a stopping entry still accepts requests after it
+	// has become unready, so that the platform's load balancer can notice.
 	BalancerGrace Duration `toml:"balancer_grace" validate:"gte=0s,lte=5m"`
-	// DrainTimeout is how long a planned stop waits for requests in work.
+	// DrainTimeout is how long a planned stop waits for requests in flight.
 	DrainTimeout Duration `toml:"drain_timeout" validate:"gte=0s,lte=1h"`
 }
 
-// Defaults of a process's limits.
+// Defaults of a process's limits and log level.
 const (
 	defaultMaxConnections = 10000
 	defaultMaxRequests    = 4096
@@ -105,19 +107,20 @@
 	defaultLogLevel       = "info"
 )
 
-// LoadProcess reads and checks the settings file of one process. The error is
+// LoadProcess reads and validates the settings file of one process. An error is
 // a failure.BadSettings.
 func LoadProcess(file string) (Process, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return Process{}, failure.Wrap(failure.BadSettings, err, "the settings file of the process can't be read")
+		return Process{}, failure.Wrap(failure.BadSettings, err, "cannot read the process settings file")
 	}
 
 	return ParseProcess(file, text)
 }
 
-// ParseProcess checks the text of one process's settings file; name is the
-// file that errors name.
+// ParseProcess parses and validates the text of one process's settings file and
+// sets the defaults. name is the file name for error messages. An error is a
+// failure.BadSettings whose cause is Problems.
 func ParseProcess(name string, text []byte) (Process, error) {
 	var p Process
 
@@ -126,7 +129,7 @@
 		problems = p.checkRole(name, text)
 	}
 
-	if err := refuse(problems); err != nil {
+	if err := badSettings(problems); err != nil {
 		return Process{}, err
 	}
 
@@ -135,17 +138,17 @@
 	return p, nil
 }
 
-// checkRole checks what only one role needs.
+// checkRole checks that the keys that p's role requires are set.
 func (p *Process) checkRole(name string, text []byte) Problems {
-	c := references{file: name, text: text}
+	c := referenceChecker{file: name, text: text}
 
 	switch {
 	case p.Role == EntryRole && p.Listen.Callers == "":
-		c.add("an entry needs it", "listen.callers")
+		c.add("is required for an entry", "listen.callers")
 	case p.Role == SideRole && p.Target.URL == "":
-		c.add("a side process needs it", "target.url")
+		c.add("is required for a side process", "target.url")
 	case p.Role == SideRole && p.Target.Service == "":
-		c.add("a side process needs it", "target.service")
+		c.add("is required for a side process", "target.service")
 	}
 
 	return c.problems
--- a/setting/publication/arrange.go
+++ b/setting/publication/arrange.go
@@ -7,102 +7,105 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Member is a process that takes part in passing settings on.
+// Member is a process that takes part in distributing settings.
 type Member struct {
 	// VM is the name of its VM.
 	VM string
-	// DataCentre is where it stands.
+	// DataCentre is the data centre of the VM.
 	DataCentre string
 }
 
-// Arrangement is from whom a process takes new settings.
-type Arrangement struct {
-	// ReadsLog says that the process reads the log itself.
+// SourcePlan is where a process gets new settings from.
+type SourcePlan struct {
+	// ReadsLog is true if the process reads the log itself.
 	ReadsLog bool
-	// Sources are the VMs to ask, the preferred one first.
+	// Sources are the VMs to poll, in order of preference.
 	Sources []string
 }
 
 const (
-	// logReaders is how many processes of a data centre read the log; the
-	// second stands in while the first is down.
+	// logReaders is how many processes of a data centre read the log; with two, one
+	// may be down.
 	logReaders = 2
-	// fanOut is how many processes ask the same one while all are up.
+	// fanOut is how many processes poll the same one while all are up.
 	fanOut = 4
-	// maxSources bounds whom a process asks before it reads the log itself.
+	// maxSources is the maximum number of sources of a process. If none responds,
+	// it reads the log itself.
 	maxSources = 6
 )
 
-// Arrange returns from whom self takes new settings.
+// PlanSources returns where self gets new settings from.
 //
-// The members of a data centre stand in the order of a hash of their names; the
-// first ones read the log and each other asks one that stands before it, so
-// that processes whose lists differ for a while never ask each other in a
-// circle. Those that read the log ask each other, and then their like in the
-// other data centres, while the log is out.
-func Arrange(self Member, members []Member) Arrangement {
-	own := ranked(self, members)
-	rank := slices.Index(own, self.VM)
+// The members of a data centre are ordered by a hash of their names and form a
+// tree: the first logReaders read the log, and each other member polls members of a
+// lower rank. Processes whose member lists differ for a while therefore never poll
+// each other in a cycle. While the log is down, its readers poll each other and
+// then the readers in the other data centres.
+func PlanSources(self Member, members []Member) SourcePlan {
+	local := rankedMembers(self, members)
+	rank := slices.Index(local, self.VM)
 
 	if rank < logReaders {
-		a := Arrangement{ReadsLog: true}
-		for _, vm := range own[:min(logReaders, len(own))] {
+		plan := SourcePlan{ReadsLog: true}
+		for _, vm := range local[:min(logReaders, len(local))] {
 			if vm != self.VM {
-				a.Sources = append(a.Sources, vm)
+				plan.Sources = append(plan.Sources, vm)
 			}
 		}
 
-		a.Sources = append(a.Sources, readersElsewhere(self, members)...)
-		a.Sources = a.Sources[:min(maxSources, len(a.Sources))]
+		plan.Sources = append(plan.Sources, remoteReaders(self, members)...)
+		plan.Sources = plan.Sources[:min(maxSources, len(plan.Sources))]
 
-		return a
+		return plan
 	}
 
-	var a Arrangement
+	var plan SourcePlan
 
 	add := func(i int) {
-		if !slices.Contains(a.Sources, own[i]) && len(a.Sources) < maxSources {
-			a.Sources = append(a.Sources, own[i])
+		if !slices.Contains(plan.Sources, local[i]) && len(plan.Sources) < maxSources {
+			plan.Sources = append(plan.Sources, local[i])
 		}
 	}
 
-	// The way up, then the neighbours of the one above: these have other ways up.
-	parent := above(rank)
-	for i := parent; i >= logReaders; i = above(i) {
+	// First the ancestors and the log readers, then the members ranked just below
+	// the parent, which may have other parents.
+	parent := parentRank(rank)
+	for i := parent; i >= logReaders; i = parentRank(i) {
 		add(i)
 	}
 
 	for i := range logReaders {
-		add((above(rank) + i) % logReaders)
+		add((parentRank(rank) + i) % logReaders)
 	}
 
 	for i := parent - 1; i >= max(parent-fanOut, 0); i-- {
 		add(i)
 	}
 
-	return a
+	return plan
 }
 
-// above returns the rank of the process that the one at rank asks.
-func above(rank int) int { return (rank - logReaders) / fanOut }
+// parentRank returns the rank of the process that the one at rank polls.
+func parentRank(rank int) int { return (rank - logReaders) / fanOut }
 
-// ranked returns the VMs of self's data centre in the order of their hashes.
-func ranked(self Member, members []Member) []string {
-	own := []string{self.VM}
+// rankedMembers returns the VMs of self's data centre ordered by compareHash.
+func rankedMembers(self Member, members []Member) []string {
+	local := []string{self.VM}
 
 	for _, m := range members {
 		if m.DataCentre == self.DataCentre && m.VM != self.VM {
-			own = append(own, m.VM)
+			local = append(local, m.VM)
 		}
 	}
 
-	slices.SortFunc(own, byHash)
+	slices.SortFunc(local, compareHash)
 
-	return slices.Compact(own)
+	return slices.Compact(local)
 }
 
-// byHash orders names by their hashes; the same at every process.
-func byHash(a, b string) int {
+// compareHash compares names by their hashes, which gives every process the same
+// order.
+func compareHash(a, b string) int {
 	if c := cmp.Compare(xxh3.HashString(a), xxh3.HashString(b)); c != 0 {
 		return c
 	}
@@ -110,22 +113,22 @@
 	return cmp.Compare(a, b)
 }
 
-// readersElsewhere returns the processes that read the log in the other data
-// centres, one of each before the second of any.
-func readersElsewhere(self Member, members []Member) []string {
-	centres := map[string][]string{}
+// remoteReaders returns the log readers of the other data centres: first one of
+// each data centre, then the second of each.
+func remoteReaders(self Member, members []Member) []string {
+	byDataCentre := map[string][]string{}
 
 	for _, m := range members {
 		if m.DataCentre != self.DataCentre {
-			centres[m.DataCentre] = append(centres[m.DataCentre], m.VM)
+			byDataCentre[m.DataCentre] = append(byDataCentre[m.DataCentre], m.VM)
 		}
 	}
 
-	names := make([]string, 0, len(centres))
-	for name, vms := range centres {
+	names := make([]string, 0, len(byDataCentre))
+	for name, vms := range byDataCentre {
 		names = append(names, name)
 
-		slices.SortFunc(vms, byHash)
+		slices.SortFunc(vms, compareHash)
 	}
 
 	slices.Sort(names)
@@ -134,8 +137,8 @@
 
 	for i := range logReaders {
 		for _, name := range names {
-			if i < len(centres[name]) {
-				readers = append(readers, centres[name][i])
+			if i < len(byDataCentre[name]) {
+				readers = append(readers, byDataCentre[name][i])
 			}
 		}
 	}
--- a/setting/publication/assembler.go
+++ b/setting/publication/assembler.go
@@ -2,68 +2,69 @@
 
 import "bytes"
 
-// assembler puts the records of one kind together that stand in several parts.
+// assembler assembles the records of one kind that consist of several parts.
 //
-// The parts must follow each other. Otherwise a process that starts from a
-// snapshot between two of them would miss the first, and decide otherwise than
-// the rest. A part that comes twice, after an append whose answer was lost,
-// does no harm.
+// The parts must be contiguous among the records of that kind. Otherwise a process
+// that starts from a snapshot between two parts would miss the first and decide
+// differently from the others. A part that was appended twice, after a lost
+// response, is ignored.
 type assembler struct {
-	open *assembly
+	current *partialRecord
 }
 
-// assembly is a record of which parts are missing.
-type assembly struct {
+// partialRecord is a record whose remaining parts, from next on, are missing.
+type partialRecord struct {
 	record
 	next int
 }
 
-// decodeRecord reads a record; false means that it is none of ours.
+// decodeRecord decodes a record; false means that data is not a valid record.
 func decodeRecord(data []byte) (record, bool) {
-	var one record
-	if err := decoding.Unmarshal(data, &one); err != nil {
-		return one, false
+	var rec record
+	if err := decMode.Unmarshal(data, &rec); err != nil {
+		return rec, false
 	}
 
-	ok := one.Parts >= 1 && one.Parts <= maxParts && one.Part >= 0 && one.Part < one.Parts
+	ok := rec.Parts >= 1 && rec.Parts <= maxParts && rec.Part >= 0 && rec.Part < rec.Parts
 
-	return one, ok
+	return rec, ok
 }
 
-// take adds a part. It returns the record when it is whole, and the one that
-// was given up because another came between its parts.
-func (a *assembler) take(offset uint64, part record) (whole, lost *record) {
-	o := a.open
-	mine := o != nil && o.ID == part.ID && o.Parts == part.Parts
+// add adds a part. It returns the record if that completes it, and a record that is
+// dropped: the incomplete one that part doesn't continue, or part itself if the
+// parts before it are missing.
+func (a *assembler) add(offset uint64, part record) (complete, dropped *record) {
+	o := a.current
+	sameRecord := o != nil && o.ID == part.ID && o.Parts == part.Parts
 
 	switch {
-	case mine && part.Part < o.next:
+	case sameRecord && part.Part < o.next:
 		return nil, nil
-	case mine && part.Part == o.next:
+	case sameRecord && part.Part == o.next:
 		o.Payload = append(o.Payload, part.Payload...)
 		o.next++
 	default:
 		if o != nil {
-			lost = &o.record
+			dropped = &o.record
 		}
 
 		if part.Part != 0 {
-			a.open = nil
+			a.current = nil
 
 			return nil, &part
 		}
 
-		o = &assembly{record: part, next: 1}
+		o = &partialRecord{record: part, next: 1}
 		o.start = offset
 		o.Payload = bytes.Clone(part.Payload)
-		a.open = o
+		a.current = o
 	}
 
 	if o.next < o.Parts {
-		return nil, lost
+		return nil, dropped
 	}
 
-	a.open = nil
+	a.current = nil
 
-	return &o.record, lost
+	return &o.record, dropped
 }
--- a/setting/publication/follower.go
+++ b/setting/publication/follower.go
@@ -17,43 +17,46 @@
 	"boragehub/setting"
 )
 
-// Peers is how a Follower reaches the other processes.
+// Peers sends the requests of a Follower to other processes.
 type Peers interface {
-	// Fetch asks the process on vm for the settings after a version.
-	Fetch(ctx context.Context, vm string, after uint64) (Handover, error)
-	// Push hands settings to the process on vm.
-	Push(ctx context.Context, vm string, h Handover) error
+	// Fetch requests the settings after a version from the process on vm.
+	Fetch(ctx context.Context, vm string, after uint64) (Update, error)
+	// Push sends an update of the settings to the process on vm.
+	Push(ctx context.Context, vm string, u Update) error
 }
 
 // Defaults of FollowerConfig.
 const (
-	DefaultPull    = 4 * time.Second
-	DefaultWait    = 10 * time.Second
-	DefaultTimeout = 2 * time.Second
+	DefaultPullInterval = 4 * time.Second
+	DefaultLogWait      = 10 * time.Second
+	DefaultTimeout      = 2 * time.Second
 )
 
-// FollowerConfig says what a Follower reads from and whom it talks to.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	// Log is the log service.
 	Log Log
 	// Self is this process.
 	Self Member
-	// Members returns the processes that are known now; nil means that this one is alone.
+	// Members returns the processes known at present; nil means only this one.
 	Members func() []Member
-	// Peers reaches them; nil means that there are none.
+	// Peers sends requests to them; nil means that no peer is polled or pushed to.
 	Peers Peers
 	// Clock returns the present time; nil means time.Now.
 	Clock func() time.Time
-	// Pull is the time between two questions to a peer; zero is DefaultPull.
-	Pull time.Duration
-	// Wait is how long a read of the log waits for records; zero is DefaultWait.
-	Wait time.Duration
-	// Timeout bounds one exchange with a peer; zero is DefaultTimeout.
+	// PullInterval is the time between two polls of peers; 0 means
+	// DefaultPullInterval.
+	PullInterval time.Duration
+	// LogWait is how long a read of the log waits for records; 0 means
+	// DefaultLogWait.
+	LogWait time.Duration
+	// Timeout is the maximum time of one request to a peer; 0 means
+	// DefaultTimeout.
 	Timeout time.Duration
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger logr.Logger
-	// Changed is called with each version that comes into force, in order; it
-	// must return soon. May be nil.
+	// Changed is called with each version that comes into force, in order. It must
+	// not block for long. May be nil.
 	Changed func(*Published)
 }
 
@@ -66,12 +69,12 @@
 		c.Clock = time.Now
 	}
 
-	if c.Pull <= 0 {
-		c.Pull = DefaultPull
+	if c.PullInterval <= 0 {
+		c.PullInterval = DefaultPullInterval
 	}
 
-	if c.Wait <= 0 {
-		c.Wait = DefaultWait
+	if c.LogWait <= 0 {
+		c.LogWait = DefaultLogWait
 	}
 
 	if c.Timeout <= 0 {
@@ -83,45 +86,46 @@
 
 // Bounds of a Follower.
 const (
-	// mostRecords is how many records one read takes.
-	mostRecords = 500
-	// maxAskers bounds how many processes are pushed to.
-	maxAskers = 64
-	// askerMemory is after how many pull intervals without a question a
-	// process is no longer pushed to.
-	askerMemory = 3
-	// sourcePause is how long a source that gave no answer is asked last.
-	sourcePause = 30 * time.Second
-	// logBackoff is how long a Follower leaves a log alone that failed.
+	// maxReadRecords is the maximum number of records in one read of the log.
+	maxReadRecords = 500
+	// maxSubscribers is the maximum number of processes that are pushed to.
+	maxSubscribers = 64
+	// subscriberIntervals is the number of pull intervals without a request after
+	// which a process is no longer pushed to.
+	subscriberIntervals = 3
+	// sourceBackoff is how long a source that did not respond is tried last.
+	sourceBackoff = 30 * time.Second
+	// logBackoff is the pause after a failed read of the log.
 	logBackoff = time.Second
 )
 
-// Follower holds the version in force at one process. Use NewFollower.
+// Follower holds the version in force at one process and keeps it up to date.
+// NewFollower creates one.
 type Follower struct {
-	cfg     FollowerConfig
-	current atomic.Pointer[Published]
-	news    *ring.Ring[uint64]
-	// partBytes bounds one record of a snapshot.
+	cfg        FollowerConfig
+	current    atomic.Pointer[Published]
+	newVersion *ring.Ring[uint64]
+	// partBytes is the maximum payload of one record of a snapshot.
 	partBytes int
 
-	// forcing is held while a version is read and brought into force, so that
-	// they follow each other in order.
-	forcing sync.Mutex
-	// understood is the newest version that this release could read or failed to.
-	understood uint64
+	// activateMu is held while a version is parsed and brought into force, so that
+	// versions come into force in order.
+	activateMu sync.Mutex
+	// lastParsed is the newest version that was parsed, successfully or not.
+	lastParsed uint64
 
 	mu      sync.Mutex
 	replica *replica
-	// told is the newest version that the duty which passes on was told of.
-	told   uint64
-	askers map[string]asker
-	// failed tells when a source last gave no answer.
-	failed map[string]time.Time
-	logOut bool
+	// announced is the newest version that pushLoop was notified of.
+	announced   uint64
+	subscribers map[string]subscriber
+	// failedAt is when a source last failed to respond, by VM.
+	failedAt map[string]time.Time
+	logDown  bool
 }
 
-// asker is a process that took settings from this one.
-type asker struct {
+// subscriber is a process that polled this one.
+type subscriber struct {
 	version uint64
 	seen    time.Time
 }
@@ -129,73 +133,74 @@
 // NewFollower returns a Follower without a version.
 func NewFollower(cfg FollowerConfig) *Follower {
 	f := &Follower{
-		cfg:       cfg.withDefaults(),
-		partBytes: partBytes,
-		news:      ring.New[uint64](1),
-		replica:   newReplica(),
-		askers:    map[string]asker{},
-		failed:    map[string]time.Time{},
+		cfg:         cfg.withDefaults(),
+		partBytes:   partBytes,
+		newVersion:  ring.New[uint64](1),
+		replica:     newReplica(),
+		subscribers: map[string]subscriber{},
+		failedAt:    map[string]time.Time{},
 	}
-	f.replica.decided = f.logRefusal
-	f.replica.diverged = func(offset uint64) {
+	f.replica.onDecision = f.logRefusal
+	f.replica.onDivergence = func(offset uint64) {
 		event.Log(f.cfg.Logger, event.SettingsDiverged, "offset", offset, "version", f.replica.head.version)
 	}
 
 	return f
 }
 
-// Current returns the version in force, nil before there is one. It takes no lock.
+// Current returns the version in force, or nil before there is one. It takes no
+// lock.
 func (f *Follower) Current() *Published { return f.current.Load() }
 
-// Ready says whether there is a version in force. A process without one
-// declines all work, since it would run with limits that nobody wished.
+// Ready reports whether there is a version in force. A process without one refuses
+// all work, since it would run with limits that no operator has set.
 func (f *Follower) Ready() bool { return f.Current() != nil }
 
 // Run keeps the version in force up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 
-	wg.Go(func() { f.keepUp(ctx) })
-	wg.Go(func() { f.passOn(ctx) })
+	wg.Go(func() { f.pullLoop(ctx) })
+	wg.Go(func() { f.pushLoop(ctx) })
 	wg.Wait()
 }
 
-// keepUp is the duty that takes new versions from the log or from peers.
-func (f *Follower) keepUp(ctx context.Context) {
-	// Processes that start together would ask together ever after. The first
-	// interval is cut short by a part of it that depends on the name.
-	interval := time.Duration(xxh3.HashString(f.cfg.Self.VM) % uint64(f.cfg.Pull))
+// pullLoop takes new versions from the log or from peers until ctx ends.
+func (f *Follower) pullLoop(ctx context.Context) {
+	// Processes that start together would always poll at the same time. The first
+	// interval is therefore shortened by an amount that depends on the VM's name.
+	interval := time.Duration(xxh3.HashString(f.cfg.Self.VM) % uint64(f.cfg.PullInterval))
 
 	for ctx.Err() == nil {
-		arrangement := Arrange(f.cfg.Self, f.cfg.Members())
+		plan := PlanSources(f.cfg.Self, f.cfg.Members())
 
-		if arrangement.ReadsLog {
-			if f.readLog(ctx, f.cfg.Wait) == nil {
+		if plan.ReadsLog {
+			if f.readLog(ctx, f.cfg.LogWait) == nil {
 				continue
 			}
 
-			f.pull(ctx, arrangement)
+			f.pull(ctx, plan)
 			pause.For(ctx, logBackoff)
 
 			continue
 		}
 
-		// The log is the last resort, so that a process whose sources are all
-		// gone, or not yet known to it, isn't left behind.
-		if !f.pull(ctx, arrangement) {
-			_ = f.readLog(ctx, 0) // the event has been logged
+		// If no source responds, this process reads the log itself, so that it
+		// keeps up even if its sources have all failed or are not yet known.
+		if !f.pull(ctx, plan) {
+			_ = f.readLog(ctx, 0) // noteLogState has logged an error
 		}
 
 		pause.For(ctx, interval)
 
-		interval = f.cfg.Pull
+		interval = f.cfg.PullInterval
 	}
 }
 
-// passOn is the duty that pushes new versions to those who asked lately.
-func (f *Follower) passOn(ctx context.Context) {
+// pushLoop pushes new versions to the subscribers until ctx ends.
+func (f *Follower) pushLoop(ctx context.Context) {
 	for {
-		if _, ok := f.news.Take(ctx); !ok {
+		if _, ok := f.newVersion.Take(ctx); !ok {
 			return
 		}
 
@@ -203,60 +208,60 @@
 	}
 }
 
-// readLog takes in one batch of the log.
+// readLog reads and applies one batch of the log.
 func (f *Follower) readLog(ctx context.Context, wait time.Duration) error {
 	f.mu.Lock()
-	from := f.replica.from()
+	from := f.replica.nextOffset()
 	f.mu.Unlock()
 
-	batch, err := f.cfg.Log.Read(ctx, Stream, from, mostRecords, wait)
+	batch, err := f.cfg.Log.Read(ctx, Stream, from, maxReadRecords, wait)
 
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
 		batch, err = journal.Batch{First: trimmed.First}, nil
 	}
 
-	f.noteLog(ctx, err)
+	f.noteLogState(ctx, err)
 
 	if err != nil {
 		return err
 	}
 
-	f.take(batch)
-	f.enforce()
+	f.applyBatch(batch)
+	f.activate()
 
 	return nil
 }
 
-// take decides on the records of a batch.
-func (f *Follower) take(batch journal.Batch) {
+// applyBatch processes the records of a batch.
+func (f *Follower) applyBatch(batch journal.Batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if batch.First > f.replica.from() {
-		event.Log(f.cfg.Logger, event.SettingsTrimmed, "wanted", f.replica.from(), "kept_from", batch.First)
-		f.replica.trimmed(batch.First)
+	if batch.First > f.replica.nextOffset() {
+		event.Log(f.cfg.Logger, event.SettingsTrimmed, "wanted", f.replica.nextOffset(), "kept_from", batch.First)
+		f.replica.markTrimmed(batch.First)
 	}
 
-	f.replica.kept = max(f.replica.kept, batch.First)
+	f.replica.oldestOffset = max(f.replica.oldestOffset, batch.First)
 
 	for _, rec := range batch.Records {
-		f.replica.feed(rec)
+		f.replica.process(rec)
 	}
 
-	f.tell()
+	f.announce()
 }
 
-// tell lets the duty that passes versions on look for news. The caller holds mu.
-func (f *Follower) tell() {
-	if f.replica.head.version > f.told {
-		f.told = f.replica.head.version
-		f.news.Offer(f.told)
+// announce notifies pushLoop if head has advanced. The caller holds mu.
+func (f *Follower) announce() {
+	if f.replica.head.version > f.announced {
+		f.announced = f.replica.head.version
+		f.newVersion.Offer(f.announced)
 	}
 }
 
-// noteLog logs when the log goes away and comes back, once each.
-func (f *Follower) noteLog(ctx context.Context, err error) {
+// noteLogState logs the start and the end of an outage of the log, once each.
+func (f *Follower) noteLogState(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -264,38 +269,38 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	switch out := err != nil; {
-	case out && !f.logOut:
+	switch down := err != nil; {
+	case down && !f.logDown:
 		event.Fail(f.cfg.Logger, err, event.SettingsLogLost, "version", f.replica.head.version)
-	case !out && f.logOut:
+	case !down && f.logDown:
 		event.Log(f.cfg.Logger, event.SettingsLogBack, "version", f.replica.head.version)
 	}
 
-	f.logOut = err != nil
+	f.logDown = err != nil
 }
 
-// enforce brings head into force. Reading a large tree takes a while, during
-// which others are served and the version is passed on.
-func (f *Follower) enforce() {
-	f.forcing.Lock()
-	defer f.forcing.Unlock()
+// activate brings head into force. Parsing a large tree takes a while, so mu is not
+// held meanwhile: peers are served and the version is distributed.
+func (f *Follower) activate() {
+	f.activateMu.Lock()
+	defer f.activateMu.Unlock()
 
 	f.mu.Lock()
 	h := f.replica.head
 	f.mu.Unlock()
 
-	if h.version <= f.understood {
+	if h.version <= f.lastParsed {
 		return
 	}
 
-	f.understood = h.version
+	f.lastParsed = h.version
 
-	var last *setting.Tree
+	var previous *setting.Tree
 	if p := f.Current(); p != nil {
-		last = p.tree
+		previous = p.tree
 	}
 
-	tree, err := last.Next("settings", h.text)
+	tree, err := previous.ParseUpdate("settings", h.text)
 	if err != nil {
 		event.Fail(f.cfg.Logger, err, event.SettingsNotUnderstood, "version", h.version, "author", h.author)
 
@@ -306,20 +311,20 @@
 	f.current.Store(p)
 
 	event.Log(f.cfg.Logger, event.SettingsInForce, "version", h.version, "based", h.based,
-		"author", h.author, "note", h.note, "hash", h.hash.String()[:shownHash])
+		"author", h.author, "note", h.note, "hash", h.hash.String()[:shownHashDigits])
 
 	if f.cfg.Changed != nil {
 		f.cfg.Changed(p)
 	}
 }
 
-// shownHash is how many digits of a hash a log line shows.
-const shownHash = 12
+// shownHashDigits is how many digits of a hash a log line shows.
+const shownHashDigits = 12
 
 // logRefusal logs a change that was not accepted.
-func (f *Follower) logRefusal(v verdict) {
-	if v.reason != accepted {
-		event.Log(f.cfg.Logger, event.SettingsRefused, "offset", v.offset, "author", v.author,
-			"based", v.based, "in_force", v.inForce, "reason", v.reason.String())
+func (f *Follower) logRefusal(d decision) {
+	if d.reason != accepted {
+		event.Log(f.cfg.Logger, event.SettingsRefused, "offset", d.offset, "author", d.author,
+			"based", d.based, "in_force", d.inForce, "reason", d.reason.String())
 	}
 }
--- a/setting/publication/handover.go
+++ b/setting/publication/handover.go
@@ -8,8 +8,9 @@
 	"boragehub/setting"
 )
 
-// step leads from one version to the next.
-type step struct {
+// delta is an accepted change as peers exchange it. Payload is the encoded content,
+// a patch of version Based or the full text.
+type delta struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Based   uint64 `cbor:"2,keyasint"`
 	Author  string `cbor:"3,keyasint,omitempty"`
@@ -19,152 +20,157 @@
 	Payload []byte `cbor:"7,keyasint"`
 }
 
-// Handover is what one process tells another of the settings: the steps from
-// the other's version, or the whole text where they are no longer kept.
-type Handover struct {
+// Update is what one process sends another to bring its settings up to date: the
+// deltas after the version of the other, or one delta with the full text if those
+// are no longer kept. read is an offset at which version is in force.
+type Update struct {
 	version uint64
 	read    uint64
-	steps   []step
+	deltas  []delta
 }
 
-// wireHandover is the CBOR form of a Handover.
-type wireHandover struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Read    uint64 `cbor:"2,keyasint"`
-	Steps   []step `cbor:"3,keyasint,omitempty"`
+// wireUpdate is the CBOR form of an Update.
+type wireUpdate struct {
+	Version uint64  `cbor:"1,keyasint"`
+	Read    uint64  `cbor:"2,keyasint"`
+	Deltas  []delta `cbor:"3,keyasint,omitempty"`
 }
 
-// Version returns the version that h leads to; zero when the sender has none.
-func (h Handover) Version() uint64 { return h.version }
+// Version returns the version after u is applied; 0 if the sender has none.
+func (u Update) Version() uint64 { return u.version }
 
-// Empty says that h tells nothing beyond its version.
-func (h Handover) Empty() bool { return len(h.steps) == 0 }
+// Empty reports whether u has no deltas, only the version of the sender.
+func (u Update) Empty() bool { return len(u.deltas) == 0 }
 
-// Encode returns h as CBOR.
-func (h Handover) Encode() []byte {
-	return encode(wireHandover{h.version, h.read, h.steps})
+// Encode returns u as CBOR.
+func (u Update) Encode() []byte {
+	return encode(wireUpdate{u.version, u.read, u.deltas})
 }
 
-// DecodeHandover reads what Encode wrote. The error is a failure.BadMessage.
-func DecodeHandover(b []byte) (Handover, error) {
-	var w wireHandover
-	if err := decoding.Unmarshal(b, &w); err != nil {
-		return Handover{}, failure.Wrap(failure.BadMessage, err, "settings that a peer handed on can't be read")
+// DecodeUpdate decodes the result of Encode. An error is a failure.BadMessage.
+func DecodeUpdate(b []byte) (Update, error) {
+	var w wireUpdate
+	if err := decMode.Unmarshal(b, &w); err != nil {
+		return Update{}, failure.Wrap(failure.BadMessage, err, "cannot decode the settings update of a peer")
 	}
 
-	return Handover{w.Version, w.Read, w.Steps}, nil
+	return Update{w.Version, w.Read, w.Deltas}, nil
 }
 
-// handover returns what leads a peer on from version after.
-func (r *replica) handover(after uint64) Handover {
-	h := Handover{version: r.head.version, read: max(r.sure(), r.head.version)}
+// updateFrom returns the update for a peer that has version after.
+func (r *replica) updateFrom(after uint64) Update {
+	u := Update{version: r.head.version, read: max(r.safeOffset(), r.head.version)}
 
 	if after >= r.head.version {
-		return h
+		return u
 	}
 
-	from := slices.IndexFunc(r.steps, func(s step) bool { return s.Based == after })
+	from := slices.IndexFunc(r.deltas, func(d delta) bool { return d.Based == after })
 	if from >= 0 {
-		h.steps = slices.Clone(r.steps[from:])
+		u.deltas = slices.Clone(r.deltas[from:])
 
-		return h
+		return u
 	}
 
-	if r.whole == nil {
-		r.whole = encode(content{Full: deflate(r.head.text), Whole: true})
+	if r.fullPayload == nil {
+		r.fullPayload = encode(content{Full: compress(r.head.text), IsFull: true})
 	}
 
-	h.steps = []step{{
+	u.deltas = []delta{{
 		Version: r.head.version, Based: r.head.based, Author: r.head.author, Note: r.head.note,
-		AtMS: r.head.at.UnixMilli(), Hash: slices.Clone(r.head.hash[:]), Payload: r.whole,
+		AtMS: r.head.at.UnixMilli(), Hash: slices.Clone(r.head.hash[:]), Payload: r.fullPayload,
 	}}
 
-	return h
+	return u
 }
 
-// adopt takes what a peer handed on and reports whether head rose. A version
-// below head is ignored: a peer that lags must not take back what is in force.
-func (r *replica) adopt(h Handover) (bool, error) {
-	if h.version < r.head.version {
+// applyUpdate applies an update from a peer and reports whether head advanced. An
+// update below head's version is ignored: a peer that lags must not revert the
+// version in force.
+func (r *replica) applyUpdate(u Update) (bool, error) {
+	if u.version < r.head.version {
 		return false, nil
 	}
 
-	old := r.head.version
+	oldVersion := r.head.version
 
-	next, steps, err := r.follow(h)
+	next, deltas, err := r.applyDeltas(u)
 	if err != nil {
 		return false, err
 	}
 
-	if next.version != h.version {
-		return false, nil // steps are missing between; the next pull asks for them
+	if next.version != u.version {
+		return false, nil // deltas in between are missing; the next poll fetches them
 	}
 
-	if next.version > old {
-		r.whole = nil
+	if next.version > oldVersion {
+		r.fullPayload = nil
 	}
 
 	r.head = next
-	r.steps = steps
-	r.catchUp(h.read)
+	r.deltas = deltas
+	r.advanceRead(u.read)
 
-	return r.head.version > old, nil
+	return r.head.version > oldVersion, nil
 }
 
-// follow returns the head that h's steps lead to, with the steps to keep.
-func (r *replica) follow(h Handover) (head, []step, error) {
-	next, steps := r.head, r.steps
+// applyDeltas returns the head after applying the deltas of u, and the deltas to
+// keep. It stops at the first delta whose base is missing.
+func (r *replica) applyDeltas(u Update) (head, []delta, error) {
+	next, deltas := r.head, r.deltas
 
-	for _, s := range h.steps {
-		if s.Version <= next.version {
+	for _, d := range u.deltas {
+		if d.Version <= next.version {
 			continue
 		}
 
 		var c content
-		if err := decoding.Unmarshal(s.Payload, &c); err != nil {
-			return next, nil, failure.Wrap(failure.BadMessage, err, "settings that a peer handed on can't be read")
+		if err := decMode.Unmarshal(d.Payload, &c); err != nil {
+			return next, nil, failure.Wrap(failure.BadMessage, err, "cannot decode the settings update of a peer")
 		}
 
-		if !c.Whole && s.Based != next.version {
-			return next, steps, nil
+		if !c.IsFull && d.Based != next.version {
+			return next, deltas, nil
 		}
 
-		text, err := c.text(next.text, s.Hash)
+		text, err := c.text(next.text, d.Hash)
 		if err != nil {
 			return next, nil, err
 		}
 
-		if s.Based != next.version {
-			steps = nil
+		if d.Based != next.version {
+			deltas = nil
 		}
 
 		next = head{
-			version: s.Version, based: s.Based, author: s.Author, note: s.Note,
-			at: time.UnixMilli(s.AtMS), text: text, hash: setting.Hash(s.Hash),
+			version: d.Version, based: d.Based, author: d.Author, note: d.Note,
+			at: time.UnixMilli(d.AtMS), text: text, hash: setting.Hash(d.Hash),
 		}
-		steps = bounded(append(slices.Clone(steps), s))
+		deltas = trimDeltas(append(slices.Clone(deltas), d))
 	}
 
-	return next, steps, nil
+	return next, deltas, nil
 }
 
-// bounded drops the oldest steps over the bounds.
-func bounded(steps []step) []step {
+// trimDeltas drops the oldest deltas, so that at most maxDeltas with at most
+// maxDeltaBytes remain.
+func trimDeltas(deltas []delta) []delta {
 	total := 0
 
-	for i := len(steps) - 1; i >= 0; i-- {
-		total += len(steps[i].Payload)
-		if len(steps)-i > maxSteps || total > maxStepBytes {
-			// A copy, so that the payloads that were dropped are freed.
-			return slices.Clone(steps[i+1:])
+	for i := len(deltas) - 1; i >= 0; i-- {
+		total += len(deltas[i].Payload)
+		if len(deltas)-i > maxDeltas || total > maxDeltaBytes {
+			// A copy lets the garbage collector free the dropped payloads.
+			return slices.Clone(deltas[i+1:])
 		}
 	}
 
-	return steps
+	return deltas
 }
 
-// catchUp notes that head is in force at offset read.
-func (r *replica) catchUp(read uint64) {
+// advanceRead records that head is in force at offset read. It ends a scan for a
+// snapshot if the buffered records follow read without a gap.
+func (r *replica) advanceRead(read uint64) {
 	if r.scan != nil {
 		if read+1 >= r.scan.start {
 			r.resume(read)
--- a/setting/publication/history.go
+++ b/setting/publication/history.go
@@ -11,111 +11,114 @@
 	"boragehub/setting"
 )
 
-// history reads the stream from its start.
-type history struct {
+// streamReader reads the stream from its start.
+type streamReader struct {
 	log     Log
 	replica *replica
-	// seen and advanced are called for each verdict and each new head.
-	seen     func(verdict)
-	advanced func(head)
+	// onDecision is called for each decision and onHead for each new head; both
+	// may be nil.
+	onDecision func(decision)
+	onHead     func(head)
 }
 
-func newHistory(log Log) *history {
-	h := &history{log: log, replica: newReplica()}
-	h.replica.decided = func(v verdict) {
-		if h.seen != nil {
-			h.seen(v)
+func newStreamReader(log Log) *streamReader {
+	s := &streamReader{log: log, replica: newReplica()}
+	s.replica.onDecision = func(d decision) {
+		if s.onDecision != nil {
+			s.onDecision(d)
 		}
 	}
 
-	return h
+	return s
 }
 
-// catchUp reads to the end of the stream; the last read waits for more.
-func (h *history) catchUp(ctx context.Context, wait time.Duration) error {
+// readToEnd reads to the end of the stream; each read waits up to wait for records.
+func (s *streamReader) readToEnd(ctx context.Context, wait time.Duration) error {
 	for {
-		batch, err := h.log.Read(ctx, Stream, h.replica.from(), mostRecords, wait)
+		batch, err := s.log.Read(ctx, Stream, s.replica.nextOffset(), maxReadRecords, wait)
 
 		var trimmed *journal.TrimmedError
-		if errors.As(err, &trimmed) && trimmed.First > h.replica.from() {
-			h.replica.trimmed(trimmed.First)
+		if errors.As(err, &trimmed) && trimmed.First > s.replica.nextOffset() {
+			s.replica.markTrimmed(trimmed.First)
 
 			continue
 		}
 
 		if err != nil {
-			return failure.Wrap(failure.LogUnavailable, err, "the settings can't be read from the log")
+			return failure.Wrap(failure.LogUnavailable, err, "cannot read the settings from the log")
 		}
 
-		h.replica.trimmed(batch.First)
+		s.replica.markTrimmed(batch.First)
 
 		for _, rec := range batch.Records {
-			h.feed(rec)
+			s.process(rec)
 		}
 
-		if h.replica.from() >= batch.Next {
-			return h.check()
+		if s.replica.nextOffset() >= batch.Next {
+			return s.checkSynced()
 		}
 	}
 }
 
-func (h *history) feed(rec journal.Record) {
-	before := h.replica.head.version
+func (s *streamReader) process(rec journal.Record) {
+	before := s.replica.head.version
 
-	h.replica.feed(rec)
+	s.replica.process(rec)
 
-	if h.advanced != nil && h.replica.head.version > before {
-		h.advanced(h.replica.head)
+	if s.onHead != nil && s.replica.head.version > before {
+		s.onHead(s.replica.head)
 	}
 }
 
-// check refuses to go on without knowing what is in force.
-func (h *history) check() error {
-	if h.replica.synced() {
+// checkSynced returns an error if the version in force is unknown because records
+// were trimmed.
+func (s *streamReader) checkSynced() error {
+	if s.replica.synced() {
 		return nil
 	}
 
 	return failure.New(failure.Unavailable,
-		"the log no longer keeps the settings in force; a running process has to write them again first")
+		"the log no longer keeps the settings in force; a running process must write a snapshot first")
 }
 
-// Entry is one line of the history of changes.
+// Entry describes one change in the history.
 type Entry struct {
-	// Offset is the place in the log, and the version of an accepted change.
+	// Offset is the offset in the log, and the version if the change was accepted.
 	Offset uint64 `json:"offset"`
-	// Accepted says whether the change came into force.
+	// Accepted is true if the change came into force.
 	Accepted bool `json:"accepted"`
-	// Reason is "accepted" or why it didn't.
+	// Reason is "accepted", "conflict", "damaged" or "interrupted".
 	Reason string `json:"reason"`
-	// Based is the version that the change was made from.
+	// Based is the version that the change is based on.
 	Based uint64 `json:"based"`
-	// Author and Note are the operator's.
+	// Author is the operator, and Note the description of the change.
 	Author string `json:"author"`
 	Note   string `json:"note,omitempty"`
-	// At is when the log took the change in.
+	// At is when the log accepted the record.
 	At time.Time `json:"at"`
-	// ID is the change's unique id.
+	// ID is the unique id of the change.
 	ID string `json:"id"`
 }
 
-// Read returns what is in force by the log, and the newest most changes,
-// oldest first. The version is nil when nothing was published yet.
-func Read(ctx context.Context, log Log, most int) (*Published, []Entry, error) {
+// Read returns the version in force according to the log, and the newest changes,
+// at most limit of them, oldest first. The version is nil if nothing was published
+// yet, and also if this release can't parse it, with an error.
+func Read(ctx context.Context, log Log, maxEntries int) (*Published, []Entry, error) {
 	var entries []Entry
 
-	h := newHistory(log)
-	h.seen = func(v verdict) {
+	s := newStreamReader(log)
+	s.onDecision = func(v decision) {
 		entries = append(entries, Entry{
 			v.offset, v.reason == accepted, v.reason.String(), v.based, v.author, v.note, v.at, v.id,
 		})
-		entries = entries[max(len(entries)-most, 0):]
+		entries = entries[max(len(entries)-maxEntries, 0):]
 	}
 
-	if err := h.catchUp(ctx, 0); err != nil {
+	if err := s.readToEnd(ctx, 0); err != nil {
 		return nil, nil, err
 	}
 
-	newest := h.replica.head
+	newest := s.replica.head
 	if newest.version == 0 {
 		return nil, entries, nil
 	}
@@ -128,29 +131,30 @@
 	return &Published{head: newest, tree: tree}, entries, nil
 }
 
-// Text returns the version and text in force by the log, also when this release
-// can't read it; zero when nothing was published yet.
+// Text returns the version and text in force according to the log, even if this
+// release can't parse the text; zero values if nothing was published yet.
 func Text(ctx context.Context, log Log) (uint64, []byte, error) {
-	h := newHistory(log)
-	if err := h.catchUp(ctx, 0); err != nil {
+	s := newStreamReader(log)
+	if err := s.readToEnd(ctx, 0); err != nil {
 		return 0, nil, err
 	}
 
-	return h.replica.head.version, h.replica.head.text, nil
+	return s.replica.head.version, s.replica.head.text, nil
 }
 
-// TextAt returns the text of an accepted version that the log still keeps.
+// TextAt returns the text of an accepted version that the log still keeps. The
+// error is a BadRequest if there is none.
 func TextAt(ctx context.Context, log Log, version uint64) ([]byte, error) {
 	var text []byte
 
-	h := newHistory(log)
-	h.advanced = func(at head) {
+	s := newStreamReader(log)
+	s.onHead = func(at head) {
 		if at.version == version {
 			text = bytes.Clone(at.text)
 		}
 	}
 
-	if err := h.catchUp(ctx, 0); err != nil {
+	if err := s.readToEnd(ctx, 0); err != nil {
 		return nil, err
 	}
 
--- a/setting/publication/log_test.go
+++ b/setting/publication/log_test.go
@@ -12,36 +12,38 @@
 
 var errDown = errors.New("the log is down")
 
-// fakeLog is a log in memory with the faults of the real one.
+// fakeLog is an in-memory log that simulates the failures of the log service.
 type fakeLog struct {
 	mu      sync.Mutex
-	records []journal.Record // from first on
+	records []journal.Record // starts at offset first
 	first   uint64
 	now     time.Time
 
 	down bool
-	// downFor is for how many calls more the log is out.
-	downFor int
-	// loseAnswers is how many of the next appends take effect and fail.
-	loseAnswers int
-	// late holds back appends that fail, to be taken in by arrive.
-	holdBack int
-	late     [][]byte
-	// before are run one each before the next appends.
-	before  []func()
-	appends int
-	bytes   int
+	// downCalls is the number of following calls that fail.
+	downCalls int
+	// loseResponses is the number of following appends that succeed but return an
+	// error.
+	loseResponses int
+	// delayAppends is the number of following appends that return an error and whose
+	// records appear only after deliverDelayed.
+	delayAppends int
+	delayed      [][]byte
+	// beforeAppend holds functions; each append first removes the last one and runs it.
+	beforeAppend []func()
+	appends      int
+	bytes        int
 }
 
 func newFakeLog() *fakeLog {
 	return &fakeLog{first: 1, now: time.Unix(1_700_000_000, 0)}
 }
 
-// out says whether this call finds the log out.
-func (l *fakeLog) out() bool {
-	l.downFor--
+// unavailable counts a call and reports whether it must fail.
+func (l *fakeLog) unavailable() bool {
+	l.downCalls--
 
-	return l.down || l.downFor >= 0
+	return l.down || l.downCalls >= 0
 }
 
 func (l *fakeLog) next() uint64 { return l.first + uint64(len(l.records)) }
@@ -56,9 +58,9 @@
 }
 
 func (l *fakeLog) Append(_ context.Context, stream string, records [][]byte) (uint64, error) {
-	if n := len(l.before) - 1; n >= 0 {
-		run := l.before[n]
-		l.before = l.before[:n]
+	if n := len(l.beforeAppend) - 1; n >= 0 {
+		run := l.beforeAppend[n]
+		l.beforeAppend = l.beforeAppend[:n]
 		run()
 	}
 
@@ -68,11 +70,11 @@
 	switch {
 	case stream != Stream:
 		return 0, fmt.Errorf("stream %q", stream)
-	case l.out():
+	case l.unavailable():
 		return 0, errDown
-	case l.holdBack > 0:
-		l.holdBack--
-		l.late = append(l.late, records...)
+	case l.delayAppends > 0:
+		l.delayAppends--
+		l.delayed = append(l.delayed, records...)
 
 		return 0, errDown
 	}
@@ -82,8 +84,8 @@
 		l.add(data)
 	}
 
-	if l.loseAnswers > 0 {
-		l.loseAnswers--
+	if l.loseResponses > 0 {
+		l.loseResponses--
 
 		return 0, errDown
 	}
@@ -91,19 +93,19 @@
 	return offset, nil
 }
 
-// arrive takes in what was held back.
-func (l *fakeLog) arrive() {
+// deliverDelayed adds the delayed records to the log.
+func (l *fakeLog) deliverDelayed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	for _, data := range l.late {
+	for _, data := range l.delayed {
 		l.add(data)
 	}
 
-	l.late = nil
+	l.delayed = nil
 }
 
-// trim forgets all but the newest n records.
+// trim removes all but the newest n records.
 func (l *fakeLog) trim(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,11 +116,11 @@
 	}
 }
 
-func (l *fakeLog) Read(_ context.Context, _ string, from uint64, most int, _ time.Duration) (journal.Batch, error) {
+func (l *fakeLog) Read(_ context.Context, _ string, from uint64, limit int, _ time.Duration) (journal.Batch, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	if l.out() {
+	if l.unavailable() {
 		return journal.Batch{}, errDown
 	}
 
@@ -127,7 +129,7 @@
 	}
 
 	b := journal.Batch{First: l.first, Next: l.next()}
-	for i := from - l.first; i < uint64(len(l.records)) && len(b.Records) < most; i++ {
+	for i := from - l.first; i < uint64(len(l.records)) && len(b.Records) < limit; i++ {
 		b.Records = append(b.Records, l.records[i])
 	}
 
--- a/setting/publication/passing.go
+++ b/setting/publication/passing.go
@@ -8,62 +8,62 @@
 	"boragehub/event"
 )
 
-// pull asks the sources in turn until one answers, and reports whether one did.
-// Without a version of its own it asks all of them and takes the highest: in an
-// outage of the log that is the only way to one, and some may lag.
-func (f *Follower) pull(ctx context.Context, a Arrangement) bool {
+// pull polls the sources in turn until one responds, and reports whether one did.
+// Without a version it polls all of them and keeps the highest version: during an
+// outage of the log this is the only way to get one, and some sources may lag.
+func (f *Follower) pull(ctx context.Context, plan SourcePlan) bool {
 	if f.cfg.Peers == nil {
 		return false
 	}
 
-	answered := false
+	responded := false
 
-	for _, vm := range f.inOrder(f.cfg.Clock(), a.Sources) {
-		if answered && f.Ready() {
+	for _, vm := range f.orderSources(f.cfg.Clock(), plan.Sources) {
+		if responded && f.Ready() {
 			break
 		}
 
 		if f.fetch(ctx, vm) {
-			answered = true
+			responded = true
 		}
 	}
 
-	return answered
+	return responded
 }
 
-// inOrder returns the sources with those last that gave no answer lately. After
-// a while they are tried first again: otherwise all would end up asking the few
-// that read the log.
-func (f *Follower) inOrder(now time.Time, sources []string) []string {
+// orderSources returns the sources with those last that recently failed to respond.
+// After sourceBackoff they are tried first again: otherwise all processes would end
+// up polling the few that read the log.
+func (f *Follower) orderSources(now time.Time, sources []string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	var good, bad []string
+	var responsive, unresponsive []string
 
 	for _, vm := range sources {
-		if at, ok := f.failed[vm]; ok && now.Sub(at) < sourcePause {
-			bad = append(bad, vm)
+		if at, ok := f.failedAt[vm]; ok && now.Sub(at) < sourceBackoff {
+			unresponsive = append(unresponsive, vm)
 		} else {
-			good = append(good, vm)
+			responsive = append(responsive, vm)
 		}
 	}
 
-	return append(good, bad...)
+	return append(responsive, unresponsive...)
 }
 
-// noteSource remembers whether a source answered.
-func (f *Follower) noteSource(vm string, answered bool) {
+// noteSource records whether a source responded.
+func (f *Follower) noteSource(vm string, responded bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if answered {
-		delete(f.failed, vm)
+	if responded {
+		delete(f.failedAt, vm)
 	} else {
-		f.failed[vm] = f.cfg.Clock()
+		f.failedAt[vm] = f.cfg.Clock()
 	}
 }
 
-// fetch asks one process and reports whether it answered with a version.
+// fetch polls one process and reports whether it responded with a valid version.
 func (f *Follower) fetch(ctx context.Context, vm string) bool {
 	f.mu.Lock()
 	after := f.replica.head.version
@@ -72,62 +72,64 @@
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
 	defer cancel()
 
-	h, err := f.cfg.Peers.Fetch(ctx, vm, after)
+	u, err := f.cfg.Peers.Fetch(ctx, vm, after)
 	f.noteSource(vm, err == nil)
 
-	return err == nil && h.Version() > 0 && f.Offer(h) == nil
+	return err == nil && u.Version() > 0 && f.ApplyUpdate(u) == nil
 }
 
-// Offer takes settings that a peer hands on. What isn't newer than the version
-// in force is ignored. Damaged ones are a failure.BadMessage.
-func (f *Follower) Offer(h Handover) error {
-	if err := f.adopt(h); err != nil {
-		event.Fail(f.cfg.Logger, err, event.SettingsOfferRefused, "version", h.Version())
+// ApplyUpdate applies an update from a peer. An update that isn't newer than the
+// version in force is ignored. For a damaged one the error is a failure.BadMessage.
+func (f *Follower) ApplyUpdate(u Update) error {
+	if err := f.applyToReplica(u); err != nil {
+		event.Fail(f.cfg.Logger, err, event.SettingsOfferRefused, "version", u.Version())
 
 		return err
 	}
 
-	f.enforce()
+	f.activate()
 
 	return nil
 }
 
-// adopt takes what a peer hands on into the replica.
-func (f *Follower) adopt(h Handover) error {
+// applyToReplica applies an update from a peer to the replica.
+func (f *Follower) applyToReplica(u Update) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	_, err := f.replica.adopt(h)
-	f.tell()
+	_, err := f.replica.applyUpdate(u)
+	f.announce()
 
 	return err
 }
 
-// HandOver returns what leads the process on vm from version after to the
-// version in force here, and remembers to push the next ones to it.
-func (f *Follower) HandOver(now time.Time, vm string, after uint64) Handover {
+// UpdateFor returns the update from version after to the version in force here, for
+// the process on vm, and subscribes that process to later versions unless there are
+// maxSubscribers already.
+func (f *Follower) UpdateFor(now time.Time, vm string, after uint64) Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.forget(now)
+	f.dropIdleSubscribers(now)
 
-	if _, known := f.askers[vm]; known || len(f.askers) < maxAskers {
-		f.askers[vm] = asker{version: max(after, f.replica.head.version), seen: now}
+	if _, known := f.subscribers[vm]; known || len(f.subscribers) < maxSubscribers {
+		f.subscribers[vm] = subscriber{version: max(after, f.replica.head.version), seen: now}
 	}
 
-	return f.replica.handover(after)
+	return f.replica.updateFrom(after)
 }
 
-// forget drops the processes that haven't asked for long.
-func (f *Follower) forget(now time.Time) {
-	for vm, a := range f.askers {
-		if now.Sub(a.seen) > askerMemory*f.cfg.Pull {
-			delete(f.askers, vm)
+// dropIdleSubscribers drops the processes that have not polled for
+// subscriberIntervals pull intervals.
+func (f *Follower) dropIdleSubscribers(now time.Time) {
+	for vm, sub := range f.subscribers {
+		if now.Sub(sub.seen) > subscriberIntervals*f.cfg.PullInterval {
+			delete(f.subscribers, vm)
 		}
 	}
 }
 
-// push hands the version in force to those who asked lately and lack it.
+// push sends the version in force to the subscribers that lack it.
 func (f *Follower) push(ctx context.Context) {
 	if f.cfg.Peers == nil {
 		return
@@ -138,18 +140,18 @@
 
 	var wg sync.WaitGroup
 
-	for vm, h := range f.due(f.cfg.Clock()) {
+	for vm, u := range f.pendingUpdates(f.cfg.Clock()) {
 		wg.Go(func() {
-			if f.cfg.Peers.Push(ctx, vm, h) != nil {
-				return // it asks again by itself
+			if f.cfg.Peers.Push(ctx, vm, u) != nil {
+				return // it will poll again
 			}
 
 			f.mu.Lock()
 			defer f.mu.Unlock()
 
-			if a, ok := f.askers[vm]; ok {
-				a.version = max(a.version, h.Version())
-				f.askers[vm] = a
+			if sub, ok := f.subscribers[vm]; ok {
+				sub.version = max(sub.version, u.Version())
+				f.subscribers[vm] = sub
 			}
 		})
 	}
@@ -157,20 +159,20 @@
 	wg.Wait()
 }
 
-// due returns what to push to whom.
-func (f *Follower) due(now time.Time) map[string]Handover {
+// pendingUpdates returns the updates to push, by VM.
+func (f *Follower) pendingUpdates(now time.Time) map[string]Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.forget(now)
+	f.dropIdleSubscribers(now)
 
-	due := map[string]Handover{}
+	updates := map[string]Update{}
 
-	for vm, a := range f.askers {
-		if a.version < f.replica.head.version {
-			due[vm] = f.replica.handover(a.version)
+	for vm, sub := range f.subscribers {
+		if sub.version < f.replica.head.version {
+			updates[vm] = f.replica.updateFrom(sub.version)
 		}
 	}
 
-	return due
+	return updates
 }
--- a/setting/publication/passing_test.go
+++ b/setting/publication/passing_test.go
@@ -20,19 +20,19 @@
 	"boragehub/setting"
 )
 
-var errSilent = errors.New("silent")
+var errUnresponsive = errors.New("silent")
 
-// waitingLog is a fakeLog whose reads wait, as those of the real one.
-type waitingLog struct {
+// blockingLog is a fakeLog whose reads wait for records, as the real ones do.
+type blockingLog struct {
 	*fakeLog
 	reads atomic.Int64
 }
 
-func (l *waitingLog) Read(ctx context.Context, s string, from uint64, most int, wait time.Duration) (journal.Batch, error) {
+func (l *blockingLog) Read(ctx context.Context, s string, from uint64, limit int, wait time.Duration) (journal.Batch, error) {
 	l.reads.Add(1)
 
 	for until := time.Now().Add(wait); ; {
-		b, err := l.fakeLog.Read(ctx, s, from, most, 0)
+		b, err := l.fakeLog.Read(ctx, s, from, limit, 0)
 		if err != nil || len(b.Records) > 0 || ctx.Err() != nil || !time.Now().Before(until) {
 			return b, err
 		}
@@ -41,169 +41,173 @@
 	}
 }
 
-// hall is the processes of a data centre, joined by a network in memory.
-type hall struct {
-	mu        sync.Mutex
-	members   []Member
-	followers map[string]*Follower
-	stops     map[string]context.CancelFunc
-	dead      map[string]bool
-	inForce   map[string]time.Time
-	// sent are the bytes that each process sent to others, and asked how often it was asked.
-	sent  map[string]int
-	asked map[string]int
+// testDataCentre runs the processes of a data centre, which exchange messages in
+// memory.
+type testDataCentre struct {
+	mu          sync.Mutex
+	members     []Member
+	followers   map[string]*Follower
+	stops       map[string]context.CancelFunc
+	dead        map[string]bool
+	activatedAt map[string]time.Time
+	// sentBytes is the number of bytes that each process sent, and requestCounts
+	// the number of requests that it received.
+	sentBytes     map[string]int
+	requestCounts map[string]int
 }
 
 const (
-	hop = time.Millisecond
-	// frameBytes is about what a question or an answer costs on the wire
-	// beside its body: QUIC, UDP and IP headers, frame and acknowledgement.
+	networkDelay = time.Millisecond
+	// frameBytes is the approximate overhead of a request or response on the wire:
+	// QUIC, UDP and IP headers, frame and acknowledgement.
 	frameBytes = 120
 )
 
-// line is one process's way to the others.
-type line struct {
-	h    *hall
+// peerLink connects the process self to the others; it implements Peers.
+type peerLink struct {
+	dc   *testDataCentre
 	self string
 }
 
-// at returns a live process; a dead one is silent until the caller gives up.
-func (l line) at(ctx context.Context, vm string) (*Follower, error) {
-	l.h.mu.Lock()
-	f, dead := l.h.followers[vm], l.h.dead[vm] || l.h.dead[l.self]
-	l.h.mu.Unlock()
+// follower returns the follower of a live process. For a dead one it fails when
+// ctx ends.
+func (l peerLink) follower(ctx context.Context, vm string) (*Follower, error) {
+	l.dc.mu.Lock()
+	f, dead := l.dc.followers[vm], l.dc.dead[vm] || l.dc.dead[l.self]
+	l.dc.mu.Unlock()
 
 	if dead || f == nil {
 		<-ctx.Done()
 
-		return nil, errSilent
+		return nil, errUnresponsive
 	}
 
-	time.Sleep(hop)
+	time.Sleep(networkDelay)
 
 	return f, nil
 }
 
-func (l line) count(vm string, bytes int) {
-	l.h.mu.Lock()
-	defer l.h.mu.Unlock()
+func (l peerLink) count(vm string, bytes int) {
+	l.dc.mu.Lock()
+	defer l.dc.mu.Unlock()
 
-	l.h.sent[l.self] += frameBytes
-	l.h.sent[vm] += frameBytes + bytes
-	l.h.asked[vm]++
+	l.dc.sentBytes[l.self] += frameBytes
+	l.dc.sentBytes[vm] += frameBytes + bytes
+	l.dc.requestCounts[vm]++
 }
 
-func (l line) Fetch(ctx context.Context, vm string, after uint64) (Handover, error) {
-	f, err := l.at(ctx, vm)
+func (l peerLink) Fetch(ctx context.Context, vm string, after uint64) (Update, error) {
+	f, err := l.follower(ctx, vm)
 	if err != nil {
-		return Handover{}, err
+		return Update{}, err
 	}
 
-	b := f.HandOver(time.Now(), l.self, after).Encode()
+	b := f.UpdateFor(time.Now(), l.self, after).Encode()
 	l.count(vm, len(b))
 
-	return DecodeHandover(b)
+	return DecodeUpdate(b)
 }
 
-func (l line) Push(ctx context.Context, vm string, h Handover) error {
-	f, err := l.at(ctx, vm)
+func (l peerLink) Push(ctx context.Context, vm string, u Update) error {
+	f, err := l.follower(ctx, vm)
 	if err != nil {
 		return err
 	}
 
-	l.count(l.self, len(h.Encode()))
+	l.count(l.self, len(u.Encode()))
 
-	return f.Offer(h)
+	return f.ApplyUpdate(u)
 }
 
-func newHall(n int) *hall {
-	h := &hall{
+func newTestDataCentre(n int) *testDataCentre {
+	d := &testDataCentre{
 		followers: map[string]*Follower{}, stops: map[string]context.CancelFunc{}, dead: map[string]bool{},
-		inForce: map[string]time.Time{}, sent: map[string]int{}, asked: map[string]int{},
+		activatedAt: map[string]time.Time{}, sentBytes: map[string]int{}, requestCounts: map[string]int{},
 	}
 	for i := range n {
-		h.members = append(h.members, Member{fmt.Sprintf("vm-%d", i), "a"})
+		d.members = append(d.members, Member{fmt.Sprintf("vm-%d", i), "a"})
 	}
 
-	return h
+	return d
 }
 
-// start starts a process that knows of all others.
-func (h *hall) start(ctx context.Context, log Log, m Member) {
+// start starts a process that knows all others.
+func (d *testDataCentre) start(ctx context.Context, log Log, m Member) {
 	ctx, stop := context.WithCancel(ctx)
 
 	f := NewFollower(FollowerConfig{
-		Log: log, Self: m, Members: func() []Member { return h.members }, Peers: line{h, m.VM}, Logger: logr.Discard(),
+		Log: log, Self: m, Members: func() []Member { return d.members }, Peers: peerLink{d, m.VM}, Logger: logr.Discard(),
 		Changed: func(*Published) {
-			h.mu.Lock()
-			defer h.mu.Unlock()
+			d.mu.Lock()
+			defer d.mu.Unlock()
 
-			h.inForce[m.VM] = time.Now()
+			d.activatedAt[m.VM] = time.Now()
 		},
 	})
 
-	h.mu.Lock()
-	h.followers[m.VM] = f
-	h.stops[m.VM] = stop
-	h.mu.Unlock()
+	d.mu.Lock()
+	d.followers[m.VM] = f
+	d.stops[m.VM] = stop
+	d.mu.Unlock()
 
 	go f.Run(ctx)
 }
 
-// kill makes a process silent from one moment to the next.
-func (h *hall) kill(vm string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// kill makes a process unresponsive at once.
+func (d *testDataCentre) kill(vm string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	h.dead[vm] = true
-	h.stops[vm]()
+	d.dead[vm] = true
+	d.stops[vm]()
 }
 
-// stop ends all processes; in a bubble, time goes on only while a test waits.
-func (h *hall) stop() {
-	for _, m := range h.members {
-		h.kill(m.VM)
+// stop ends all processes and waits for them. In a synctest bubble, time only
+// advances while the test waits.
+func (d *testDataCentre) stop() {
+	for _, m := range d.members {
+		d.kill(m.VM)
 	}
 
-	time.Sleep(DefaultWait + DefaultPull)
+	time.Sleep(DefaultLogWait + DefaultPullInterval)
 }
 
-// forget starts the counts anew.
-func (h *hall) forget() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// resetCounts resets the counts.
+func (d *testDataCentre) resetCounts() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	clear(h.sent)
-	clear(h.asked)
+	clear(d.sentBytes)
+	clear(d.requestCounts)
 }
 
-// most returns what the busiest process sent, and how often the one that was
-// asked most was.
-func (h *hall) most() (sent, asked int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// maxLoad returns the most bytes that one process sent, and the most requests that
+// one received.
+func (d *testDataCentre) maxLoad() (sent, requests int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	for vm, n := range h.sent {
+	for vm, n := range d.sentBytes {
 		sent = max(sent, n)
-		asked = max(asked, h.asked[vm])
+		requests = max(requests, d.requestCounts[vm])
 	}
 
-	return sent, asked
+	return sent, requests
 }
 
-// slowest returns the longest time from since to the version's being in force,
-// over all live processes, and how many lack it.
-func (h *hall) slowest(since time.Time, version uint64) (time.Duration, int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// slowestActivation returns the longest time from since until version was in force,
+// over all live processes, and the number of those that lack it.
+func (d *testDataCentre) slowestActivation(since time.Time, version uint64) (time.Duration, int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
 	var (
 		longest time.Duration
 		missing int
 	)
 
-	for vm, f := range h.followers {
-		if h.dead[vm] {
+	for vm, f := range d.followers {
+		if d.dead[vm] {
 			continue
 		}
 
@@ -213,133 +217,134 @@
 			continue
 		}
 
-		longest = max(longest, h.inForce[vm].Sub(since))
+		longest = max(longest, d.activatedAt[vm].Sub(since))
 	}
 
 	return longest, missing
 }
 
-// Some of the processes that others take settings from die just before a change,
-// the readers of the log among them. What hangs below them must find another way:
-// a user notices entries that go on with the old limits. This runs the real
-// Followers of the largest data centre in two years on virtual time.
+// Some of the processes that others poll die just before a change, log readers
+// among them. The processes that polled them must find other sources; otherwise
+// entries go on with the old limits. The test runs the Followers of the largest data
+// centre expected in two years, in virtual time.
 func TestChangeReachesAllWhenProcessesDie(t *testing.T) {
 	const (
-		processes = 193 // (420 entries + 1,700 sides) in 11 data centres
-		within    = 8 * time.Second
-		// settled is long enough for each process to have found a source.
-		settled = 16 * time.Second
-		// budget is what a process may send a second: half of all control.
-		budget = 1000
+		processCount = 193 // (420 entries + 1,700 side processes) / 11 data centres
+		maxDelay     = 8 * time.Second
+		// settleTime is long enough for each process to find a source.
+		settleTime = 16 * time.Second
+		// maxSendRate is the maximum number of bytes that a process may send per
+		// second: half of the budget for all control traffic.
+		maxSendRate = 1000
 	)
 
 	cases := []struct {
 		name string
 		dead int
-		// just says that they die at the moment of the change.
-		just bool
-		// mixed says that they start in any order, so that many find those that
-		// they ask not up yet.
-		mixed bool
+		// atChange is true if they die at the moment of the change.
+		atChange bool
+		// randomStart is true if the processes start in any order, so that many find
+		// their sources not up yet.
+		randomStart bool
 	}{
 		{"all live", 0, false, false},
-		{"all live after a mixed start", 0, false, true},
-		{"a third dead", 64, false, false},
-		{"a rack dies now", 19, true, false},
+		{"all live after a start in random order", 0, false, true},
+		{"a third dead before the change", 64, false, false},
+		{"a rack dies at the change", 19, true, false},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(1, uint64(c.dead)))
-				h := newHall(processes)
-				defer h.stop()
+				dc := newTestDataCentre(processCount)
+				defer dc.stop()
 
-				log := &waitingLog{fakeLog: newFakeLog()}
+				log := &blockingLog{fakeLog: newFakeLog()}
 
-				first, err := publish(log.fakeLog, "one", 0, []byte("share = 1.0\n"))
+				first, err := publishText(log.fakeLog, "one", 0, []byte("share = 1.0\n"))
 				if err != nil {
 					t.Fatal(err)
 				}
 
-				if !c.mixed {
-					slices.SortFunc(h.members, func(a, b Member) int { return byHash(a.VM, b.VM) })
+				if !c.randomStart {
+					slices.SortFunc(dc.members, func(a, b Member) int { return compareHash(a.VM, b.VM) })
 				}
 
-				for _, m := range h.members {
-					h.start(t.Context(), log, m)
+				for _, m := range dc.members {
+					dc.start(t.Context(), log, m)
 					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 				}
 
-				time.Sleep(settled)
+				time.Sleep(settleTime)
 
-				if c.mixed {
-					time.Sleep(sourcePause)
+				if c.randomStart {
+					time.Sleep(sourceBackoff)
 				}
 
-				if _, missing := h.slowest(time.Now(), first); missing > 0 {
+				if _, missing := dc.slowestActivation(time.Now(), first); missing > 0 {
 					t.Fatalf("%d processes lack the first version", missing)
 				}
 
-				// The first reader of the log dies always, the rest at random.
-				order := ranked(h.members[0], h.members)
+				// The first log reader always dies, the others are chosen at random.
+				order := rankedMembers(dc.members[0], dc.members)
 				rng.Shuffle(len(order)-1, func(i, j int) { order[i+1], order[j+1] = order[j+1], order[i+1] })
 
 				for _, vm := range order[:c.dead] {
-					h.kill(vm)
+					dc.kill(vm)
 				}
 
-				if !c.just {
-					time.Sleep(settled)
+				if !c.atChange {
+					time.Sleep(settleTime)
 				}
 
-				h.forget()
+				dc.resetCounts()
 				log.reads.Store(0)
 
 				since := time.Now()
 
-				second, err := publish(log.fakeLog, "two", first, []byte("share = 2.0\n"))
+				second, err := publishText(log.fakeLog, "two", first, []byte("share = 2.0\n"))
 				if err != nil {
 					t.Fatal(err)
 				}
 
-				time.Sleep(within)
+				time.Sleep(maxDelay)
 				synctest.Wait()
 
-				longest, missing := h.slowest(since, second)
-				if missing > 0 || longest > within {
-					t.Errorf("got %d processes without the change and %v for the slowest, want all within %v", missing, longest, within)
+				longest, missing := dc.slowestActivation(since, second)
+				if missing > 0 || longest > maxDelay {
+					t.Errorf("got %d processes without the change and %v for the slowest, want all within %v", missing, longest, maxDelay)
 				}
 
-				sent, asked := h.most()
-				if sent > budget*int(within.Seconds()) {
-					t.Errorf("the busiest process sent %d B in %v, want at most %d B/s", sent, within, budget)
+				sent, requests := dc.maxLoad()
+				if sent > maxSendRate*int(maxDelay.Seconds()) {
+					t.Errorf("the busiest process sent %d B in %v, want at most %d B/s", sent, maxDelay, maxSendRate)
 				}
 
-				t.Logf("slowest %v; busiest process sent %d B and was asked %d times in %v; the log was read %d times",
-					longest, sent, asked, within, log.reads.Load())
+				t.Logf("slowest %v; maximum per process: %d B sent and %d requests received in %v; the log was read %d times",
+					longest, sent, requests, maxDelay, log.reads.Load())
 			})
 		})
 	}
 }
 
-// The log is out for the whole time and every process of a data centre is
-// replaced, one of them after the other. Each takes the version from a peer; a
-// user notices nothing. The last one that had read it from the log is long gone.
+// The log is down, and every process of a data centre is replaced, one after the
+// other. Each replacement must get the version from a peer, even after the last
+// process that had read it from the log is gone.
 func TestReplacedProcessesTakeTheVersionFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHall(30)
-		defer h.stop()
+		dc := newTestDataCentre(30)
+		defer dc.stop()
 
-		log := &waitingLog{fakeLog: newFakeLog()}
+		log := &blockingLog{fakeLog: newFakeLog()}
 
-		version, err := publish(log.fakeLog, "one", 0, []byte("share = 1.0\n"))
+		version, err := publishText(log.fakeLog, "one", 0, []byte("share = 1.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		for _, m := range h.members {
-			h.start(t.Context(), log, m)
+		for _, m := range dc.members {
+			dc.start(t.Context(), log, m)
 		}
 
 		time.Sleep(time.Minute)
@@ -348,55 +353,56 @@
 		log.down = true
 		log.mu.Unlock()
 
-		for _, m := range h.members {
-			h.kill(m.VM)
+		for _, m := range dc.members {
+			dc.kill(m.VM)
 			time.Sleep(10 * time.Second)
 
-			h.mu.Lock()
-			delete(h.dead, m.VM)
-			h.mu.Unlock()
-			h.start(t.Context(), log, m)
+			dc.mu.Lock()
+			delete(dc.dead, m.VM)
+			dc.mu.Unlock()
+			dc.start(t.Context(), log, m)
 			time.Sleep(30 * time.Second)
 
-			if f := h.followers[m.VM]; !f.Ready() || f.Current().Version() != version {
+			if f := dc.followers[m.VM]; !f.Ready() || f.Current().Version() != version {
 				t.Fatalf("%s: not ready after its replacement", m.VM)
 			}
 		}
 	})
 }
 
-// Lists of processes differ for a while. If two asked each other, neither would
-// hear of a change.
+// The member lists of processes differ for a while. If two processes polled each
+// other, neither would learn of a change.
 func TestNobodyAsksInACircle(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	all := newHall(60).members
+	all := newTestDataCentre(60).members
 
 	for range 200 {
-		above := map[string][]string{}
+		sourcesOf := map[string][]string{}
 
 		for _, m := range all {
 			view := slices.DeleteFunc(slices.Clone(all), func(Member) bool { return rng.IntN(4) == 0 })
 
-			a := Arrange(m, view)
+			a := PlanSources(m, view)
 			if a.ReadsLog {
-				continue // its sources count only while the log is out
+				continue // its sources matter only while the log is down
 			}
 
-			above[m.VM] = a.Sources
+			sourcesOf[m.VM] = a.Sources
 		}
 
-		for vm, sources := range above {
+		for vm, sources := range sourcesOf {
 			for _, source := range sources {
-				if byHash(source, vm) >= 0 {
-					t.Fatalf("%s asks %s, which stands behind it", vm, source)
+				if compareHash(source, vm) >= 0 {
+					t.Fatalf("%s polls %s, which has a higher rank", vm, source)
 				}
 			}
 		}
 	}
 }
 
-// organisations returns a tree of n organisations with an override each.
-func organisations(n int) []byte {
+// organisationTree returns the text of a tree of n organisations with one override
+// each.
+func organisationTree(n int) []byte {
 	b := []byte("[[data_centre]]\nname = \"a\"\nsite = \"s\"\nregion = \"r\"\n\n[[service]]\nname = \"llm\"\nkind = \"engine\"\n\n")
 	for i := range n {
 		hash := setting.HashOf(fmt.Append(nil, i))
@@ -410,10 +416,11 @@
 	return b
 }
 
-// BenchmarkChange takes one changed organisation into force at three sizes.
+// BenchmarkChange applies and parses a change of one organisation, in trees of three
+// sizes.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 1_000, 10_000} {
-		base := organisations(n)
+		base := organisationTree(n)
 		changed := slices.Clone(base)
 		changed[bytes.LastIndex(changed, []byte("20.0"))] = '3'
 
@@ -422,8 +429,8 @@
 
 			c := newContent(base, changed)
 			hash := setting.HashOf(changed)
-			whole := len(deflate(base))
-			memory := held(base)
+			compressed := len(compress(base))
+			heap := heapBytes(base)
 
 			tree, err := setting.Parse("settings", base)
 			if err != nil {
@@ -436,21 +443,21 @@
 					b.Fatal(err)
 				}
 
-				if _, err := tree.Next("settings", text); err != nil {
+				if _, err := tree.ParseUpdate("settings", text); err != nil {
 					b.Fatal(err)
 				}
 			}
 
-			b.ReportMetric(float64(memory), "held_bytes")
+			b.ReportMetric(float64(heap), "held_bytes")
 			b.ReportMetric(float64(len(base)), "text_bytes")
-			b.ReportMetric(float64(whole), "whole_bytes")
+			b.ReportMetric(float64(compressed), "whole_bytes")
 			b.ReportMetric(float64(len(encode(c))), "change_bytes")
 		})
 	}
 }
 
-// held returns about what a tree of text holds in memory.
-func held(text []byte) uint64 {
+// heapBytes returns the approximate heap size of the tree of text.
+func heapBytes(text []byte) uint64 {
 	var before, after runtime.MemStats
 
 	runtime.GC()
@@ -468,18 +475,19 @@
 	return after.HeapAlloc - before.HeapAlloc
 }
 
-// A tree of 10,000 organisations takes a while to read. If a process passed a
-// version on only after that, the delays of all on the way would add up.
+// Parsing a tree of 10,000 organisations takes a while. If a process distributed a
+// version only afterwards, the parsing times of all processes on the way would add
+// up.
 func TestVersionIsPassedOnWhileItIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
-		read := make(chan struct{})
+		release := make(chan struct{})
 
 		f := NewFollower(FollowerConfig{
-			Log: log, Self: Member{"e1", "a"}, Logger: logr.Discard(), Changed: func(*Published) { <-read },
+			Log: log, Self: Member{"e1", "a"}, Logger: logr.Discard(), Changed: func(*Published) { <-release },
 		})
 
-		version, err := publish(log, "one", 0, []byte("share = 1.0\n"))
+		version, err := publishText(log, "one", 0, []byte("share = 1.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -489,15 +497,15 @@
 
 		synctest.Wait()
 
-		if got, want := f.HandOver(time.Now(), "e2", 0).Version(), version; got != want {
+		if got, want := f.UpdateFor(time.Now(), "e2", 0).Version(), version; got != want {
 			t.Errorf("got version %d, want %d", got, want)
 		}
 
-		if got, want := f.news.Len(), 1; got != want {
-			t.Errorf("news for those who asked: got %d, want %d", got, want)
+		if got, want := f.newVersion.Len(), 1; got != want {
+			t.Errorf("versions announced to subscribers: got %d, want %d", got, want)
 		}
 
-		close(read)
+		close(release)
 
 		if err := <-done; err != nil {
 			t.Error(err)
--- a/setting/publication/patch.go
+++ b/setting/publication/patch.go
@@ -7,30 +7,31 @@
 	"boragehub/failure"
 )
 
-// MaxTreeBytes bounds the text of a tree. A tree of 10,000 organisations is a
-// tenth of it.
+// MaxTreeBytes is the maximum size of a tree's text. A tree of 10,000 organisations
+// takes a tenth of it.
 const MaxTreeBytes = 16 << 20
 
-// hunk is one place where a text changes.
+// hunk is one replacement in a text.
 type hunk struct {
-	// Keep is how many bytes stay before the place.
+	// Keep is the number of unchanged bytes before the hunk.
 	Keep int `cbor:"1,keyasint"`
-	// Drop is how many bytes go.
+	// Drop is the number of bytes to remove.
 	Drop int `cbor:"2,keyasint,omitempty"`
-	// Add is what comes instead.
+	// Add is inserted in their place.
 	Add []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// patch turns one text into another.
+// patch converts one text to another.
 type patch []hunk
 
-// apply returns text as p changes it. It fails when p was made for another text.
+// apply returns text with p applied. It fails if p reaches past the end of text or
+// the result exceeds MaxTreeBytes.
 func (p patch) apply(text []byte) ([]byte, error) {
 	out := make([]byte, 0, len(text)+256)
 
 	for _, h := range p {
 		if h.Keep < 0 || h.Drop < 0 || h.Keep > len(text) || h.Drop > len(text)-h.Keep {
-			return nil, failure.New(failure.BadMessage, "a change of the settings reaches past the end of its base")
+			return nil, failure.New(failure.BadMessage, "a patch of the settings reaches past the end of its base")
 		}
 
 		out = append(out, text[:h.Keep]...)
@@ -38,7 +39,7 @@
 		text = text[h.Keep+h.Drop:]
 
 		if len(out) > MaxTreeBytes {
-			return nil, failure.New(failure.TooLarge, "settings over %d bytes", MaxTreeBytes)
+			return nil, failure.New(failure.TooLarge, "the settings exceed %d bytes", MaxTreeBytes)
 		}
 	}
 
@@ -47,25 +48,27 @@
 
 // makePatch returns the patch from a to b.
 func makePatch(a, b []byte) patch {
-	d := differ{a: bytes.SplitAfter(a, []byte{'\n'}), b: bytes.SplitAfter(b, []byte{'\n'})}
+	d := lineDiffer{a: bytes.SplitAfter(a, []byte{'\n'}), b: bytes.SplitAfter(b, []byte{'\n'})}
 	d.compare(0, len(d.a), 0, len(d.b))
 
-	return d.p
+	return d.hunks
 }
 
-// differ compares two texts line by line. It keeps what is equal at both ends,
-// then what stands exactly once on both sides and in the same order, and
-// repeats that between. The headers of TOML tables are such lines, so each
-// changed table becomes a hunk of its own however far apart they are.
-type differ struct {
+// lineDiffer compares two texts line by line, as a patience diff does: it skips the
+// common lines at both ends, takes as anchors the lines that occur exactly once on
+// both sides in the same order, and recurses between the anchors. Headers of TOML
+// tables are such lines, so each changed table gets its own hunk, however far apart
+// the tables are.
+type lineDiffer struct {
 	a, b [][]byte
-	// from is the first line of a that no hunk covers yet.
-	from int
-	p    patch
+	// from is the first line of a after the last hunk.
+	from  int
+	hunks patch
 }
 
-// compare adds the hunks that turn the lines a0..a1 into b0..b1.
-func (d *differ) compare(a0, a1, b0, b1 int) {
+// compare adds the hunks that convert the lines a0..a1 of a to the lines b0..b1 of
+// b. The ends are exclusive.
+func (d *lineDiffer) compare(a0, a1, b0, b1 int) {
 	for a0 < a1 && b0 < b1 && bytes.Equal(d.a[a0], d.b[b0]) {
 		a0++
 		b0++
@@ -95,17 +98,17 @@
 	d.compare(a0, a1, b0, b1)
 }
 
-// add appends the hunk that replaces the lines a0..a1 by b0..b1.
-func (d *differ) add(a0, a1, b0, b1 int) {
-	d.p = append(d.p, hunk{
-		Keep: size(d.a[d.from:a0]),
-		Drop: size(d.a[a0:a1]),
+// add appends the hunk that replaces the lines a0..a1 with b0..b1.
+func (d *lineDiffer) add(a0, a1, b0, b1 int) {
+	d.hunks = append(d.hunks, hunk{
+		Keep: totalBytes(d.a[d.from:a0]),
+		Drop: totalBytes(d.a[a0:a1]),
 		Add:  bytes.Join(d.b[b0:b1], nil),
 	})
 	d.from = a1
 }
 
-func size(lines [][]byte) int {
+func totalBytes(lines [][]byte) int {
 	n := 0
 	for _, line := range lines {
 		n += len(line)
@@ -114,12 +117,12 @@
 	return n
 }
 
-// anchor is a line that stands once on both sides.
+// anchor is a line that occurs once on both sides, with its indices.
 type anchor struct{ a, b int }
 
-// anchors returns the longest run of lines that stand once in a0..a1 and once
-// in b0..b1 and come in the same order.
-func (d *differ) anchors(a0, a1, b0, b1 int) []anchor {
+// anchors returns the longest sequence of lines that occur once in a0..a1 and once
+// in b0..b1 and have the same order in both.
+func (d *lineDiffer) anchors(a0, a1, b0, b1 int) []anchor {
 	type count struct{ a, b, at int }
 
 	counts := make(map[string]count, b1-b0)
@@ -146,21 +149,22 @@
 		}
 	}
 
-	return rising(common)
+	return longestIncreasing(common)
 }
 
-// rising returns the longest subsequence of s, which rises in a, that rises in b too.
-func rising(s []anchor) []anchor {
-	var tails []int // tails[n] is the index of the smallest end of a run of n+1
+// longestIncreasing returns the longest subsequence of common, which is sorted by a,
+// that also increases in b.
+func longestIncreasing(common []anchor) []anchor {
+	var tails []int // tails[n] is the index of the smallest last element of a subsequence of length n+1
 
-	before := make([]int, len(s))
+	previous := make([]int, len(common))
 
-	for i, x := range s {
-		n, _ := slices.BinarySearchFunc(tails, x.b, func(j, b int) int { return s[j].b - b })
-		before[i] = -1
+	for i, x := range common {
+		n, _ := slices.BinarySearchFunc(tails, x.b, func(j, b int) int { return common[j].b - b })
+		previous[i] = -1
 
 		if n > 0 {
-			before[i] = tails[n-1]
+			previous[i] = tails[n-1]
 		}
 
 		if n == len(tails) {
@@ -175,8 +179,8 @@
 	}
 
 	run := make([]anchor, len(tails))
-	for n, i := len(tails)-1, tails[len(tails)-1]; n >= 0; n, i = n-1, before[i] {
-		run[n] = s[i]
+	for n, i := len(tails)-1, tails[len(tails)-1]; n >= 0; n, i = n-1, previous[i] {
+		run[n] = common[i]
 	}
 
 	return run
--- a/setting/publication/publication_test.go
+++ b/setting/publication/publication_test.go
@@ -13,28 +13,28 @@
 	"boragehub/setting"
 )
 
-func text(attempts int) []byte {
+func treeText(attempts int) []byte {
 	return []byte(strings.Replace(setting.Example(), "max_attempts = 3", "max_attempts = "+string(rune('0'+attempts)), 1))
 }
 
-func publish(log Log, id string, based uint64, b []byte) (uint64, error) {
+func publishText(log Log, id string, based uint64, b []byte) (uint64, error) {
 	return Publish(context.Background(), PublishConfig{Log: log, Wait: time.Nanosecond},
 		Change{ID: id, Based: based, Author: "ann", Name: id, Text: b})
 }
 
-func follower(log Log, vm string) *Follower {
+func newTestFollower(log Log, vm string) *Follower {
 	return NewFollower(FollowerConfig{Log: log, Self: Member{vm, "a"}, Logger: logr.Discard()})
 }
 
 func TestPublishedComesIntoForce(t *testing.T) {
 	log := newFakeLog()
-	f := follower(log, "e1")
+	f := newTestFollower(log, "e1")
 
 	if f.Ready() {
 		t.Error("got ready without a version")
 	}
 
-	version, err := publish(log, "one", 0, text(2))
+	version, err := publishText(log, "one", 0, treeText(2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,22 +53,22 @@
 	}
 }
 
-// Two operators edit the same version. Both are told "ok" by a naive publisher
-// and the first one's change is gone without a word.
+// Two operators edit the same version. If both were told that their change is in
+// force, the first one's change would be lost unnoticed.
 func TestSecondOperatorIsToldWhatToRebaseOn(t *testing.T) {
 	log := newFakeLog()
 
-	first, err := publish(log, "one", 0, text(3))
+	first, err := publishText(log, "one", 0, treeText(3))
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	second, err := publish(log, "two", first, text(2))
+	second, err := publishText(log, "two", first, treeText(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	_, err = publish(log, "three", first, text(4))
+	_, err = publishText(log, "three", first, treeText(4))
 	if got, want := failure.KindOf(err), failure.Conflict; got != want {
 		t.Fatalf("got %v (%v), want %v", got, err, want)
 	}
@@ -92,8 +92,8 @@
 }
 
 func TestRebaseKeepsBothChanges(t *testing.T) {
-	base := text(3)
-	mine := text(2)
+	base := treeText(3)
+	mine := treeText(2)
 	theirs := []byte(strings.Replace(string(base), "concurrent_loads = 2", "concurrent_loads = 4", 1))
 
 	b, err := Rebase(base, mine, theirs)
@@ -108,19 +108,19 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 
-	if _, err := Rebase(base, mine, text(4)); failure.KindOf(err) != failure.Conflict {
+	if _, err := Rebase(base, mine, treeText(4)); failure.KindOf(err) != failure.Conflict {
 		t.Errorf("same line: got %v, want a conflict", err)
 	}
 }
 
-// The log takes a change in, and the connection breaks before it says so. A
-// publisher that tries again without reading on is then told of a conflict with
-// itself, and its operator undoes a change that is in force.
+// The log accepts a change, but the response is lost. A publisher that retries
+// without reading on would get a conflict with its own change, and its operator
+// would undo a change that is in force.
 func TestLostAnswerIsSettledByReadingOn(t *testing.T) {
 	log := newFakeLog()
-	log.loseAnswers = 1
+	log.loseResponses = 1
 
-	version, err := publish(log, "one", 0, text(2))
+	version, err := publishText(log, "one", 0, treeText(2))
 	if err != nil || version != 1 {
 		t.Errorf("got %d %v, want version 1", version, err)
 	}
@@ -130,15 +130,15 @@
 	}
 }
 
-// The log forgets the settings before anyone wrote them again, and an operator
-// publishes a tree to recover. The record is held up on its way, the operator is
-// told of a conflict, another one recovers, and then the first record arrives. A
-// user notices that settings which were in force for a while are gone.
+// The log trims the settings before any process wrote a snapshot, and an operator
+// publishes a tree to recover. The append is delayed and fails with an unknown
+// outcome, another operator recovers, and then the first record arrives. It must not
+// revert the settings in force.
 // (Found by TestAcceptedSettingsNeverRevert, seed 11455200776972050946.)
 func TestLateRecoveryTakesNothingBack(t *testing.T) {
 	log := newFakeLog()
 
-	if _, err := publish(log, "one", 0, text(1)); err != nil {
+	if _, err := publishText(log, "one", 0, treeText(1)); err != nil {
 		t.Fatal(err)
 	}
 
@@ -149,20 +149,20 @@
 			Change{ID: id, Author: "ann", Name: id, Text: b, Recover: true})
 	}
 
-	log.holdBack = 1
-	if _, err := recoverWith("late", text(2)); failure.KindOf(err) != failure.OutcomeUnknown {
-		t.Fatalf("held back: got %v, want %v", err, failure.OutcomeUnknown)
+	log.delayAppends = 1
+	if _, err := recoverWith("late", treeText(2)); failure.KindOf(err) != failure.OutcomeUnknown {
+		t.Fatalf("delayed append: got %v, want %v", err, failure.OutcomeUnknown)
 	}
 
-	version, err := recoverWith("other", text(4))
+	version, err := recoverWith("other", treeText(4))
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	log.arrive()
+	log.deliverDelayed()
 
-	f := follower(log, "e1")
-	for range 2 { // the first read learns what is kept
+	f := newTestFollower(log, "e1")
+	for range 2 { // the first read learns the oldest kept offset
 		if err := f.readLog(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
@@ -172,19 +172,19 @@
 		t.Errorf("got version %d, want %d", got, want)
 	}
 
-	if _, err := recoverWith("again", text(2)); failure.KindOf(err) != failure.Conflict {
-		t.Errorf("recover what is known: got %v, want %v", err, failure.Conflict)
+	if _, err := recoverWith("again", treeText(2)); failure.KindOf(err) != failure.Conflict {
+		t.Errorf("recover although the version in force is known: got %v, want %v", err, failure.Conflict)
 	}
 }
 
-// What one process hands to another must not change while it is on its way and
-// the sender goes on. Otherwise its hash no longer fits, and the other process
-// refuses good settings. (Found by TestAcceptedSettingsNeverRevert, seed 623287.)
+// An update must not change after it was returned while the sender applies further
+// versions. Otherwise its hash no longer matches, and the receiver refuses valid
+// settings. (Found by TestAcceptedSettingsNeverRevert, seed 623287.)
 func TestHandoverStaysAsItWas(t *testing.T) {
 	log := newFakeLog()
-	from, to := follower(log, "e1"), follower(log, "e2")
+	from, to := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
-	first, err := publish(log, "one", 0, text(1))
+	first, err := publishText(log, "one", 0, treeText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,11 +193,11 @@
 		t.Fatal(err)
 	}
 
-	from.replica.steps = nil // the whole text is handed over
+	from.replica.deltas = nil // so that the update holds the full text
 
-	h := from.HandOver(time.Time{}, "e2", 0)
+	u := from.UpdateFor(time.Time{}, "e2", 0)
 
-	if _, err := publish(log, "two", first, text(2)); err != nil {
+	if _, err := publishText(log, "two", first, treeText(2)); err != nil {
 		t.Fatal(err)
 	}
 
@@ -205,8 +205,8 @@
 		t.Fatal(err)
 	}
 
-	if err := to.Offer(h); err != nil {
-		t.Errorf("got %v, want it taken", err)
+	if err := to.ApplyUpdate(u); err != nil {
+		t.Errorf("got %v, want no error", err)
 	}
 
 	if got, want := to.Current().Version(), first; got != want {
@@ -214,15 +214,15 @@
 	}
 }
 
-// A snapshot is written while another operator's change is half in the log, and
-// retention then passes that first half. A process that starts now and trusts
-// the snapshot misses the half, refuses the change that all others accepted, and
-// goes on with old settings for ever.
+// A snapshot is written after the first part of another operator's change, and the
+// log then trims that part. A process that starts now and relies on the snapshot
+// would miss the part, refuse the change that all others accepted, and keep the
+// old settings for ever.
 func TestSnapshotBetweenPartsHidesNothing(t *testing.T) {
 	log := newFakeLog()
-	early, late := follower(log, "e1"), follower(log, "e2")
+	reader, starter := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
-	first, err := publish(log, "one", 0, text(1))
+	first, err := publishText(log, "one", 0, treeText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,62 +237,62 @@
 		}
 	}
 
-	payload := encode(newContent(text(1), text(2)))
-	hash := setting.HashOf(text(2))
+	payload := encode(newContent(treeText(1), treeText(2)))
+	hash := setting.HashOf(treeText(2))
 	parts := split(record{Kind: changeRecord, ID: "two", Based: first, Hash: hash[:]}, payload, len(payload)-1)
 
 	log.add(parts[0])
-	read(early)
+	read(reader)
 
-	if err := early.Snapshot(t.Context(), "s"); err != nil {
+	if err := reader.Snapshot(t.Context(), "s"); err != nil {
 		t.Fatal(err)
 	}
 
 	log.add(parts[1])
 	log.trim(2)
-	read(early)
-	read(late)
+	read(reader)
+	read(starter)
 
-	if p := late.Current(); p != nil {
-		t.Errorf("got version %d from a snapshot that hides half a change, want none", p.Version())
+	if p := starter.Current(); p != nil {
+		t.Errorf("got version %d from a snapshot between the parts of a change, want none", p.Version())
 	}
 
-	if err := late.Offer(early.HandOver(time.Time{}, "e2", 0)); err != nil {
+	if err := starter.ApplyUpdate(reader.UpdateFor(time.Time{}, "e2", 0)); err != nil {
 		t.Fatal(err)
 	}
 
-	if got, want := late.Current().Version(), early.Current().Version(); got != want || got == first {
+	if got, want := starter.Current().Version(), reader.Current().Version(); got != want || got == first {
 		t.Errorf("got version %d, want %d", got, want)
 	}
 }
 
-// Two operators publish changes of several records at once, and the records mix.
-// Which of them counts must not depend on where a reader started.
+// Two operators publish changes of several records at once, and the records
+// interleave. Which change is accepted must not depend on where a reader started.
 func TestMixedPartsAreNoChange(t *testing.T) {
 	log := newFakeLog()
 
-	first, err := publish(log, "one", 0, text(1))
+	first, err := publishText(log, "one", 0, treeText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	parts := func(id string, b []byte) [][]byte {
-		payload := encode(newContent(text(1), b))
+		payload := encode(newContent(treeText(1), b))
 		hash := setting.HashOf(b)
 
 		return split(record{Kind: changeRecord, ID: id, Based: first, Hash: hash[:]}, payload, len(payload)-1)
 	}
 
-	a, b := parts("a", text(2)), parts("b", text(4))
+	a, b := parts("a", treeText(2)), parts("b", treeText(4))
 	for _, part := range [][]byte{a[0], b[0], a[1], b[1]} {
 		log.add(part)
 	}
 
-	whole, middle := follower(log, "e1"), follower(log, "e2")
-	middle.replica.read = 2
-	middle.replica.head = head{version: first, text: text(1), hash: setting.HashOf(text(1))}
+	fromStart, fromMiddle := newTestFollower(log, "e1"), newTestFollower(log, "e2")
+	fromMiddle.replica.read = 2
+	fromMiddle.replica.head = head{version: first, text: treeText(1), hash: setting.HashOf(treeText(1))}
 
-	for _, f := range []*Follower{whole, middle} {
+	for _, f := range []*Follower{fromStart, fromMiddle} {
 		if err := f.readLog(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
@@ -303,12 +303,12 @@
 	}
 }
 
-// The process that holds the lease for snapshots need not be one that reads the
-// log. If it doesn't remember its own it writes the whole tree again at each
-// look, and the log forgets the changes all the sooner.
+// The process that holds the lease for snapshots may be one that doesn't read the
+// log. If it didn't record its own snapshots, it would write the full tree again at
+// each check, and the log would trim the changes all the sooner.
 func TestSnapshotIsDueNowAndThen(t *testing.T) {
 	log := newFakeLog()
-	reader := follower(log, "e1")
+	reader := newTestFollower(log, "e1")
 
 	var now time.Time
 
@@ -321,7 +321,7 @@
 		t.Error("due without a version")
 	}
 
-	version, err := publish(log, "one", 0, text(1))
+	version, err := publishText(log, "one", 0, treeText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -330,13 +330,13 @@
 		t.Fatal(err)
 	}
 
-	if err := holder.Offer(reader.HandOver(now, "e2", 0)); err != nil {
+	if err := holder.ApplyUpdate(reader.UpdateFor(now, "e2", 0)); err != nil {
 		t.Fatal(err)
 	}
 
 	for i, want := range []bool{true, false} {
 		if got := holder.SnapshotDue(now); got != want {
-			t.Errorf("look %d: got due %v, want %v", i, got, want)
+			t.Errorf("check %d: got due %v, want %v", i, got, want)
 		}
 
 		if err := holder.Snapshot(t.Context(), "s"); err != nil {
@@ -344,11 +344,11 @@
 		}
 	}
 
-	if !holder.SnapshotDue(now.Add(snapshotAge)) {
-		t.Error("not due after its age")
+	if !holder.SnapshotDue(now.Add(snapshotInterval)) {
+		t.Error("not due after snapshotInterval")
 	}
 
-	// The log now keeps the snapshots alone, the older half of nothing.
+	// The log now keeps only the two snapshots.
 	log.trim(2)
 
 	if err := reader.readLog(t.Context(), 0); err != nil {
@@ -356,7 +356,7 @@
 	}
 
 	for range 6 {
-		log.add([]byte("no record of ours"))
+		log.add([]byte("not a record"))
 	}
 
 	if err := reader.readLog(t.Context(), 0); err != nil {
@@ -364,7 +364,7 @@
 	}
 
 	if !reader.SnapshotDue(log.now) {
-		t.Error("not due although the log will soon forget it")
+		t.Error("not due although the log will soon trim the snapshot")
 	}
 
 	if got, want := reader.Current().Version(), version; got != want {
@@ -372,33 +372,33 @@
 	}
 }
 
-// A change of several records is published while another operator's record, which
-// is refused, falls between them. Nothing has changed in between, so the operator
-// must not be told of a conflict, nor left without an answer.
+// While a change of several records is published, another operator's record, which
+// is refused, is appended between them. The version in force hasn't changed, so the
+// operator must get neither a conflict nor an unknown outcome.
 func TestInterruptedChangeIsSentAgain(t *testing.T) {
 	log := newFakeLog()
 
-	first, err := publish(log, "one", 0, text(1))
+	first, err := publishText(log, "one", 0, treeText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	refused := encode(record{Kind: changeRecord, ID: "other", Based: first + 7, Parts: 1})
-	log.before = []func(){func() { log.add(refused) }, func() {}} // the last one runs first
+	log.beforeAppend = []func(){func() { log.add(refused) }, func() {}} // the last function runs first
 
 	version, err := Publish(t.Context(), PublishConfig{Log: log, Wait: time.Nanosecond, partBytes: 10},
-		Change{ID: "two", Based: first, Author: "ann", Name: "two", Text: text(2)})
+		Change{ID: "two", Based: first, Author: "ann", Name: "two", Text: treeText(2)})
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	b, err := TextAt(t.Context(), log, version)
-	if got, want := string(b), string(text(2)); got != want || err != nil {
+	if got, want := string(b), string(treeText(2)); got != want || err != nil {
 		t.Errorf("version %d: got %q %v, want %q", version, got, err, want)
 	}
 }
 
-// shareOf returns the share in force at the root; zero without a version.
+// shareOf returns the share in force at the root; 0 without a version.
 func shareOf(f *Follower) float64 {
 	if p := f.Current(); p != nil {
 		return p.Tree().Effective(setting.Path{}).Share
@@ -408,58 +408,58 @@
 }
 
 // During an upgrade an operator with the newer release publishes a key that the
-// older one doesn't know. If that release took no part in the order, its
-// processes would refuse this and all later changes, and stay behind for ever.
+// older release doesn't know. If the older release ignored that version, its
+// processes would refuse this and all later changes, and lag for ever.
 func TestVersionOfANewerReleaseIsPassedOn(t *testing.T) {
 	log := newFakeLog()
-	reader, behind := follower(log, "e1"), follower(log, "e2")
+	reader, lagging := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
-	first, err := publish(log, "one", 0, []byte("share = 2.0\n"))
+	first, err := publishText(log, "one", 0, []byte("share = 2.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	newer := []byte("share = 3.0\nkey_of_the_next_release = true\n")
-	hash := setting.HashOf(newer)
-	payload := encode(newContent([]byte("share = 2.0\n"), newer))
+	newerText := []byte("share = 3.0\nkey_of_the_next_release = true\n")
+	hash := setting.HashOf(newerText)
+	payload := encode(newContent([]byte("share = 2.0\n"), newerText))
 
-	step := func(want uint64, share [2]float64) {
+	checkShares := func(want uint64, share [2]float64) {
 		t.Helper()
 
 		if err := reader.readLog(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
 
-		h := reader.HandOver(time.Time{}, "e2", 0)
-		if got := h.Version(); got != want {
-			t.Errorf("handed on: got version %d, want %d", got, want)
+		u := reader.UpdateFor(time.Time{}, "e2", 0)
+		if got := u.Version(); got != want {
+			t.Errorf("update: got version %d, want %d", got, want)
 		}
 
-		if err := behind.Offer(h); err != nil {
+		if err := lagging.ApplyUpdate(u); err != nil {
 			t.Fatal(err)
 		}
 
-		if got := [2]float64{shareOf(reader), shareOf(behind)}; got != share {
+		if got := [2]float64{shareOf(reader), shareOf(lagging)}; got != share {
 			t.Errorf("version %d: got share %v, want %v", want, got, share)
 		}
 	}
 
-	step(1, [2]float64{2, 2})
+	checkShares(1, [2]float64{2, 2})
 
 	log.add(split(record{Kind: changeRecord, ID: "two", Based: first, Hash: hash[:]}, payload, partBytes)[0])
 
-	behind = follower(log, "e2") // replaced meanwhile
+	lagging = newTestFollower(log, "e2") // a replacement, which has no version
 
-	step(2, [2]float64{2, 0})
+	checkShares(2, [2]float64{2, 0})
 
-	if _, b, err := Text(t.Context(), log); string(b) != string(newer) || err != nil {
-		t.Errorf("shown: got %q %v, want %q", b, err, newer)
+	if _, b, err := Text(t.Context(), log); string(b) != string(newerText) || err != nil {
+		t.Errorf("text: got %q %v, want %q", b, err, newerText)
 	}
 
-	mended := []byte("share = 4.0\n")
-	if got, err := publish(log, "three", 2, mended); got != 3 || err != nil {
-		t.Fatalf("publish on it: got %d %v, want 3", got, err)
+	readable := []byte("share = 4.0\n")
+	if got, err := publishText(log, "three", 2, readable); got != 3 || err != nil {
+		t.Fatalf("publish with it as the base: got %d %v, want 3", got, err)
 	}
 
-	step(3, [2]float64{4, 4})
+	checkShares(3, [2]float64{4, 4})
 }
--- a/setting/publication/publish.go
+++ b/setting/publication/publish.go
@@ -10,59 +10,62 @@
 	"boragehub/setting"
 )
 
-// Change is what an operator publishes.
+// Change is a change that an operator publishes.
 type Change struct {
-	// ID is unique to the change.
+	// ID is the unique id of the change.
 	ID string
-	// Based is the version that the operator started from; zero when none was published yet.
+	// Based is the version that the operator edited; 0 if none was published yet.
 	Based uint64
-	// Author is the operator.
+	// Author is the name of the operator.
 	Author string
-	// Note says why; may be empty.
+	// Note is a description of the change; may be empty.
 	Note string
-	// Name is the file that errors name.
+	// Name is the file name for error messages.
 	Name string
-	// Text is the whole tree as it is to be.
+	// Text is the complete new tree.
 	Text []byte
-	// Recover publishes although the log no longer tells what is in force.
-	// Where it does tell, the change is refused with Conflict.
+	// Recover publishes although the log no longer keeps the version in force. If
+	// the log does keep it, the change is refused with Conflict.
 	Recover bool
 }
 
-// PublishConfig says how Publish reaches the log.
+// PublishConfig configures Publish.
 type PublishConfig struct {
 	// Log is the log service.
 	Log Log
-	// Attempts is how often an append is tried; zero is DefaultAttempts.
+	// Attempts is the maximum number of attempts to append the change; 0 means
+	// DefaultAttempts.
 	Attempts int
-	// Wait is how long one read waits for the change to show; zero is DefaultShowWait.
+	// Wait is how long one read waits for the change to appear in the log; 0 means
+	// DefaultReadWait.
 	Wait time.Duration
-	// partBytes bounds one record; zero is the package's bound. Tests set it.
+	// partBytes is the maximum payload of one record; 0 means the constant partBytes.
+	// Tests set it.
 	partBytes int
 }
 
 // Defaults of PublishConfig.
 const (
 	DefaultAttempts = 4
-	DefaultShowWait = 500 * time.Millisecond
+	DefaultReadWait = 500 * time.Millisecond
 )
 
-// ConflictError tells an operator what came between.
+// ConflictError describes the changes that came before a refused change.
 type ConflictError struct {
-	// Based is the version that the operator started from.
+	// Based is the version that the operator edited.
 	Based uint64
-	// InForce is the version to rebase on.
+	// InForce is the version in force, to rebase on.
 	InForce uint64
-	// Author, Note and At are those of the version in force.
+	// Author, Note and At describe the version in force.
 	Author string
 	Note   string
 	At     time.Time
-	// Changes are the keys that differ from Based to InForce; nil when the log
-	// no longer keeps Based.
+	// Changes are the keys that differ from Based to InForce; nil if the log no
+	// longer keeps Based, or this release can't parse one of the texts.
 	Changes []setting.Change
-	// Text is the text in force.
+	// Text is the text of InForce.
 	Text []byte
-	// BasedText is the text of Based; nil when the log no longer keeps it.
+	// BasedText is the text of Based; nil if the log no longer keeps it.
 	BasedText []byte
 }
 
@@ -71,17 +74,19 @@
 	return fmt.Sprintf("version %d by %s is in force, the change was based on %d", e.InForce, e.Author, e.Based)
 }
 
-// Publish puts c into the log and returns its version once it is in force by
-// the log's order. Errors: BadSettings; Conflict with a *ConflictError;
-// LogUnavailable when nothing was published; OutcomeUnknown when the log went
-// away before it told, so that the change may still come into force.
+// Publish appends c to the log and returns its version once the order of the log
+// has brought it into force. Errors: BadSettings; Conflict with a *ConflictError;
+// Unavailable if the log no longer keeps the version in force; LogUnavailable if
+// the log can't be read before the append, so that nothing was published;
+// OutcomeUnknown if the log failed later, so that the change may still come into
+// force; Internal if the change is damaged in the log.
 func Publish(ctx context.Context, cfg PublishConfig, c Change) (uint64, error) {
 	if cfg.Attempts <= 0 {
 		cfg.Attempts = DefaultAttempts
 	}
 
 	if cfg.Wait <= 0 {
-		cfg.Wait = DefaultShowWait
+		cfg.Wait = DefaultReadWait
 	}
 
 	if cfg.partBytes <= 0 {
@@ -94,9 +99,9 @@
 
 	p := newPublisher(cfg, c)
 
-	err := p.reader.catchUp(ctx, 0)
+	err := p.reader.readToEnd(ctx, 0)
 	if c.Recover && failure.KindOf(err) == failure.Unavailable {
-		p.change.Based = p.reader.replica.from() - 1
+		p.change.Based = p.reader.replica.nextOffset() - 1
 
 		return p.publish(ctx)
 	}
@@ -110,31 +115,31 @@
 	}
 
 	if p.reader.replica.head.hash == setting.HashOf(c.Text) && c.Based > 0 {
-		return c.Based, nil // nothing changes
+		return c.Based, nil // the text is unchanged
 	}
 
 	return p.publish(ctx)
 }
 
-// publisher is one try to publish.
+// publisher holds the state of one call of Publish.
 type publisher struct {
 	cfg    PublishConfig
 	change Change
-	reader *history
-	// verdicts are those of the records that bear the change's id.
-	verdicts  []verdict
+	reader *streamReader
+	// decisions are those on the records with the change's id.
+	decisions []decision
 	basedText []byte
 }
 
 func newPublisher(cfg PublishConfig, c Change) *publisher {
-	p := &publisher{cfg: cfg, change: c, reader: newHistory(cfg.Log)}
+	p := &publisher{cfg: cfg, change: c, reader: newStreamReader(cfg.Log)}
 
-	p.reader.seen = func(v verdict) {
-		if v.id == c.ID {
-			p.verdicts = append(p.verdicts, v)
+	p.reader.onDecision = func(d decision) {
+		if d.id == c.ID {
+			p.decisions = append(p.decisions, d)
 		}
 	}
-	p.reader.advanced = func(h head) {
+	p.reader.onHead = func(h head) {
 		if h.version == c.Based {
 			p.basedText = h.text
 		}
@@ -143,7 +148,7 @@
 	return p
 }
 
-// publish appends until the log's order has decided.
+// publish appends the change, again if necessary, until its outcome is decided.
 func (p *publisher) publish(ctx context.Context) (uint64, error) {
 	var base []byte
 	if !p.change.Recover {
@@ -154,16 +159,16 @@
 	hash := setting.HashOf(p.change.Text)
 
 	for attempt := range p.cfg.Attempts {
-		// Sent again, the parts are the same to the byte, so it does no harm when
-		// late ones of an earlier attempt mix with them.
-		one := record{
+		// The parts of all attempts are identical, so parts of an earlier attempt
+		// that arrive late do no harm.
+		rec := record{
 			Kind: changeRecord, ID: p.change.ID, Based: p.change.Based,
 			Author: p.change.Author, Note: p.change.Note, Hash: hash[:], Recovers: p.change.Recover,
 		}
 
-		p.append(ctx, split(one, payload, p.cfg.partBytes))
+		p.append(ctx, split(rec, payload, p.cfg.partBytes))
 
-		err := p.settle(ctx)
+		err := p.awaitDecision(ctx)
 		if version, done, outcome := p.outcome(); done {
 			return version, outcome
 		}
@@ -178,10 +183,10 @@
 	}
 
 	return 0, failure.New(failure.OutcomeUnknown,
-		"the log did not tell whether the change %s took effect; it may still do so: see ctl config history", p.change.ID)
+		"it is unknown whether the change %s took effect, and it may still do so: see ctl config history", p.change.ID)
 }
 
-// append writes the parts; what came of it is told by reading on.
+// append appends the parts. It returns no error: reading on shows the outcome.
 func (p *publisher) append(ctx context.Context, parts [][]byte) {
 	for _, part := range parts {
 		if _, err := p.cfg.Log.Append(ctx, Stream, [][]byte{part}); err != nil {
@@ -190,9 +195,10 @@
 	}
 }
 
-// settle reads on until the change has been decided or doesn't show.
-func (p *publisher) settle(ctx context.Context) error {
-	if err := p.reader.catchUp(ctx, 0); err != nil {
+// awaitDecision reads on until the outcome is decided, or the change does not
+// appear within a wait.
+func (p *publisher) awaitDecision(ctx context.Context) error {
+	if err := p.reader.readToEnd(ctx, 0); err != nil {
 		return err
 	}
 
@@ -200,43 +206,43 @@
 		return nil
 	}
 
-	return p.reader.catchUp(ctx, p.cfg.Wait)
+	return p.reader.readToEnd(ctx, p.cfg.Wait)
 }
 
-// outcome returns what the log's order decided, if it has.
+// outcome returns the version or the error of the change, and whether it is decided.
 func (p *publisher) outcome() (uint64, bool, error) {
 	conflict := false
 
-	for _, v := range p.verdicts {
-		switch v.reason {
+	for _, d := range p.decisions {
+		switch d.reason {
 		case accepted:
-			return v.offset, true, nil
+			return d.offset, true, nil
 		case reasonConflict:
 			conflict = true
 		case reasonDamaged:
-			return 0, true, failure.New(failure.Internal, "the change arrived damaged in the log at offset %d", v.offset)
+			return 0, true, failure.New(failure.Internal, "the change in the log at offset %d is damaged", d.offset)
 		case reasonInterrupted:
 		}
 	}
 
-	if conflict || p.passed() {
+	if conflict || p.superseded() {
 		return 0, true, p.conflict()
 	}
 
 	return 0, false, nil
 }
 
-// passed says that the change can't be accepted any more, also if it is still
-// under way.
-func (p *publisher) passed() bool {
+// superseded reports whether the change can no longer be accepted, even if an append
+// is still in flight.
+func (p *publisher) superseded() bool {
 	if p.change.Recover {
-		return p.reader.replica.from() > p.change.Based+1
+		return p.reader.replica.nextOffset() > p.change.Based+1
 	}
 
 	return p.reader.replica.head.version != p.change.Based
 }
 
-// conflict returns what came between.
+// conflict returns the Conflict error with the changes that came before.
 func (p *publisher) conflict() error {
 	h := p.reader.replica.head
 	e := &ConflictError{
@@ -245,15 +251,15 @@
 	}
 
 	if p.basedText != nil || p.change.Based == 0 {
-		e.Changes = differences(p.basedText, h.text)
+		e.Changes = changedKeys(p.basedText, h.text)
 	}
 
 	return failure.Wrap(failure.Conflict, e, "version %d by %s came first; rebase on it", h.version, h.author)
 }
 
-// differences returns the keys that differ; nil when a text is from another
-// release and can't be read.
-func differences(a, b []byte) []setting.Change {
+// changedKeys returns the keys that differ; nil if this release can't parse one of
+// the texts.
+func changedKeys(a, b []byte) []setting.Change {
 	before, err := setting.Parse("before", a)
 	if err != nil {
 		return nil
--- a/setting/publication/rebase.go
+++ b/setting/publication/rebase.go
@@ -6,25 +6,26 @@
 	"boragehub/failure"
 )
 
-// Rebase returns theirs with what mine changes of base. It fails with Conflict
-// when both change the same lines.
+// Rebase returns theirs with the changes from base to mine applied. It fails with
+// Conflict if both changes touch the same or adjacent lines.
 func Rebase(base, mine, theirs []byte) ([]byte, error) {
-	ours, other := makePatch(base, mine), makePatch(base, theirs)
+	minePatch, theirsPatch := makePatch(base, mine), makePatch(base, theirs)
 
-	if ours.touches(other) {
-		return nil, failure.New(failure.Conflict, "both changes touch the same lines; edit the version in force by hand")
+	if minePatch.overlaps(theirsPatch) {
+		return nil, failure.New(failure.Conflict, "both changes touch the same or adjacent lines; edit the version in force by hand")
 	}
 
-	return merge(ours, other).apply(base)
+	return merge(minePatch, theirsPatch).apply(base)
 }
 
-// span is the part of a base that a hunk covers.
+// span is a hunk with its position: the bytes from..to of the base are replaced by
+// add.
 type span struct {
 	from, to int
 	add      []byte
 }
 
-// spans returns the places of p in its base.
+// spans returns the hunks of p with their positions in the base.
 func (p patch) spans() []span {
 	at := 0
 
@@ -38,8 +39,8 @@
 	return spans
 }
 
-// touches says whether a place of p meets one of q.
-func (p patch) touches(q patch) bool {
+// overlaps reports whether a span of p overlaps or touches one of q.
+func (p patch) overlaps(q patch) bool {
 	for _, a := range p.spans() {
 		for _, b := range q.spans() {
 			if a.from <= b.to && b.from <= a.to {
@@ -51,7 +52,8 @@
 	return false
 }
 
-// merge returns the patch that does what both do.
+// merge returns the patch that makes the changes of both p and q, which must not
+// overlap.
 func merge(p, q patch) patch {
 	spans := append(p.spans(), q.spans()...)
 	slices.SortFunc(spans, func(a, b span) int { return a.from - b.from })
--- a/setting/publication/record.go
+++ b/setting/publication/record.go
@@ -11,77 +11,80 @@
 	"boragehub/setting"
 )
 
-// recordKind tells what a record of the stream is.
+// recordKind is the kind of a record in the stream.
 type recordKind uint8
 
 const (
 	// changeRecord is an operator's change.
 	changeRecord recordKind = iota + 1
-	// snapshotRecord repeats what is in force, before retention passes it.
+	// snapshotRecord is a copy of the version in force, written before the log trims
+	// the original.
 	snapshotRecord
 )
 
-// partBytes bounds the payload of one record: the log takes a mebibyte of
-// base64 in one append.
+// partBytes is the maximum payload of one record: the log accepts a mebibyte of
+// base64 per append.
 const partBytes = 512 << 10
 
-// maxParts bounds how many records one change may take.
+// maxParts is the maximum number of records of one change.
 const maxParts = 64
 
-// record is what stands in the log. A payload over partBytes stands in several
-// records that follow each other.
+// record is a record of the stream. A payload over partBytes is split into several
+// records, its parts, that must be contiguous.
 type record struct {
 	Kind recordKind `cbor:"1,keyasint"`
-	// ID is unique to the writer's change; a part appended twice bears the same.
+	// ID is unique to the change or snapshot; a part that is appended twice has the
+	// same ID.
 	ID string `cbor:"2,keyasint"`
-	// Based is the version that a change was made from.
+	// Based is the version that a change is based on.
 	Based uint64 `cbor:"3,keyasint,omitempty"`
-	// Author and Note are the operator's.
+	// Author is the operator, and Note the description of the change.
 	Author string `cbor:"4,keyasint,omitempty"`
 	Note   string `cbor:"5,keyasint,omitempty"`
-	// Hash is the hash of the text that results.
+	// Hash is the hash of the resulting text.
 	Hash []byte `cbor:"6,keyasint"`
 	// Part counts from 0 to Parts-1.
 	Part  int `cbor:"7,keyasint,omitempty"`
 	Parts int `cbor:"8,keyasint"`
 	// Payload is this part of the encoded content.
 	Payload []byte `cbor:"9,keyasint"`
-	// Version, Read and AtMS are those of a snapshot: Version was in force at
-	// offset Read and had been taken in by the log at AtMS.
+	// Version, Read and AtMS belong to a snapshot: Version was in force at offset
+	// Read, and the log accepted it at AtMS.
 	Version uint64 `cbor:"10,keyasint,omitempty"`
 	Read    uint64 `cbor:"11,keyasint,omitempty"`
 	AtMS    int64  `cbor:"12,keyasint,omitempty"`
-	// Recovers says that the log forgot what was in force before any process
-	// wrote it again. Based is then the end of the log as the operator saw it,
-	// and the change holds only if it stands right behind: all readers can tell
-	// that, and one that arrives late takes nothing back.
+	// Recovers marks a change published after the log had trimmed the version in
+	// force and no process had written a snapshot. Based is then the last offset
+	// that the operator saw, and the change is accepted only if it directly follows
+	// it. All readers can check that, and a record that arrives late can't revert
+	// anything.
 	Recovers bool `cbor:"13,keyasint,omitempty"`
 
-	// start is the offset of the first part, set on reading.
+	// start is the offset of the first part, set when the record is read.
 	start uint64
 }
 
-// content is a new text, whole or as a patch of the text that it was based on.
+// content is a new text, either in full or as a patch of its base.
 type content struct {
-	Patch patch  `cbor:"1,keyasint,omitempty"`
-	Full  []byte `cbor:"2,keyasint,omitempty"` // deflated
-	Whole bool   `cbor:"3,keyasint,omitempty"`
+	Patch  patch  `cbor:"1,keyasint,omitempty"`
+	Full   []byte `cbor:"2,keyasint,omitempty"` // compressed with DEFLATE
+	IsFull bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// newContent returns what turns base into text, in the shorter of both forms.
+// newContent returns the shorter form of the change from base to text.
 func newContent(base, text []byte) content {
 	p := makePatch(base, text)
-	whole := content{Full: deflate(text), Whole: true}
+	full := content{Full: compress(text), IsFull: true}
 
-	if len(base) > 0 && p.size() <= len(whole.Full) {
+	if len(base) > 0 && p.encodedSize() <= len(full.Full) {
 		return content{Patch: p}
 	}
 
-	return whole
+	return full
 }
 
-// size returns about how many bytes p takes.
-func (p patch) size() int {
+// encodedSize returns the approximate size of p in bytes.
+func (p patch) encodedSize() int {
 	const perHunk = 12
 
 	n := 0
@@ -92,15 +95,15 @@
 	return n
 }
 
-// text returns the text that c makes of base, checked against its hash.
+// text returns the text that c produces from base, after checking its hash.
 func (c content) text(base []byte, hash []byte) ([]byte, error) {
 	var (
 		text []byte
 		err  error
 	)
 
-	if c.Whole {
-		text, err = inflate(c.Full)
+	if c.IsFull {
+		text, err = decompress(c.Full)
 	} else {
 		text, err = c.Patch.apply(base)
 	}
@@ -110,14 +113,14 @@
 	}
 
 	if h := setting.HashOf(text); !bytes.Equal(h[:], hash) {
-		return nil, failure.New(failure.BadMessage, "the settings that a change results in have another hash than it says")
+		return nil, failure.New(failure.BadMessage, "the hash of the changed settings does not match the hash in the change")
 	}
 
 	return text, nil
 }
 
-// decoding bounds what a damaged record can cost.
-var decoding = func() cbor.DecMode {
+// decMode limits the cost of decoding a damaged record.
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
@@ -125,13 +128,14 @@
 		MaxArrayElements: 1 << 20,
 	}.DecMode()
 	if err != nil {
-		panic(err) // constant options, which are seen by the first test run
+		panic(err) // only for invalid options, and these are constant
 	}
 
 	return m
 }()
 
-// encode returns v as CBOR. The types of this package always encode.
+// encode returns v as CBOR. It panics on an error, which the types of this package
+// can't cause.
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -141,14 +145,14 @@
 	return b
 }
 
-// split returns r as the records to append, its payload divided into parts of
-// at most most bytes.
-func split(r record, payload []byte, most int) [][]byte {
-	r.Parts = max((len(payload)+most-1)/most, 1)
+// split returns the encoded records of r, with payload divided into parts of at most
+// maxBytes.
+func split(r record, payload []byte, maxBytes int) [][]byte {
+	r.Parts = max((len(payload)+maxBytes-1)/maxBytes, 1)
 
 	records := make([][]byte, 0, r.Parts)
 	for r.Part = range r.Parts {
-		n := min(most, len(payload))
+		n := min(maxBytes, len(payload))
 		r.Payload = payload[:n]
 		payload = payload[n:]
 
@@ -158,16 +162,16 @@
 	return records
 }
 
-func deflate(b []byte) []byte {
+func compress(b []byte) []byte {
 	var out bytes.Buffer
 
 	w, err := flate.NewWriter(&out, flate.DefaultCompression)
 	if err != nil {
-		panic(err) // a constant level
+		panic(err) // only for an invalid level
 	}
 
 	if _, err := w.Write(b); err != nil {
-		panic(err) // a buffer takes everything
+		panic(err) // a bytes.Buffer returns no errors
 	}
 
 	if err := w.Close(); err != nil {
@@ -177,16 +181,16 @@
 	return out.Bytes()
 }
 
-func inflate(b []byte) ([]byte, error) {
+func decompress(b []byte) ([]byte, error) {
 	r := io.LimitReader(flate.NewReader(bytes.NewReader(b)), MaxTreeBytes+1)
 
 	text, err := io.ReadAll(r)
 	if err != nil {
-		return nil, failure.Wrap(failure.BadMessage, err, "compressed settings are damaged")
+		return nil, failure.Wrap(failure.BadMessage, err, "cannot decompress the settings")
 	}
 
 	if len(text) > MaxTreeBytes {
-		return nil, failure.New(failure.TooLarge, "settings over %d bytes", MaxTreeBytes)
+		return nil, failure.New(failure.TooLarge, "the settings exceed %d bytes", MaxTreeBytes)
 	}
 
 	return text, nil
--- a/setting/publication/replica.go
+++ b/setting/publication/replica.go
@@ -19,8 +19,8 @@
 	hash    setting.Hash
 }
 
-// verdict is what the log's order decided on one change.
-type verdict struct {
+// decision is the result for one change, as the order of the log determines it.
+type decision struct {
 	id     string
 	offset uint64
 	author string
@@ -28,21 +28,22 @@
 	at     time.Time
 	based  uint64
 	reason reason
-	// inForce is the version in force at the offset before the change.
+	// inForce is the version in force before the change.
 	inForce uint64
 }
 
-// reason says why a change is accepted or not.
+// reason is why a change was accepted or refused.
 type reason uint8
 
 const (
-	// accepted is the only reason for which a change comes into force.
+	// accepted means that the change came into force; all other reasons refuse it.
 	accepted reason = iota
-	// reasonConflict is a change based on another version than the one in force.
+	// reasonConflict means that the change is not based on the version in force.
 	reasonConflict
-	// reasonDamaged is a change that can't be read or results in another text than it says.
+	// reasonDamaged means that the change can't be decoded, or that the resulting
+	// text doesn't match its hash.
 	reasonDamaged
-	// reasonInterrupted is a change whose parts don't follow each other.
+	// reasonInterrupted means that the parts of the change are not contiguous.
 	reasonInterrupted
 )
 
@@ -51,56 +52,61 @@
 	return [...]string{"accepted", "conflict", "damaged", "interrupted"}[r]
 }
 
-// replica folds the stream, record by record, into the version in force. It
-// decides by offsets alone, never by what this release can read, so that all
-// processes of all releases agree on the order. It isn't safe for concurrent use.
+// replica applies the records of the stream one by one to the version in force.
+// Whether a change is accepted depends only on the records, never on whether this
+// release can parse the settings, so processes of all releases agree. It isn't safe
+// for concurrent use.
 type replica struct {
 	head head
 	// read is an offset at which head is known to be in force.
 	read uint64
-	// changes and snapshots put records in parts together.
+	// changes and snapshots assemble the records that consist of several parts.
 	changes   assembler
 	snapshots assembler
-	// whole is head's text deflated, once a peer has asked for it.
-	whole []byte
-	// steps lead to head, oldest first, for peers that lag a little.
-	steps []step
-	// scan is set while records are missing between read and what the log keeps.
+	// fullPayload is the encoded full text of head; nil until a peer needs it.
+	fullPayload []byte
+	// deltas lead to head, oldest first, for peers that lag a little.
+	deltas []delta
+	// scan is non-nil while records are missing between read and the oldest that
+	// the log keeps.
 	scan *scan
-	// snapshot is the offset of the newest snapshot seen, and when it was written.
+	// snapshot is the offset of the newest known snapshot, and snapshotAt is when
+	// it was written; both are zero before the first.
 	snapshot   uint64
 	snapshotAt time.Time
-	// kept is the oldest offset that the log was seen to keep.
-	kept uint64
-	// decided is called for each verdict; may be nil.
-	decided func(verdict)
-	// diverged is called for a snapshot that differs from head; may be nil.
-	diverged func(offset uint64)
+	// oldestOffset is the highest known offset of the oldest record in the log.
+	oldestOffset uint64
+	// onDecision is called for each decision; may be nil.
+	onDecision func(decision)
+	// onDivergence is called for a snapshot of head's version with another hash; may
+	// be nil.
+	onDivergence func(offset uint64)
 }
 
-// scan is the search for a snapshot in what the log still keeps.
+// scan is the search for a snapshot among the records that the log still keeps. It
+// buffers the records from start onwards, to apply them after the snapshot.
 type scan struct {
 	start     uint64
 	next      uint64
-	waiting   []journal.Record
+	buffered  []journal.Record
 	bytes     int
 	changes   assembler
 	snapshots assembler
 }
 
-// Bounds on what a replica keeps.
+// Bounds on the memory of a replica.
 const (
-	maxSteps        = 256
-	maxStepBytes    = 1 << 20
-	maxWaitingBytes = 32 << 20
+	maxDeltas        = 256
+	maxDeltaBytes    = 1 << 20
+	maxBufferedBytes = 32 << 20
 )
 
 func newReplica() *replica {
 	return &replica{head: head{hash: setting.HashOf(nil)}}
 }
 
-// from returns the offset to read next.
-func (r *replica) from() uint64 {
+// nextOffset returns the offset to read next.
+func (r *replica) nextOffset() uint64 {
 	if r.scan != nil {
 		return r.scan.next
 	}
@@ -108,229 +114,235 @@
 	return r.read + 1
 }
 
-// synced says that nothing is missing between head and what is read next.
+// synced reports whether no record is missing between head and the next read.
 func (r *replica) synced() bool { return r.scan == nil }
 
-// sure returns the newest offset from which another process can read on with
-// head alone, which is before the first part of a change that is still open.
-func (r *replica) sure() uint64 {
-	if r.changes.open != nil {
-		return r.changes.open.start - 1
+// safeOffset returns the newest offset after which another process that has only
+// head can read on. It is before the first part of a change that is incomplete.
+func (r *replica) safeOffset() uint64 {
+	if r.changes.current != nil {
+		return r.changes.current.start - 1
 	}
 
 	return r.read
 }
 
-// trimmed tells r that the log keeps nothing before first. What is missing may
-// hold accepted changes, so head stays and r searches for a snapshot made after them.
-func (r *replica) trimmed(first uint64) {
-	if first <= r.from() {
+// markTrimmed records that the log keeps no record before first. The missing
+// records may hold accepted changes, so r keeps head and searches for a snapshot
+// written after them.
+func (r *replica) markTrimmed(first uint64) {
+	if first <= r.nextOffset() {
 		return
 	}
 
 	r.scan = &scan{start: first, next: first}
 }
 
-// feed takes the next record.
-func (r *replica) feed(rec journal.Record) {
+// process processes the next record of the stream. It ignores a record that was
+// already read.
+func (r *replica) process(rec journal.Record) {
 	switch {
-	case rec.Offset < r.from():
+	case rec.Offset < r.nextOffset():
 		return
-	case rec.Offset > r.from():
-		r.trimmed(rec.Offset)
+	case rec.Offset > r.nextOffset():
+		r.markTrimmed(rec.Offset)
 	}
 
 	if r.scan != nil {
-		r.search(rec)
+		r.searchSnapshot(rec)
 
 		return
 	}
 
-	r.fold(rec)
+	r.apply(rec)
 }
 
-// fold decides on a record that follows on what was read.
-func (r *replica) fold(rec journal.Record) {
+// apply processes a record that directly follows those that were read.
+func (r *replica) apply(rec journal.Record) {
 	r.read = rec.Offset
 
-	one, ok := decodeRecord(rec.Data)
+	part, ok := decodeRecord(rec.Data)
 	if !ok {
 		return
 	}
 
-	switch one.Kind {
+	switch part.Kind {
 	case changeRecord:
-		whole, lost := r.changes.take(rec.Offset, one)
-		if lost != nil {
-			r.tell(rec, *lost, reasonInterrupted)
+		complete, dropped := r.changes.add(rec.Offset, part)
+		if dropped != nil {
+			r.reportDecision(rec, *dropped, reasonInterrupted)
 		}
 
-		if whole != nil {
-			r.decide(rec, *whole)
+		if complete != nil {
+			r.decide(rec, *complete)
 		}
 	case snapshotRecord:
-		if whole, _ := r.snapshots.take(rec.Offset, one); whole != nil {
+		if complete, _ := r.snapshots.add(rec.Offset, part); complete != nil {
 			r.snapshot = rec.Offset
 			r.snapshotAt = rec.At
-			r.compare(rec.Offset, *whole)
+			r.checkSnapshot(rec.Offset, *complete)
 		}
 	}
 }
 
-// decide accepts or refuses a whole change.
-func (r *replica) decide(rec journal.Record, one record) {
-	fits := one.Based == r.head.version
-	if one.Recovers {
-		fits = one.inPlace()
+// decide accepts or refuses a complete change.
+func (r *replica) decide(rec journal.Record, change record) {
+	fits := change.Based == r.head.version
+	if change.Recovers {
+		fits = change.atIntendedOffset()
 	}
 
 	if !fits {
-		r.tell(rec, one, reasonConflict)
+		r.reportDecision(rec, change, reasonConflict)
 
 		return
 	}
 
 	var c content
-	if err := decoding.Unmarshal(one.Payload, &c); err != nil {
-		r.tell(rec, one, reasonDamaged)
+	if err := decMode.Unmarshal(change.Payload, &c); err != nil {
+		r.reportDecision(rec, change, reasonDamaged)
 
 		return
 	}
 
-	text, err := c.text(r.head.text, one.Hash)
+	text, err := c.text(r.head.text, change.Hash)
 	if err != nil {
-		r.tell(rec, one, reasonDamaged)
+		r.reportDecision(rec, change, reasonDamaged)
 
 		return
 	}
 
-	r.tell(rec, one, accepted)
+	r.reportDecision(rec, change, accepted)
 	r.advance(head{
-		version: rec.Offset, based: one.Based, author: one.Author, note: one.Note,
-		at: rec.At, text: text, hash: setting.Hash(one.Hash),
-	}, one.Payload)
+		version: rec.Offset, based: change.Based, author: change.Author, note: change.Note,
+		at: rec.At, text: text, hash: setting.Hash(change.Hash),
+	}, change.Payload)
 }
 
-// advance makes h the head, which payload leads to from the old one.
+// advance sets head to h, which payload produces from the previous head.
 func (r *replica) advance(h head, payload []byte) {
 	r.head = h
-	r.whole = nil
-	r.steps = bounded(append(r.steps, step{
+	r.fullPayload = nil
+	r.deltas = trimDeltas(append(r.deltas, delta{
 		Version: h.version, Based: h.based, Author: h.author, Note: h.note,
 		AtMS: h.at.UnixMilli(), Hash: h.hash[:], Payload: payload,
 	}))
 }
 
-func (r *replica) tell(rec journal.Record, one record, why reason) {
-	if r.decided == nil {
+func (r *replica) reportDecision(rec journal.Record, change record, why reason) {
+	if r.onDecision == nil {
 		return
 	}
 
-	r.decided(verdict{
-		id: one.ID, offset: rec.Offset, author: one.Author, note: one.Note, at: rec.At,
-		based: one.Based, reason: why, inForce: r.head.version,
+	r.onDecision(decision{
+		id: change.ID, offset: rec.Offset, author: change.Author, note: change.Note, at: rec.At,
+		based: change.Based, reason: why, inForce: r.head.version,
 	})
 }
 
-// compare checks a snapshot against head where both are of one version.
-func (r *replica) compare(offset uint64, one record) {
-	if one.Version == r.head.version && !bytes.Equal(one.Hash, r.head.hash[:]) && r.diverged != nil {
-		r.diverged(offset)
+// checkSnapshot compares the hash of a snapshot with that of head if both have the
+// same version.
+func (r *replica) checkSnapshot(offset uint64, snapshot record) {
+	if snapshot.Version == r.head.version && !bytes.Equal(snapshot.Hash, r.head.hash[:]) && r.onDivergence != nil {
+		r.onDivergence(offset)
 	}
 }
 
-// search looks for a snapshot from which the kept records lead on.
-func (r *replica) search(rec journal.Record) {
+// searchSnapshot buffers rec and ends the scan if rec completes a snapshot, or a
+// recovering change, from which the buffered records continue without a gap.
+func (r *replica) searchSnapshot(rec journal.Record) {
 	s := r.scan
 	s.next = rec.Offset + 1
-	s.waiting = append(s.waiting, rec)
+	s.buffered = append(s.buffered, rec)
 	s.bytes += len(rec.Data)
 
-	// Without a bound a process that never finds a snapshot would fill its
-	// memory. Starting later is safe: it only needs a later snapshot.
-	for s.bytes > maxWaitingBytes {
-		s.bytes -= len(s.waiting[0].Data)
-		s.start = s.waiting[0].Offset + 1
-		s.waiting = s.waiting[1:]
+	// Without a bound, a process that never finds a snapshot would run out of
+	// memory. Dropping the oldest records is safe: it only requires a later snapshot.
+	for s.bytes > maxBufferedBytes {
+		s.bytes -= len(s.buffered[0].Data)
+		s.start = s.buffered[0].Offset + 1
+		s.buffered = s.buffered[1:]
 	}
 
-	one := s.whole(rec)
-	if one == nil {
+	complete := s.completeSnapshot(rec)
+	if complete == nil {
 		return
 	}
 
-	// A snapshot made before the first record that was seen leaves a gap in
-	// which a change may have been accepted.
-	if one.Read+1 < s.start {
+	// Between a snapshot from before the first buffered record and that record
+	// there is a gap, in which a change may have been accepted.
+	if complete.Read+1 < s.start {
 		return
 	}
 
 	var c content
-	if err := decoding.Unmarshal(one.Payload, &c); err != nil || !c.Whole {
+	if err := decMode.Unmarshal(complete.Payload, &c); err != nil || !c.IsFull {
 		return
 	}
 
-	text, err := c.text(nil, one.Hash)
+	text, err := c.text(nil, complete.Hash)
 	if err != nil {
 		return
 	}
 
-	if one.Kind == changeRecord {
-		r.tell(rec, *one, accepted)
+	if complete.Kind == changeRecord {
+		r.reportDecision(rec, *complete, accepted)
 	}
 
-	if one.Version > r.head.version {
-		r.steps = nil
-		r.whole = nil
+	if complete.Version > r.head.version {
+		r.deltas = nil
+		r.fullPayload = nil
 		r.head = head{
-			version: one.Version, based: one.Based, author: one.Author, note: one.Note,
-			at: time.UnixMilli(one.AtMS), text: text, hash: setting.Hash(one.Hash),
+			version: complete.Version, based: complete.Based, author: complete.Author, note: complete.Note,
+			at: time.UnixMilli(complete.AtMS), text: text, hash: setting.Hash(complete.Hash),
 		}
 	}
 
-	r.resume(one.Read)
+	r.resume(complete.Read)
 }
 
-// inPlace says whether a change that recovers stands where it was meant to.
-func (r *record) inPlace() bool { return r.start == r.Based+1 }
+// atIntendedOffset reports whether a recovering change directly follows the end of
+// the log that its operator saw.
+func (r *record) atIntendedOffset() bool { return r.start == r.Based+1 }
 
-// whole returns a snapshot, or a change that recovers, when rec completes it.
-func (s *scan) whole(rec journal.Record) *record {
+// completeSnapshot returns the snapshot, or the valid recovering change, that rec
+// completes; nil if it completes none.
+func (s *scan) completeSnapshot(rec journal.Record) *record {
 	part, ok := decodeRecord(rec.Data)
 	if !ok {
 		return nil
 	}
 
 	if part.Kind == snapshotRecord {
-		one, _ := s.snapshots.take(rec.Offset, part)
+		complete, _ := s.snapshots.add(rec.Offset, part)
 
-		return one
+		return complete
 	}
 
-	one, _ := s.changes.take(rec.Offset, part)
-	if one == nil || !one.Recovers || !one.inPlace() {
+	complete, _ := s.changes.add(rec.Offset, part)
+	if complete == nil || !complete.Recovers || !complete.atIntendedOffset() {
 		return nil
 	}
 
-	one.Version = rec.Offset
-	one.Read = rec.Offset
-	one.AtMS = rec.At.UnixMilli()
+	complete.Version = rec.Offset
+	complete.Read = rec.Offset
+	complete.AtMS = rec.At.UnixMilli()
 
-	return one
+	return complete
 }
 
-// resume ends the search: head is in force at offset read, and the records
-// seen after it are decided in order.
+// resume ends the scan: head is in force at offset read, and the buffered records
+// after it are processed in order.
 func (r *replica) resume(read uint64) {
-	waiting := r.scan.waiting
+	buffered := r.scan.buffered
 	r.scan = nil
 	r.read = read
 	r.changes = assembler{}
 	r.snapshots = assembler{}
 
-	for _, rec := range waiting {
+	for _, rec := range buffered {
 		if rec.Offset > r.read {
-			r.fold(rec)
+			r.apply(rec)
 		}
 	}
 }
--- a/setting/publication/snapshot.go
+++ b/setting/publication/snapshot.go
@@ -8,14 +8,14 @@
 	"boragehub/failure"
 )
 
-// Snapshots are written after so many records or so long, whichever comes first.
+// A snapshot is due after this many records or this time, whichever comes first.
 const (
-	snapshotRecords = 1024
-	snapshotAge     = time.Hour
+	snapshotRecordInterval = 1024
+	snapshotInterval       = time.Hour
 )
 
-// SnapshotDue says whether what is in force should be written to the log again,
-// before retention passes it.
+// SnapshotDue reports whether the version in force should be appended to the log
+// again, before the log trims it.
 func (f *Follower) SnapshotDue(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,35 +25,36 @@
 		return false
 	}
 
-	// In the older half of what the log keeps, it would soon be forgotten.
-	old := r.kept > 1 && r.snapshot < r.kept+(r.read-min(r.read, r.kept))/2
+	// A snapshot in the older half of the records in the log will soon be trimmed.
+	soonTrimmed := r.oldestOffset > 1 && r.snapshot < r.oldestOffset+(r.read-min(r.read, r.oldestOffset))/2
 
-	return old || r.snapshot == 0 || r.read >= r.snapshot+snapshotRecords || now.Sub(r.snapshotAt) >= snapshotAge
+	return soonTrimmed || r.snapshot == 0 || r.read >= r.snapshot+snapshotRecordInterval || now.Sub(r.snapshotAt) >= snapshotInterval
 }
 
-// Snapshot writes what is in force to the log again. One process at a time does
-// this, by lease; a second one does no harm.
+// Snapshot appends the version in force to the log as a snapshot with a unique id.
+// One process at a time does this, by lease; a second one does no harm. Errors:
+// NotReady without a version or while records are missing; LogUnavailable.
 func (f *Follower) Snapshot(ctx context.Context, id string) error {
 	f.mu.Lock()
-	h, read, synced := f.replica.head, f.replica.sure(), f.replica.synced()
+	h, read, synced := f.replica.head, f.replica.safeOffset(), f.replica.synced()
 	f.mu.Unlock()
 
 	if !synced || h.version == 0 {
-		return failure.New(failure.NotReady, "there is no version to write")
+		return failure.New(failure.NotReady, "there is no up-to-date version to write a snapshot of")
 	}
 
-	whole := content{Full: deflate(h.text), Whole: true}
-	one := record{
+	full := content{Full: compress(h.text), IsFull: true}
+	rec := record{
 		Kind: snapshotRecord, ID: id, Based: h.based, Author: h.author, Note: h.note, Hash: h.hash[:],
 		Version: h.version, Read: read, AtMS: h.at.UnixMilli(),
 	}
 
 	var last uint64
 
-	for _, part := range split(one, encode(whole), f.partBytes) {
+	for _, part := range split(rec, encode(full), f.partBytes) {
 		offset, err := f.cfg.Log.Append(ctx, Stream, [][]byte{part})
 		if err != nil {
-			return failure.Wrap(failure.LogUnavailable, err, "the settings could not be written to the log again")
+			return failure.Wrap(failure.LogUnavailable, err, "the snapshot of the settings could not be appended to the log")
 		}
 
 		last = offset
@@ -61,13 +62,13 @@
 
 	f.noteSnapshot(last)
 
-	event.Log(f.cfg.Logger, event.SettingsSnapshot, "version", h.version, "read", read, "bytes", len(whole.Full))
+	event.Log(f.cfg.Logger, event.SettingsSnapshot, "version", h.version, "read", read, "bytes", len(full.Full))
 
 	return nil
 }
 
-// noteSnapshot remembers a snapshot of its own. A process that doesn't read the
-// log itself would otherwise write one each time it is asked.
+// noteSnapshot records the offset of a snapshot that this process wrote. Otherwise
+// a process that doesn't read the log itself would find one due at each check.
 func (f *Follower) noteSnapshot(offset uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
