--- a/setting/publication/stateful_test.go
+++ b/setting/publication/stateful_test.go
@@ -12,53 +12,57 @@
 	"boragehub/failure"
 )
 
-// fleet is a few followers, operators and a log, driven step by step.
+// fleet is the system under test: some followers, their operators and a log.
 type fleet struct {
 	log       *fakeLog
 	followers []*Follower
-	// cut says that a follower neither reads the log nor hears from peers.
-	cut []bool
-	// highest is the highest version that each follower ever had in force since it started.
+	// isolated marks the followers that can reach neither the log nor peers.
+	isolated []bool
+	// highest is the highest version that each follower has had in force since its
+	// start.
 	highest []uint64
 	starts  int
-	// snapshots numbers the snapshots; each has an id of its own.
+	// snapshots counts the snapshots, to give each a unique id.
 	snapshots int
-	tries     int
+	attempts  int
 	oracle    oracle
 }
 
-// oracle knows only what the operators were told, and reads the text back.
+// oracle holds the results that the operators got.
 type oracle struct {
-	// told is the text of each version that an operator was told is in force.
-	told map[uint64]string
-	// lost are texts whose operator was told of a conflict.
-	lost map[string]bool
-	// newest is the highest version that an operator was told of.
+	// acknowledged is the text of each version that was reported to its operator as
+	// in force.
+	acknowledged map[uint64]string
+	// conflicted are the texts whose operator got a conflict.
+	conflicted map[string]bool
+	// newest is the highest acknowledged version.
 	newest uint64
 }
 
-// smallPart makes most changes take several records.
-const smallPart = 40
+// smallPartBytes is the size of a part, so small that most changes take several
+// records.
+const smallPartBytes = 40
 
-// rounds is how often the faults of one run are mended.
+// rounds is how often all faults of one run are repaired.
 const rounds = 3
 
-// draft returns a small tree in which an operator wrote a number of their own.
-func draft(n, pad int) string {
+// draftTree returns the text of a small tree that differs for each n, padded by pad
+// bytes.
+func draftTree(n, pad int) string {
 	return fmt.Sprintf("request_burst = %d\n# %s\n", n+1, strings.Repeat("x", pad))
 }
 
 func (m *fleet) start(i int) {
 	m.starts++
-	m.followers[i] = follower(m.log, fmt.Sprintf("e%d", i))
-	m.followers[i].partBytes = smallPart
+	m.followers[i] = newTestFollower(m.log, fmt.Sprintf("e%d", i))
+	m.followers[i].partBytes = smallPartBytes
 	m.highest[i] = 0
-	m.cut[i] = false
+	m.isolated[i] = false
 }
 
-// shown returns the version that an operator starts from: mostly what the log
-// says, now and then what a process that lags shows.
-func (m *fleet) shown(t *rapid.T) uint64 {
+// drawBase returns the version that an operator starts from: usually the one in
+// force according to the log, sometimes that of a follower, which may lag.
+func (m *fleet) drawBase(t *rapid.T) uint64 {
 	p := m.followers[rapid.IntRange(0, len(m.followers)-1).Draw(t, "seen")].Current()
 	if rapid.IntRange(0, 3).Draw(t, "lagging") > 0 {
 		if newest, _, err := Read(context.Background(), m.log, 1); err == nil {
@@ -73,47 +77,48 @@
 	return p.Version()
 }
 
-// publish lets an operator publish, based on what some follower shows them.
+// publish publishes a new tree, based on the version from drawBase, and checks the
+// result.
 func (m *fleet) publish(t *rapid.T) {
-	based := m.shown(t)
+	based := m.drawBase(t)
 
-	m.tries++
-	text := draft(m.tries, rapid.IntRange(0, 40).Draw(t, "pad"))
-	cfg := PublishConfig{Log: m.log, Attempts: 3, Wait: time.Nanosecond, partBytes: smallPart}
+	m.attempts++
+	text := draftTree(m.attempts, rapid.IntRange(0, 40).Draw(t, "pad"))
+	cfg := PublishConfig{Log: m.log, Attempts: 3, Wait: time.Nanosecond, partBytes: smallPartBytes}
 
 	version, err := Publish(context.Background(), cfg, Change{
-		ID: fmt.Sprint("c", m.tries), Based: based, Author: "ann", Name: "draft", Text: []byte(text),
+		ID: fmt.Sprint("c", m.attempts), Based: based, Author: "ann", Name: "draft", Text: []byte(text),
 		Recover: rapid.IntRange(0, 9).Draw(t, "recover") == 0,
 	})
 
 	switch kind := failure.KindOf(err); {
 	case err == nil:
-		if other, ok := m.oracle.told[version]; ok {
-			t.Fatalf("version %d: two operators were told it is theirs: %q and %q", version, other, text)
+		if other, ok := m.oracle.acknowledged[version]; ok {
+			t.Fatalf("version %d: acknowledged to two operators: %q and %q", version, other, text)
 		}
 
 		if version <= m.oracle.newest {
 			t.Fatalf("got version %d after %d", version, m.oracle.newest)
 		}
 
-		m.oracle.told[version] = text
+		m.oracle.acknowledged[version] = text
 		m.oracle.newest = version
 
 		if b, err := TextAt(context.Background(), m.log, version); err == nil && string(b) != text {
 			t.Fatalf("version %d: the log holds %q, its operator published %q", version, b, text)
 		} else if failure.KindOf(err) == failure.BadRequest && err != nil {
-			t.Fatalf("version %d: its operator was told that it is in force, the log: %v", version, err)
+			t.Fatalf("version %d: acknowledged as in force, but the log has: %v", version, err)
 		}
 	case kind == failure.Conflict:
-		m.oracle.lost[text] = true
+		m.oracle.conflicted[text] = true
 	case kind == failure.OutcomeUnknown, kind == failure.LogUnavailable, kind == failure.Unavailable:
 	default:
 		t.Fatalf("publish: got %v (%v)", kind, err)
 	}
 }
 
-// check holds after every step.
-func (m *fleet) check(t *rapid.T) {
+// checkInvariants checks what must hold after every step.
+func (m *fleet) checkInvariants(t *rapid.T) {
 	seen := map[uint64]string{}
 
 	for i, f := range m.followers {
@@ -133,7 +138,7 @@
 		m.highest[i] = p.Version()
 
 		text := string(p.Tree().Text())
-		if want, ok := m.oracle.told[p.Version()]; ok && text != want {
+		if want, ok := m.oracle.acknowledged[p.Version()]; ok && text != want {
 			t.Fatalf("follower %d, version %d: got %q, its operator published %q", i, p.Version(), text, want)
 		}
 
@@ -143,8 +148,8 @@
 
 		seen[p.Version()] = text
 
-		if m.oracle.lost[text] {
-			t.Fatalf("follower %d: %q is in force, its operator was told of a conflict", i, text)
+		if m.oracle.conflicted[text] {
+			t.Fatalf("follower %d: %q is in force, but its operator got a conflict", i, text)
 		}
 	}
 }
@@ -155,28 +160,29 @@
 	return m.followers[writer].Snapshot(context.Background(), fmt.Sprint("s", m.snapshots))
 }
 
-// settle mends all faults and lets everybody read and talk.
-func (m *fleet) settle(t *rapid.T) {
-	m.log.downFor = 0
-	m.log.loseAnswers = 0
-	m.log.holdBack = 0
-	m.log.before = nil
-	m.log.arrive()
+// healFaults ends all faults and lets every follower read the log and get an update
+// from every other.
+func (m *fleet) healFaults(t *rapid.T) {
+	m.log.downCalls = 0
+	m.log.loseResponses = 0
+	m.log.delayAppends = 0
+	m.log.beforeAppend = nil
+	m.log.deliverDelayed()
 
 	for range 3 {
 		for i := range m.followers {
-			m.cut[i] = false
+			m.isolated[i] = false
 			_ = m.followers[i].readLog(context.Background(), 0)
 
 			for j := range m.followers {
-				m.handOver(t, j, i)
+				m.sendUpdate(t, j, i)
 			}
 		}
 	}
 }
 
-func (m *fleet) handOver(t *rapid.T, from, to int) {
-	if from == to || m.cut[from] || m.cut[to] {
+func (m *fleet) sendUpdate(t *rapid.T, from, to int) {
+	if from == to || m.isolated[from] || m.isolated[to] {
 		return
 	}
 
@@ -185,67 +191,69 @@
 		after = p.Version()
 	}
 
-	h, err := DecodeHandover(m.followers[from].HandOver(time.Unix(0, 0), fmt.Sprint(to), after).Encode())
+	u, err := DecodeUpdate(m.followers[from].UpdateFor(time.Unix(0, 0), fmt.Sprint(to), after).Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	if err := m.followers[to].Offer(h); err != nil {
+	if err := m.followers[to].ApplyUpdate(u); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Operators publish at once, the log goes away, loses answers, takes records in
-// late and forgets; processes restart, are cut off, and hand on what they have,
-// also old. A user notices a setting that was accepted and is gone, two
-// processes that disagree for ever, or an operator who was told nothing.
+// Operators publish concurrently. The log fails, loses responses, delays appends and
+// trims records. Processes restart, get isolated and send updates, old ones too.
+// The test guards against an accepted change that is lost or reverted, processes
+// that never agree, and an operator who gets a wrong result.
 func TestAcceptedSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "followers")
 		m := &fleet{
-			log: newFakeLog(), followers: make([]*Follower, n), cut: make([]bool, n), highest: make([]uint64, n),
-			oracle: oracle{told: map[uint64]string{}, lost: map[string]bool{}},
+			log: newFakeLog(), followers: make([]*Follower, n), isolated: make([]bool, n), highest: make([]uint64, n),
+			oracle: oracle{acknowledged: map[uint64]string{}, conflicted: map[string]bool{}},
 		}
-		any := rapid.IntRange(0, n-1)
+		anyFollower := rapid.IntRange(0, n-1)
 
 		for i := range n {
 			m.start(i)
 		}
 
-		var old []Handover
+		var oldUpdates []Update
 
 		actions := map[string]func(*rapid.T){
 			"publish": m.publish,
 			"race": func(t *rapid.T) {
-				// The other operator's append comes before the one that follows.
-				m.log.before = append(m.log.before, func() { m.publish(t) })
+				// The other operator's append takes place just before the next one.
+				m.log.beforeAppend = append(m.log.beforeAppend, func() { m.publish(t) })
 			},
 			"read": func(t *rapid.T) {
-				if i := any.Draw(t, "reader"); !m.cut[i] {
+				if i := anyFollower.Draw(t, "reader"); !m.isolated[i] {
 					_ = m.followers[i].readLog(context.Background(), 0)
 				}
 			},
-			"handOver": func(t *rapid.T) { m.handOver(t, any.Draw(t, "from"), any.Draw(t, "to")) },
-			"remember": func(t *rapid.T) { old = append(old, m.followers[any.Draw(t, "from")].HandOver(time.Time{}, "", 0)) },
+			"handOver": func(t *rapid.T) { m.sendUpdate(t, anyFollower.Draw(t, "from"), anyFollower.Draw(t, "to")) },
+			"remember": func(t *rapid.T) {
+				oldUpdates = append(oldUpdates, m.followers[anyFollower.Draw(t, "from")].UpdateFor(time.Time{}, "", 0))
+			},
 			"readOn": func(*rapid.T) {
 				for i := range m.followers {
 					_ = m.followers[i].readLog(context.Background(), 0)
 				}
 			},
-			"restart":    func(t *rapid.T) { m.start(any.Draw(t, "restarted")) },
-			"cut":        func(t *rapid.T) { i := any.Draw(t, "cut"); m.cut[i] = !m.cut[i] },
-			"logDown":    func(t *rapid.T) { m.log.downFor = rapid.IntRange(0, 8).Draw(t, "calls") },
-			"loseAnswer": func(t *rapid.T) { m.log.loseAnswers = rapid.IntRange(0, 3).Draw(t, "lost") },
-			"holdBack":   func(t *rapid.T) { m.log.holdBack = rapid.IntRange(0, 3).Draw(t, "held") },
-			"arrive":     func(*rapid.T) { m.log.arrive() },
+			"restart":    func(t *rapid.T) { m.start(anyFollower.Draw(t, "restarted")) },
+			"cut":        func(t *rapid.T) { i := anyFollower.Draw(t, "cut"); m.isolated[i] = !m.isolated[i] },
+			"logDown":    func(t *rapid.T) { m.log.downCalls = rapid.IntRange(0, 8).Draw(t, "calls") },
+			"loseAnswer": func(t *rapid.T) { m.log.loseResponses = rapid.IntRange(0, 3).Draw(t, "lost") },
+			"holdBack":   func(t *rapid.T) { m.log.delayAppends = rapid.IntRange(0, 3).Draw(t, "held") },
+			"arrive":     func(*rapid.T) { m.log.deliverDelayed() },
 			"snapshot": func(t *rapid.T) {
-				_ = m.snapshot(any.Draw(t, "writer"))
+				_ = m.snapshot(anyFollower.Draw(t, "writer"))
 			},
 			"trim": func(t *rapid.T) {
-				// Mostly a snapshot was written before retention passes the records.
+				// In most cases a snapshot is written before the records are trimmed.
 				kept := rapid.IntRange(0, 12).Draw(t, "kept")
 				if rapid.IntRange(0, 3).Draw(t, "unprepared") > 0 {
-					holder := any.Draw(t, "holder")
+					holder := anyFollower.Draw(t, "holder")
 					f := m.followers[holder]
 					if f.readLog(context.Background(), 0) != nil || m.snapshot(holder) != nil {
 						return
@@ -255,25 +263,24 @@
 				m.log.trim(kept)
 			},
 			"lateOffer": func(t *rapid.T) {
-				if len(old) > 0 {
-					_ = m.followers[any.Draw(t, "to")].Offer(old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
+				if len(oldUpdates) > 0 {
+					_ = m.followers[anyFollower.Draw(t, "to")].ApplyUpdate(oldUpdates[rapid.IntRange(0, len(oldUpdates)-1).Draw(t, "which")])
 				}
 			},
-			"": m.check,
+			"": m.checkInvariants,
 		}
 
 		for range rounds {
 			t.Repeat(actions)
-			m.settle(t)
-			m.check(t)
-			m.converged(t)
+			m.healFaults(t)
+			m.checkInvariants(t)
+			m.checkConverged(t)
 		}
 	})
 }
 
-// converged checks that all followers that can know what is in force agree, and
-// that nothing an operator was told is missing there.
-func (m *fleet) converged(t *rapid.T) {
+// checkConverged checks that all followers have the same version.
+func (m *fleet) checkConverged(t *rapid.T) {
 	var newest uint64
 
 	for _, f := range m.followers {
@@ -289,7 +296,7 @@
 		}
 
 		if got != newest {
-			t.Fatalf("follower %d: got version %d, want %d as the others", i, got, newest)
+			t.Fatalf("follower %d: got version %d, want %d like the others", i, got, newest)
 		}
 	}
 }
@@ -308,8 +315,8 @@
 	})
 }
 
-// A record is damaged on its way. It may cost that change; what must not happen
-// is that a text comes into force which nobody published, or that the process dies.
+// A record is damaged in the log. That may lose the change, but must neither bring a
+// text into force that nobody published nor end the process.
 func TestDamagedRecordsAreNoChanges(t *testing.T) {
 	texts := []string{"share = 2.0\n", "share = 3.0\nrequest_burst = 17\n"}
 
@@ -317,24 +324,24 @@
 		log := newFakeLog()
 
 		for i, text := range texts {
-			if _, err := publish(log, fmt.Sprint(i), uint64(i), []byte(text)); err != nil {
+			if _, err := publishText(log, fmt.Sprint(i), uint64(i), []byte(text)); err != nil {
 				t.Fatal(err)
 			}
 		}
 
-		bad := append([]byte(nil), log.records[1].Data...)
+		damaged := append([]byte(nil), log.records[1].Data...)
 
 		for range rapid.IntRange(1, 4).Draw(t, "flips") {
-			bad[rapid.IntRange(0, len(bad)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+			damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
 
 		if rapid.Bool().Draw(t, "cut") {
-			bad = bad[:rapid.IntRange(0, len(bad)).Draw(t, "left")]
+			damaged = damaged[:rapid.IntRange(0, len(damaged)).Draw(t, "left")]
 		}
 
-		log.records[1].Data = bad
+		log.records[1].Data = damaged
 
-		f := follower(log, "e1")
+		f := newTestFollower(log, "e1")
 		if err := f.readLog(context.Background(), 0); err != nil {
 			t.Fatal(err)
 		}
@@ -344,8 +351,8 @@
 			t.Errorf("version %d: got %q, want %q", p.Version(), got, want)
 		}
 
-		if h, err := DecodeHandover(bad); err == nil {
-			_ = f.Offer(h)
+		if u, err := DecodeUpdate(damaged); err == nil {
+			_ = f.ApplyUpdate(u)
 		}
 	})
 }
--- a/setting/stateful_test.go
+++ b/setting/stateful_test.go
@@ -11,37 +11,38 @@
 	"boragehub/failure"
 )
 
-// level is one level of a drawn tree; names are the empty string above it.
-type level [4]string
-
-// drawn is a tree as an operator would write it, without any structure: what
-// each level says of two keys.
-type drawn struct {
-	share map[level]float64
-	burst map[level]int
+// levelPath identifies a level of a drawn tree: site, service, organisation and
+// workload, with empty strings for the levels below it.
+type levelPath [4]string
+
+// flatTree is the oracle for a drawn tree: the values of two keys by level, without
+// any inheritance.
+type flatTree struct {
+	share map[levelPath]float64
+	burst map[levelPath]int
 }
 
-var tables = [4]string{"site", "service", "organisation", "workload"}
+var levelTables = [4]string{"site", "service", "organisation", "workload"}
 
-// header returns the TOML header of a level; empty for the root.
-func (l level) header() string {
+// header returns the TOML table name of a level; empty for the root.
+func (l levelPath) header() string {
 	var parts []string
 	for i, name := range l {
 		if name != "" {
-			parts = append(parts, tables[i]+"."+name)
+			parts = append(parts, levelTables[i]+"."+name)
 		}
 	}
 
 	return strings.Join(parts, ".")
 }
 
-// effective goes up from the whole path and takes the first level that says something.
-func (d drawn) effective(p Path) (share float64, burst int, from string) {
-	share, burst, from = 1, 100, "default" // as the reference page tells them
+// effective searches upwards from p for the first level that sets each value.
+func (d flatTree) effective(p Path) (share float64, burst int, source string) {
+	share, burst, source = 1, 100, "default" // as in docs/CONFIGURATION.md
 	foundShare, foundBurst := false, false
 
 	for depth := 4; depth >= 0; depth-- {
-		at := level{p.Site, p.Service, p.Organisation, p.Workload}
+		at := levelPath{p.Site, p.Service, p.Organisation, p.Workload}
 		for i := depth; i < 4; i++ {
 			at[i] = ""
 		}
@@ -49,9 +50,9 @@
 		if v, ok := d.share[at]; ok && !foundShare {
 			share, foundShare = v, true
 
-			from = strings.TrimRight(strings.Join(at[:depth], "/"), "/")
-			if at == (level{}) {
-				from = "root"
+			source = strings.TrimRight(strings.Join(at[:depth], "/"), "/")
+			if at == (levelPath{}) {
+				source = "root"
 			}
 		}
 
@@ -60,23 +61,23 @@
 		}
 	}
 
-	return share, burst, from
+	return share, burst, source
 }
 
-const world = "[[data_centre]]\nname = \"d\"\nsite = \"a\"\nregion = \"r\"\n\n[[data_centre]]\nname = \"e\"\nsite = \"b\"\nregion = \"r\"\n\n" +
+const objectTables = "[[data_centre]]\nname = \"d\"\nsite = \"a\"\nregion = \"r\"\n\n[[data_centre]]\nname = \"e\"\nsite = \"b\"\nregion = \"r\"\n\n" +
 	"[[service]]\nname = \"a\"\nkind = \"plain\"\n\n[[service]]\nname = \"b\"\nkind = \"plain\"\n\n" +
 	"[[organisation]]\nname = \"a\"\n\n[[organisation]]\nname = \"b\"\n\n"
 
-// draw returns a tree and its text, its levels in any order.
-func draw(t *rapid.T) (drawn, string) {
-	d := drawn{map[level]float64{}, map[level]int{}}
-	seen := map[level]bool{}
+// drawTree returns a drawn tree and its text, with the levels in any order.
+func drawTree(t *rapid.T) (flatTree, string) {
+	d := flatTree{map[levelPath]float64{}, map[levelPath]int{}}
+	seen := map[levelPath]bool{}
 	name := rapid.SampledFrom([]string{"a", "b"})
 
 	var root, below strings.Builder
 
-	for range rapid.IntRange(0, 3*chunkTables).Draw(t, "levels") {
-		var at level
+	for range rapid.IntRange(0, 3*tablesPerChunk).Draw(t, "levels") {
+		var at levelPath
 		for i := range rapid.IntRange(0, 4).Draw(t, "depth") {
 			at[i] = name.Draw(t, "name")
 			if i == 3 {
@@ -91,7 +92,7 @@
 		seen[at] = true
 
 		out := &below
-		if at == (level{}) {
+		if at == (levelPath{}) {
 			out = &root
 		} else {
 			fmt.Fprintf(out, "[%s]\n", at.header())
@@ -108,12 +109,12 @@
 		}
 	}
 
-	return d, root.String() + world + below.String()
+	return d, root.String() + objectTables + below.String()
 }
 
 func TestInheritanceAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, text := draw(t)
+		d, text := drawTree(t)
 
 		tree, err := Parse("drawn", []byte(text))
 		if err != nil {
@@ -126,31 +127,31 @@
 			p := Path{name.Draw(t, "site"), name.Draw(t, "service"), name.Draw(t, "organisation"), ""}
 			p.Workload = fmt.Sprint("w", rapid.IntRange(0, 31).Draw(t, "workload"))
 
-			share, burst, from := d.effective(p)
+			share, burst, source := d.effective(p)
 			if v := tree.Effective(p); v.Share != share || v.RequestBurst != burst {
 				t.Fatalf("%v: got share %v, burst %v, want %v, %v", p, v.Share, v.RequestBurst, share, burst)
 			}
 
-			if got := tree.Source(p, "share"); got != from {
-				t.Fatalf("%v: got share from %s, want %s", p, got, from)
+			if got := tree.Source(p, "share"); got != source {
+				t.Fatalf("%v: got share from %s, want %s", p, got, source)
 			}
 		}
 	})
 }
 
-// A tree is decoded in pieces to save time. If a piece could tell otherwise than
-// the whole, a file would be right on one day and wrong on the next, when a
-// table more moves the place where it is cut.
+// A tree is decoded in chunks. If a chunk could be decoded differently from the
+// complete file, a file would be valid on one day and invalid on the next, when an
+// added table moves a chunk boundary.
 func TestPiecesDecodeAsTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		_, text := draw(t)
+		_, text := drawTree(t)
 
 		var before document
 
-		old, _ := decodeTree("f", []byte(text), &before, nil)
-		kept := fmt.Sprintf("%+v", before)
+		cached, _ := decodeTree("f", []byte(text), &before, nil)
+		printed := fmt.Sprintf("%+v", before)
 		lines := strings.SplitAfter(text, "\n")
-		odd := rapid.SampledFrom([]string{
+		oddLine := rapid.SampledFrom([]string{
 			"[site.a]\n", "share = 2.0\n", "service.a.share = 3.0\n", "organisation = {a = {share = 2.0}}\n", "note = \"\"\"\n[x]\n\"\"\"\n",
 			"[[site.a]]\n", "[organisation]\n", "[data_centre.x]\n", "[[organisation]]\nname = \"c\"\n", "[\n", "keys = [\n\"a\",\n]\n", "\x00\n",
 		})
@@ -160,7 +161,7 @@
 
 			switch rapid.IntRange(0, 2).Draw(t, "edit") {
 			case 0:
-				lines[i] = odd.Draw(t, "odd") + lines[i]
+				lines[i] = oddLine.Draw(t, "odd") + lines[i]
 			case 1:
 				lines[i] += lines[rapid.IntRange(0, len(lines)-1).Draw(t, "copied")]
 			case 2:
@@ -172,7 +173,7 @@
 
 		var got, want document
 
-		_, gotProblems := decodeTree("f", b, &got, old)
+		_, gotProblems := decodeTree("f", b, &got, cached)
 		wantProblems := decode("f", b, &want)
 
 		if !reflect.DeepEqual(gotProblems, wantProblems) {
@@ -185,19 +186,19 @@
 
 		var again document
 
-		_, _ = decodeTree("f", []byte(text), &again, old)
+		_, _ = decodeTree("f", []byte(text), &again, cached)
 
-		if !reflect.DeepEqual(again, before) || fmt.Sprintf("%+v", before) != kept {
-			t.Fatalf("the older tree has changed: got %+v, want %+v", again, before)
+		if !reflect.DeepEqual(again, before) || fmt.Sprintf("%+v", before) != printed {
+			t.Fatalf("the older tree was modified: got %+v, want %+v", again, before)
 		}
 	})
 }
 
-// A dotted key makes a table that a header further down may not open again. Cut
-// between the two, neither piece shows the fault.
+// A dotted key defines a table that a later header must not open again. With a
+// chunk boundary between the two, neither chunk shows the problem.
 func TestDottedKeysAreDecodedWhole(t *testing.T) {
-	text := world + "[site.a]\nservice.a.share = 3.0\n\n"
-	for i := range 10 * chunkTables {
+	text := objectTables + "[site.a]\nservice.a.share = 3.0\n\n"
+	for i := range 10 * tablesPerChunk {
 		text += fmt.Sprintf("[site.b.service.a.organisation.a.workload.w%d]\nshare = 2.0\n\n", i)
 	}
 
@@ -205,7 +206,7 @@
 
 	var doc document
 	if got, want := len(decode("f", []byte(text), &doc)), 1; got != want {
-		t.Fatalf("whole: got %d faults, want %d", got, want)
+		t.Fatalf("without chunks: got %d problems, want %d", got, want)
 	}
 
 	if _, err := Parse("f", []byte(text)); failure.KindOf(err) != failure.BadSettings || err == nil {
@@ -213,8 +214,8 @@
 	}
 }
 
-// parses checks that text is taken or refused with the right kind.
-func parses(t interface{ Errorf(string, ...any) }, text []byte) {
+// checkParse checks that text is either accepted or refused with BadSettings.
+func checkParse(t interface{ Errorf(string, ...any) }, text []byte) {
 	tree, err := Parse("f", text)
 	if err != nil && failure.KindOf(err) != failure.BadSettings || (tree == nil) != (err != nil) {
 		t.Errorf("%q: got %v, %v", text, tree, err)
@@ -225,8 +226,8 @@
 	}
 }
 
-// A damaged file must give an error that says so. A panic would end the process
-// that reads it, and with a published tree all of them at once.
+// A damaged file must return an error. A panic would end the process that parses
+// it, and with a published tree all processes at once.
 func TestDamagedFilesGiveErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(Example())
@@ -248,7 +249,7 @@
 			}
 		}
 
-		parses(t, text)
+		checkParse(t, text)
 	})
 }
 
@@ -257,5 +258,5 @@
 	f.Add([]byte("[[organisation]]\nname = \"o\"\nkeys = [\"x\"]\n[site.a.service]\n"))
 	f.Add([]byte("role = \"entry\"\n[listen]\npeers = \"127.0.0.1:1\"\n"))
 
-	f.Fuzz(func(t *testing.T, text []byte) { parses(t, text) })
+	f.Fuzz(func(t *testing.T, text []byte) { checkParse(t, text) })
 }
--- a/setting/tree.go
+++ b/setting/tree.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Path names the levels of the tree that a request belongs to. A level that is
-// empty or not in the tree inherits all of the level above.
+// Path identifies the levels of the tree that apply to a request. A level that
+// is empty or not in the tree inherits all values of the level above.
 type Path struct {
 	Site         string
 	Service      string
@@ -22,7 +22,7 @@
 	return p.Site + "/" + p.Service + "/" + p.Organisation + "/" + p.Workload
 }
 
-// document is a settings file as operators write it.
+// document is the TOML form of a settings tree.
 type document struct {
 	overrides
 	Sites         map[string]siteLevel `toml:"site" validate:"dive,keys,object_name,endkeys"`
@@ -38,28 +38,29 @@
 // Hash is the SHA-256 of a tree's text.
 type Hash [sha256.Size]byte
 
-// String returns h in hexadecimal digits.
+// String returns h in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
 // HashOf returns the Hash of a tree's text.
 func HashOf(text []byte) Hash { return sha256.Sum256(text) }
 
-// node is one level of the tree with the values in force there.
+// node is one level of the tree with its values in force, inherited ones included.
 type node struct {
 	values   Values
 	children map[string]*node
 }
 
-// Tree is a checked tree of settings. It never changes and is safe for
-// concurrent use. Use Parse.
+// Tree is a validated tree of settings. It is immutable and safe for concurrent
+// use. Parse and ParseUpdate create one.
 type Tree struct {
 	name string
 	text []byte
 	hash Hash
 	root *node
 	doc  document
-	// pieces are the parts of the text, for the next tree.
-	pieces pieces
+	// chunks are the decoded chunks of text, for reuse by ParseUpdate; nil if
+	// text was decoded in one run.
+	chunks chunkCache
 
 	dataCentres   map[string]*DataCentre
 	links         map[[2]string]*Link
@@ -69,55 +70,55 @@
 	evacuations   map[string]*Evacuation
 }
 
-// Parse reads and checks a tree. name is the file that errors name. The error
-// is a failure.BadSettings whose cause are Problems.
+// Parse parses and validates a tree. name is the file name for error messages. An
+// error is a failure.BadSettings whose cause is Problems.
 func Parse(name string, text []byte) (*Tree, error) {
 	var none *Tree
 
-	return none.Next(name, text)
+	return none.ParseUpdate(name, text)
 }
 
-// Next reads and checks a tree that differs little from t, in less time than
-// Parse. What it returns is the same. t doesn't change and may be nil.
-func (t *Tree) Next(name string, text []byte) (*Tree, error) {
-	var old pieces
+// ParseUpdate returns the same as Parse, in less time if text differs little from
+// t's text. It doesn't modify t, which may be nil.
+func (t *Tree) ParseUpdate(name string, text []byte) (*Tree, error) {
+	var cached chunkCache
 	if t != nil {
-		old = t.pieces
+		cached = t.chunks
 	}
 
-	return parse(name, slices.Clone(text), old)
+	return parse(name, slices.Clone(text), cached)
 }
 
-func parse(name string, text []byte, old pieces) (*Tree, error) {
+func parse(name string, text []byte, cached chunkCache) (*Tree, error) {
 	t := &Tree{name: name, text: text, hash: HashOf(text)}
 
 	var problems Problems
-	if t.pieces, problems = decodeTree(name, t.text, &t.doc, old); len(problems) > 0 {
-		return nil, refuse(problems)
+	if t.chunks, problems = decodeTree(name, t.text, &t.doc, cached); len(problems) > 0 {
+		return nil, badSettings(problems)
 	}
 
-	if problems := t.index(); len(problems) > 0 {
-		return nil, refuse(problems)
+	if problems := t.indexObjects(); len(problems) > 0 {
+		return nil, badSettings(problems)
 	}
 
-	t.root = t.grow()
+	t.root = t.buildLevels()
 
 	return t, nil
 }
 
-// grow works out the values in force at each level, so that none of it is left
-// for a request.
-func (t *Tree) grow() *node {
+// buildLevels computes the values in force at each level, so that a request only
+// has to look them up. It returns the root.
+func (t *Tree) buildLevels() *node {
 	root := &node{values: t.doc.apply(Defaults())}
 
 	for name, site := range t.doc.Sites {
-		s := root.grow(name, &site.overrides)
+		s := root.addChild(name, &site.overrides)
 		for name, service := range site.Services {
-			v := s.grow(name, &service.overrides)
+			v := s.addChild(name, &service.overrides)
 			for name, organisation := range service.Organisations {
-				o := v.grow(name, &organisation.overrides)
+				o := v.addChild(name, &organisation.overrides)
 				for name, workload := range organisation.Workloads {
-					o.grow(name, &workload.overrides)
+					o.addChild(name, &workload.overrides)
 				}
 			}
 		}
@@ -126,8 +127,8 @@
 	return root
 }
 
-// grow adds a level below n.
-func (n *node) grow(name string, o *overrides) *node {
+// addChild adds a level below n that overrides n's values with o, and returns it.
+func (n *node) addChild(name string, o *overrides) *node {
 	if n.children == nil {
 		n.children = map[string]*node{}
 	}
@@ -138,8 +139,8 @@
 	return child
 }
 
-// Effective returns the values in force for p. It doesn't allocate. The
-// caller doesn't change the slices in it.
+// Effective returns the values in force for p. It doesn't allocate. The caller
+// must not modify the slices in the result.
 func (t *Tree) Effective(p Path) Values {
 	n := t.root
 
@@ -155,57 +156,60 @@
 	return n.values
 }
 
-// Name returns the name of the file that t was read from.
+// Name returns the file name that was passed to Parse.
 func (t *Tree) Name() string { return t.name }
 
-// Text returns the text of t; the caller doesn't change it.
+// Text returns the text of t; the caller must not modify it.
 func (t *Tree) Text() []byte { return t.text }
 
 // Hash returns the hash of t's text.
 func (t *Tree) Hash() Hash { return t.hash }
 
-// DataCentres returns all data centres as they stand in the file.
+// DataCentres returns all data centres in the order of the file.
 func (t *Tree) DataCentres() []DataCentre { return t.doc.DataCentres }
 
-// DataCentre returns the data centre called name.
-func (t *Tree) DataCentre(name string) (DataCentre, bool) { return find(t.dataCentres, name) }
+// DataCentre returns the data centre called name, and false if there is none.
+func (t *Tree) DataCentre(name string) (DataCentre, bool) { return lookup(t.dataCentres, name) }
 
-// Links returns all links as they stand in the file.
+// Links returns all links in the order of the file.
 func (t *Tree) Links() []Link { return t.doc.Links }
 
-// Link returns the link between the data centres a and b in any order.
-func (t *Tree) Link(a, b string) (Link, bool) { return find(t.links, ends(a, b)) }
+// Link returns the link between the data centres a and b, in either order, and
+// false if there is none.
+func (t *Tree) Link(a, b string) (Link, bool) { return lookup(t.links, sortedPair(a, b)) }
 
-// Services returns all services as they stand in the file.
+// Services returns all services in the order of the file.
 func (t *Tree) Services() []Service { return t.doc.Services }
 
-// Service returns the service called name.
-func (t *Tree) Service(name string) (Service, bool) { return find(t.services, name) }
+// Service returns the service called name, and false if there is none.
+func (t *Tree) Service(name string) (Service, bool) { return lookup(t.services, name) }
 
-// Organisations returns all organisations as they stand in the file.
+// Organisations returns all organisations in the order of the file.
 func (t *Tree) Organisations() []Organisation { return t.doc.Organisations }
 
-// Organisation returns the organisation called name.
-func (t *Tree) Organisation(name string) (Organisation, bool) { return find(t.organisations, name) }
+// Organisation returns the organisation called name, and false if there is none.
+func (t *Tree) Organisation(name string) (Organisation, bool) { return lookup(t.organisations, name) }
 
-// WeightRolls returns the weight versions that operators wish engines to move to.
+// WeightRolls returns the requested rollouts of weight versions.
 func (t *Tree) WeightRolls() []WeightRoll { return t.doc.WeightRolls }
 
-// Drains returns the targets that operators wish drained.
+// Drains returns the requested drains of targets.
 func (t *Tree) Drains() []Drain { return t.doc.Drains }
 
-// Drained returns whether and why the target on vm is to be drained.
-func (t *Tree) Drained(vm string) (Drain, bool) { return find(t.drains, vm) }
+// Drained returns the requested drain of the target on vm, and false if there is
+// none.
+func (t *Tree) Drained(vm string) (Drain, bool) { return lookup(t.drains, vm) }
 
-// Evacuations returns the data centres that operators wish evacuated.
+// Evacuations returns the requested evacuations of data centres.
 func (t *Tree) Evacuations() []Evacuation { return t.doc.Evacuations }
 
-// Evacuated returns whether and why a data centre is to be evacuated.
+// Evacuated returns the requested evacuation of a data centre, and false if there
+// is none.
 func (t *Tree) Evacuated(dataCentre string) (Evacuation, bool) {
-	return find(t.evacuations, dataCentre)
+	return lookup(t.evacuations, dataCentre)
 }
 
-// Sites returns the names of all sites in order.
+// Sites returns the sorted names of the sites of all data centres.
 func (t *Tree) Sites() []string {
 	names := map[string]bool{}
 	for i := range t.doc.DataCentres {
@@ -215,7 +219,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-func find[K comparable, V any](m map[K]*V, k K) (V, bool) {
+func lookup[K comparable, V any](m map[K]*V, k K) (V, bool) {
 	if v, ok := m[k]; ok {
 		return *v, true
 	}
@@ -225,11 +229,11 @@
 	return zero, false
 }
 
-// index sorts the world objects by name, sets their defaults and checks what
-// one says of another: a name that is misspelt in an override would otherwise
-// be noticed only by values that don't come into force.
-func (t *Tree) index() Problems {
-	c := references{file: t.name, text: t.text}
+// indexObjects indexes the objects by name, sets their defaults and checks the
+// references between them. Without the check, a misspelt name in an override
+// would show only in that its values never come into force.
+func (t *Tree) indexObjects() Problems {
+	c := referenceChecker{file: t.name, text: t.text}
 
 	for i := range t.doc.DataCentres {
 		if t.doc.DataCentres[i].ConcurrentLoads == 0 {
@@ -237,40 +241,41 @@
 		}
 	}
 
-	t.dataCentres = gather(&c, "data_centre", t.doc.DataCentres, func(d *DataCentre) string { return d.Name })
-	t.services = gather(&c, "service", t.doc.Services, func(s *Service) string { return s.Name })
-	t.organisations = gather(&c, "organisation", t.doc.Organisations, func(o *Organisation) string { return o.Name })
-	t.links = gather(&c, "link", t.doc.Links, func(l *Link) [2]string { return l.ends() })
-	t.drains = gather(&c, "drain", t.doc.Drains, func(d *Drain) string { return d.Target })
+	t.dataCentres = indexByName(&c, "data_centre", t.doc.DataCentres, func(d *DataCentre) string { return d.Name })
+	t.services = indexByName(&c, "service", t.doc.Services, func(s *Service) string { return s.Name })
+	t.organisations = indexByName(&c, "organisation", t.doc.Organisations, func(o *Organisation) string { return o.Name })
+	t.links = indexByName(&c, "link", t.doc.Links, func(l *Link) [2]string { return l.ends() })
+	t.drains = indexByName(&c, "drain", t.doc.Drains, func(d *Drain) string { return d.Target })
 
-	t.evacuations = gather(&c, "evacuation", t.doc.Evacuations, func(e *Evacuation) string { return e.DataCentre })
+	t.evacuations = indexByName(&c, "evacuation", t.doc.Evacuations, func(e *Evacuation) string { return e.DataCentre })
 
-	t.checkWorld(&c)
+	t.checkObjects(&c)
 	t.checkLevels(&c)
 	t.checkKeys(&c)
 
 	return c.problems
 }
 
-// checkWorld checks what world objects say of each other.
-func (t *Tree) checkWorld(c *references) {
+// checkObjects checks the references between objects, that each service has at
+// most one rollout, and that no model is served by two services.
+func (t *Tree) checkObjects(c *referenceChecker) {
 	for i, l := range t.doc.Links {
 		for _, end := range l.Between {
-			known(c, t.dataCentres, end, "data centre", "link.%d.between", i)
+			requireKnown(c, t.dataCentres, end, "data centre", "link.%d.between", i)
 		}
 	}
 
 	for i, e := range t.doc.Evacuations {
-		known(c, t.dataCentres, e.DataCentre, "data centre", "evacuation.%d.data_centre", i)
+		requireKnown(c, t.dataCentres, e.DataCentre, "data centre", "evacuation.%d.data_centre", i)
 	}
 
 	rolled := map[string]bool{}
 
 	for i, r := range t.doc.WeightRolls {
-		known(c, t.services, r.Service, "service", "weight_roll.%d.service", i)
+		requireKnown(c, t.services, r.Service, "service", "weight_roll.%d.service", i)
 
 		if rolled[r.Service] {
-			c.add("two rolls of the service "+r.Service, "weight_roll.%d.service", i)
+			c.add("there is another rollout of the service "+r.Service, "weight_roll.%d.service", i)
 		}
 
 		rolled[r.Service] = true
@@ -278,7 +283,7 @@
 
 	for i, o := range t.doc.Organisations {
 		for _, name := range o.Services {
-			known(c, t.services, name, "service", "organisation.%d.services", i)
+			requireKnown(c, t.services, name, "service", "organisation.%d.services", i)
 		}
 	}
 
@@ -287,7 +292,7 @@
 	for i, s := range t.doc.Services {
 		for _, model := range s.Models {
 			if other, ok := models[model]; ok {
-				c.add(fmt.Sprintf("the model %s is served by %s too", model, other), "service.%d.models", i)
+				c.add(fmt.Sprintf("the model %s is also served by %s", model, other), "service.%d.models", i)
 			}
 
 			models[model] = s.Name
@@ -295,37 +300,38 @@
 	}
 }
 
-// checkLevels checks that every level of the tree names something that is there.
-func (t *Tree) checkLevels(c *references) {
+// checkLevels checks that the site, service and organisation of every level are
+// defined. A workload needs no definition.
+func (t *Tree) checkLevels(c *referenceChecker) {
 	sites := map[string]*struct{}{}
 	for _, name := range t.Sites() {
 		sites[name] = &struct{}{}
 	}
 
 	for site, s := range t.doc.Sites {
-		known(c, sites, site, "site", "site.%s", site)
+		requireKnown(c, sites, site, "site", "site.%s", site)
 
 		for service, v := range s.Services {
-			known(c, t.services, service, "service", "site.%s.service.%s", site, service)
+			requireKnown(c, t.services, service, "service", "site.%s.service.%s", site, service)
 
 			for organisation := range v.Organisations {
-				known(c, t.organisations, organisation, "organisation",
+				requireKnown(c, t.organisations, organisation, "organisation",
 					"site.%s.service.%s.organisation.%s", site, service, organisation)
 			}
 		}
 	}
 }
 
-// checkKeys refuses a key hash that two organisations hold: a caller with that
-// key would be taken for either.
-func (t *Tree) checkKeys(c *references) {
+// checkKeys checks that no key hash occurs twice: a caller with a key of two
+// organisations could be taken for either.
+func (t *Tree) checkKeys(c *referenceChecker) {
 	holders := map[string]string{}
 
 	for i := range t.doc.Organisations {
 		o := &t.doc.Organisations[i]
 		for j, key := range o.Keys {
 			if other, ok := holders[key]; ok {
-				c.add("the same key hash is held by "+other, "organisation.%d.keys.%d", i, j)
+				c.add("the same key hash belongs to "+other, "organisation.%d.keys.%d", i, j)
 			}
 
 			holders[key] = o.Name
@@ -333,32 +339,33 @@
 	}
 }
 
-// references gathers the faults of names that don't fit together.
-type references struct {
+// referenceChecker collects the problems of references between keys.
+type referenceChecker struct {
 	file     string
 	text     []byte
-	index    lines
+	lines    keyLines
 	problems Problems
 }
 
-// add notes a fault at the key that format and args give.
-func (c *references) add(text, format string, args ...any) {
-	if c.index == nil {
-		c.index = lineIndex(c.text)
+// add records a problem at the key that format and args give.
+func (c *referenceChecker) add(text, format string, args ...any) {
+	if c.lines == nil {
+		c.lines = indexKeyLines(c.text)
 	}
 
 	key := fmt.Sprintf(format, args...)
-	c.problems = append(c.problems, Problem{c.file, c.index.of(key), key, text})
+	c.problems = append(c.problems, Problem{c.file, c.lines.line(key), key, text})
 }
 
-// gather returns objects by name and notes a name that stands twice.
-func gather[K comparable, V any](c *references, key string, objects []V, name func(*V) K) map[K]*V {
+// indexByName returns the objects by name and records a problem for each
+// duplicate name.
+func indexByName[K comparable, V any](c *referenceChecker, key string, objects []V, name func(*V) K) map[K]*V {
 	m := make(map[K]*V, len(objects))
 
 	for i := range objects {
 		n := name(&objects[i])
 		if _, ok := m[n]; ok {
-			c.add(fmt.Sprintf("%v stands twice", n), "%s.%d", key, i)
+			c.add(fmt.Sprintf("%v is defined twice", n), "%s.%d", key, i)
 		}
 
 		m[n] = &objects[i]
@@ -367,9 +374,10 @@
 	return m
 }
 
-// known notes a name that is not in m.
-func known[V any](c *references, m map[string]*V, name, what, format string, args ...any) {
+// requireKnown records a problem at the key that format and args give if name is
+// not in m. what is the kind of object for the message.
+func requireKnown[V any](c *referenceChecker, m map[string]*V, name, what, format string, args ...any) {
 	if _, ok := m[name]; !ok {
-		c.add(fmt.Sprintf("there is no %s %s", what, name), format, args...)
+		c.add(fmt.Sprintf("unknown %s %s", what, name), format, args...)
 	}
 }
--- a/setting/tree_test.go
+++ b/setting/tree_test.go
@@ -38,7 +38,7 @@
 	}
 
 	if got, want := curb.RequestBurst, Defaults().RequestBurst; got != want {
-		t.Errorf("burst by default: got %v, want %v", got, want)
+		t.Errorf("default burst: got %v, want %v", got, want)
 	}
 
 	if got, want := tree.Effective(Path{Site: "elsewhere"}).Class, Standard; got != want {
@@ -46,7 +46,7 @@
 	}
 
 	if l, ok := tree.Link("burnaby-a", "yvr-east"); !ok || l.BytesPerSecond != 250_000_000 {
-		t.Errorf("link in the other order: got %+v %v", l, ok)
+		t.Errorf("link with the names swapped: got %+v %v", l, ok)
 	}
 }
 
@@ -60,23 +60,23 @@
 		line int
 		key  string
 	}{
-		{"broken", "class = ", 1, ""},
+		{"invalid TOML", "class = ", 1, ""},
 		{"unknown key", "class = \"urgent\"\nshares = 1\n", 2, "shares"},
-		{"unknown key below", world + "[site.s]\ndeadlin = \"1s\"\n", 9, "site.s.deadlin"},
+		{"unknown key of a site", world + "[site.s]\ndeadlin = \"1s\"\n", 9, "site.s.deadlin"},
 		{"unknown class", "\nclass = \"soon\"\n", 2, "class"},
-		{"no unit", "deadline = 3\n", 1, "deadline"},
+		{"duration without a unit", "deadline = 3\n", 1, "deadline"},
 		{"wrong unit", "deadline = \"3 parsecs\"\n", 1, "deadline"},
 		{"too small", "share = 1.0\nmax_attempts = 0\n", 2, "max_attempts"},
 		{"not a number", "share = nan\n", 1, "share"},
-		{"too long a time", world + "[site.s.service.v]\n\nquarantine_memory = \"9000h\"\n", 10, "site.s.service.v.quarantine_memory"},
+		{"duration too long", world + "[site.s.service.v]\n\nquarantine_memory = \"9000h\"\n", 10, "site.s.service.v.quarantine_memory"},
 		{"unknown site", world + "[site.x]\nshare = 2.0\n", 8, "site.x"},
 		{"unknown service", world + "[site.s.service.x]\nshare = 2.0\n", 8, "site.s.service.x"},
 		{"unknown organisation", world + "[site.s.service.v.organisation.o]\n", 8, "site.s.service.v.organisation.o"},
-		{"bad name", world + "[site.s.service.v.organisation.\"a b\"]\n", 8, "site.s.service.v.organisation.a b"},
-		{"twice", world + "[[service]]\nname = \"v\"\nkind = \"plain\"\n", 8, "service.1"},
-		{"no kind", "[[service]]\nname = \"v\"\n", 1, "service.0.kind"},
-		{"link to nowhere", world + "[[link]]\nbetween = [\"a\", \"b\"]\nbytes_per_second = 1000\ndelay = \"1ms\"\n", 9, "link.0.between"},
-		{"secret in place of a hash", "[[organisation]]\nname = \"o\"\nkeys = [\"sk-secret\"]\n", 3, "organisation.0.keys.0"},
+		{"invalid name", world + "[site.s.service.v.organisation.\"a b\"]\n", 8, "site.s.service.v.organisation.a b"},
+		{"duplicate service", world + "[[service]]\nname = \"v\"\nkind = \"plain\"\n", 8, "service.1"},
+		{"service without a kind", "[[service]]\nname = \"v\"\n", 1, "service.0.kind"},
+		{"link to an unknown data centre", world + "[[link]]\nbetween = [\"a\", \"b\"]\nbytes_per_second = 1000\ndelay = \"1ms\"\n", 9, "link.0.between"},
+		{"API key instead of a key hash", "[[organisation]]\nname = \"o\"\nkeys = [\"sk-secret\"]\n", 3, "organisation.0.keys.0"},
 	}
 
 	for _, c := range cases {
--- a/setting/values.go
+++ b/setting/values.go
@@ -1,25 +1,27 @@
-// Package setting is the tree of settings that operators publish, and the
-// settings of one process.
+// Package setting parses and validates the tree of settings that operators
+// publish, and the settings file of a process.
 //
 // # The tree
 //
-// The root holds defaults. Below it stand sites, in them services, in these
-// organisations, in these workloads. Each level overrides what it names and
-// inherits the rest, so the Values in force for one request are found by going
-// down from the root along its Path. Beside the inherited values the tree holds
-// the objects of the operators' world: data centres, links, services,
-// organisations, and what they wish of weights and of targets to be drained.
+// The levels of the tree are the root, sites, services, organisations and
+// workloads. The root holds the defaults. Each level overrides the values that
+// it sets and inherits the others, so the Values in force for a request are
+// found by descending from the root along its Path. Besides these values the
+// tree defines objects: data centres, links, services and organisations, and the
+// requested weight rollouts, drains and evacuations.
 //
-// Parse reads and checks a tree; an error names file, line and key of every
-// fault. Effective is called for each request: it neither locks nor allocates.
+// Parse parses and validates a tree; an error gives the file, line and key of
+// each problem. Effective is called for each request: it neither locks nor
+// allocates.
 //
 //	tree, err := setting.Parse("settings.toml", text)
 //	values := tree.Effective(setting.Path{Site: "bc-south", Service: "boragehub-llm"})
 //
-// # A process
+// # Process settings
 //
-// LoadProcess reads the file of one process: its role, addresses and keys,
-// which the tree can't hold because a process needs them to reach the tree.
+// LoadProcess reads the settings file of one process: its role, addresses and
+// keys. They can't be part of the tree because a process needs them to fetch the
+// tree.
 package setting
 
 import (
@@ -27,46 +29,47 @@
 	"time"
 )
 
-// Class orders requests by how soon they need an answer. The zero Class is Standard.
+// Class is the urgency of a request. The zero Class is Standard.
 type Class uint8
 
-// The classes, and the words for them in settings.
+// The classes.
 const (
-	// Standard is for requests that say nothing else.
+	// Standard is for requests without another class.
 	Standard Class = iota
-	// Urgent is for a person who waits at the curb or at a desk.
+	// Urgent is for a person who can't go on without the response, such as a
+	// passenger at the curb or an agent at a desk.
 	Urgent
-	// Interactive is for a person who reads along.
+	// Interactive is for a person who reads the response as it arrives.
 	Interactive
-	// Background is for work that may wait.
+	// Background is for work that nobody waits for.
 	Background
 )
 
-// classWords is indexed by Class.
-var classWords = [...]string{
+// classNames holds the names used in settings, indexed by Class.
+var classNames = [...]string{
 	Standard:    "standard",
 	Urgent:      "urgent",
 	Interactive: "interactive",
 	Background:  "background",
 }
 
-// String returns the word for c in settings.
+// String returns the name of c in settings.
 func (c Class) String() string {
-	if int(c) >= len(classWords) {
+	if int(c) >= len(classNames) {
 		return fmt.Sprintf("class(%d)", uint8(c))
 	}
 
-	return classWords[c]
+	return classNames[c]
 }
 
-// MarshalText returns the word for c.
+// MarshalText returns the name of c.
 func (c Class) MarshalText() ([]byte, error) {
 	return []byte(c.String()), nil
 }
 
-// UnmarshalText sets c by its word.
+// UnmarshalText sets c by its name.
 func (c *Class) UnmarshalText(text []byte) error {
-	for i, word := range classWords {
+	for i, word := range classNames {
 		if word == string(text) {
 			*c = Class(i)
 
@@ -74,51 +77,51 @@
 		}
 	}
 
-	return fmt.Errorf("%q is no class, want one of %v", text, classWords)
+	return fmt.Errorf("%q is not a class, want one of %v", text, classNames)
 }
 
-// Values are the settings in force for one request. A zero value is never in
-// force: the root gives each of them a default.
+// Values holds the settings in force for one request. The zero value is never in
+// force, since Defaults applies to the keys that the root doesn't set.
 type Values struct {
-	// Class orders the request among those that wait.
+	// Class is the priority of the request in the wait queue.
 	Class Class
-	// Deadline is how long after its arrival the first token is still of use.
+	// Deadline is the time from the request's arrival after which its first token is no longer of use.
 	Deadline time.Duration
-	// Timeout is how long the whole answer may take.
+	// Timeout is the maximum time until the response is complete.
 	Timeout time.Duration
-	// UsualGap is the usual time until the context returns.
+	// UsualGap is the usual time until the next request with the same context.
 	UsualGap time.Duration
-	// FirstTokenWeight is the cost of one second until the first token.
+	// FirstTokenWeight is the cost of each second until the first token.
 	FirstTokenWeight float64
-	// RecomputedWeight is the cost of one second of prefill for tokens that were computed before.
+	// RecomputedWeight is the cost of each second of prefill for tokens that were computed before.
 	RecomputedWeight float64
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes is the maximum size of a request's body.
 	MaxBodyBytes int64
-	// MaxOutputTokens bounds an answer.
+	// MaxOutputTokens is the maximum number of tokens in a response.
 	MaxOutputTokens int
-	// RequestsPerSecond is the organisation's rate at one site.
+	// RequestsPerSecond is the organisation's rate limit at one site.
 	RequestsPerSecond float64
-	// RequestBurst is how many requests may come at once.
+	// RequestBurst is how many requests may arrive at once.
 	RequestBurst int
-	// Share is the organisation's weight when there is too little for all.
+	// Share is the organisation's weight in fair sharing when capacity is short.
 	Share float64
-	// MaxAttempts bounds how often an idempotent request is tried.
+	// MaxAttempts is the maximum number of attempts for an idempotent request.
 	MaxAttempts int
-	// RetryRatio bounds retries to this part of first attempts.
+	// RetryRatio is the maximum ratio of retries to first attempts.
 	RetryRatio float64
-	// HedgeAfter is how long an idempotent request of a plain service waits before it is sent a second time; 0s never hedges.
+	// HedgeAfter is how long an idempotent request to a plain service waits for a response before it is sent a second time; 0s disables hedging.
 	HedgeAfter time.Duration
-	// ParkMinTokens is the shortest context worth a copy in a store.
+	// ParkMinTokens is the minimum length of a context that is copied to a store.
 	ParkMinTokens int
-	// QuarantineCrashes is how many targets one request may crash before it is refused.
+	// QuarantineCrashes is the number of target crashes after which a request is quarantined.
 	QuarantineCrashes int
-	// QuarantineMemory is how long a request that crashed targets stays refused.
+	// QuarantineMemory is how long a request that crashed targets stays quarantined.
 	QuarantineMemory time.Duration
-	// IdempotentMethods are the methods of a plain service that may be repeated.
+	// IdempotentMethods are the HTTP methods of a plain service that may be retried.
 	IdempotentMethods []string
 }
 
-// Defaults returns the values that the root has where it names none.
+// Defaults returns the values in force where no level sets them.
 func Defaults() Values {
 	return Values{
 		Class:             Standard,
