--- a/journal/client.go
+++ b/journal/client.go
@@ -17,60 +17,63 @@
 )
 
 const (
-	// DefaultTimeout is how long a call may take beyond what it asked to wait.
+	// DefaultTimeout bounds a call, in addition to the wait that a read asks for.
 	DefaultTimeout = 2 * time.Second
-	// DefaultMaxTimeout bounds the time that a call gets after others timed out.
+	// DefaultMaxTimeout bounds the timeout as it grows after calls that timed out.
 	DefaultMaxTimeout = 30 * time.Second
-	// maxAnswerBytes bounds the answer to a read.
-	maxAnswerBytes = 64 << 20
-	// idleConnections is how many connections to the service are kept.
-	idleConnections = 16
+	// maxResponseBytes bounds a response body.
+	maxResponseBytes = 64 << 20
+	// maxIdleConnections is how many idle connections to the service are kept.
+	maxIdleConnections = 16
 )
 
-// ClientConfig says how to reach the log service.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// URL is the base of the service, as in "http://127.0.0.1:7000".
+	// URL is the base URL of the service, such as "http://127.0.0.1:7000".
 	URL string
-	// HTTP makes the calls; nil makes a client with a pool of its own.
+	// HTTP is the HTTP client; nil creates one with its own connection pool.
 	HTTP *http.Client
-	// Timeout bounds a call beyond what it asked to wait; zero is DefaultTimeout.
+	// Timeout bounds a call, in addition to the wait that a read asks for; zero
+	// means DefaultTimeout.
 	Timeout time.Duration
-	// MaxTimeout bounds Timeout's growth; zero is DefaultMaxTimeout.
+	// MaxTimeout bounds the timeout as it grows after calls that timed out; zero
+	// means DefaultMaxTimeout.
 	MaxTimeout time.Duration
 }
 
-// Client is the log service over HTTP. It implements Log.
+// Client accesses the log service over HTTP. It implements Log and is safe for
+// concurrent use.
 //
-// A connection can fall silent for good while new ones work. Each call thus has
-// a deadline, after which its connection and all idle ones are given up. A slow
-// service looks the same at first, so the time allowed doubles with each
-// timeout up to MaxTimeout and starts over with an answer: a service that needs
-// ten seconds still gets its answers through.
+// A connection can become unresponsive for good while new ones work. Each call
+// therefore has a deadline; when it fails, its connection and all idle ones are
+// closed. A slow service looks the same at first, so the timeout doubles with
+// each call that times out, up to MaxTimeout, and returns to Timeout with the
+// next response: calls to a service that needs ten seconds still succeed.
 type Client struct {
-	cfg    ClientConfig
-	misses atomic.Int32
+	cfg      ClientConfig
+	timeouts atomic.Int32
 }
 
 // NewClient returns a Client for cfg.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: idleConnections,
+			MaxIdleConnsPerHost: maxIdleConnections,
 			DialContext:         (&net.Dialer{Timeout: DefaultTimeout}).DialContext,
 		}}
 	}
 
-	cfg.Timeout = positive(cfg.Timeout, DefaultTimeout)
-	cfg.MaxTimeout = positive(cfg.MaxTimeout, DefaultMaxTimeout)
+	cfg.Timeout = positiveOr(cfg.Timeout, DefaultTimeout)
+	cfg.MaxTimeout = positiveOr(cfg.MaxTimeout, DefaultMaxTimeout)
 
 	return &Client{cfg: cfg}
 }
 
-type appendBody struct {
+type appendRequest struct {
 	Records [][]byte `json:"records"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
@@ -80,7 +83,7 @@
 	Data   []byte `json:"data"`
 }
 
-type readAnswer struct {
+type readResponse struct {
 	First   uint64       `json:"first_offset"`
 	Next    uint64       `json:"next_offset"`
 	Records []readRecord `json:"records"`
@@ -88,65 +91,65 @@
 
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
-	body, err := json.Marshal(appendBody{Records: records})
+	body, err := json.Marshal(appendRequest{Records: records})
 	if err != nil {
 		return 0, failure.Wrap(failure.Internal, err, "encode records")
 	}
 
 	status, b, err := c.call(ctx, http.MethodPost, c.path(stream, nil), body, 0)
 	if err != nil {
-		return 0, appendFailed(err)
+		return 0, appendError(err)
 	}
 
 	if status/100 != http.StatusOK/100 {
-		return 0, refusal(status)
+		return 0, statusError(status)
 	}
 
-	var a appendAnswer
-	if err := json.Unmarshal(b, &a); err != nil || a.Offset == 0 {
-		return 0, failure.Wrap(failure.OutcomeUnknown, err, "the log's answer to an append is cut")
+	var response appendResponse
+	if err := json.Unmarshal(b, &response); err != nil || response.Offset == 0 {
+		return 0, failure.Wrap(failure.OutcomeUnknown, err, "the log's response to an append is incomplete")
 	}
 
-	return a.Offset, nil
+	return response.Offset, nil
 }
 
 // Read implements Log.
-func (c *Client) Read(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (Batch, error) {
+func (c *Client) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (Batch, error) {
 	q := url.Values{
 		"from":    {strconv.FormatUint(from, 10)},
-		"max":     {strconv.Itoa(most)},
+		"max":     {strconv.Itoa(maxRecords)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 
 	status, b, err := c.call(ctx, http.MethodGet, c.path(stream, q), nil, wait)
 	if err != nil {
-		return Batch{}, failure.Wrap(failure.LogUnavailable, err, "the log can't be read")
+		return Batch{}, failure.Wrap(failure.LogUnavailable, err, "the log could not be read")
 	}
 
-	var a readAnswer
+	var response readResponse
 	if status == http.StatusOK || status == http.StatusGone {
-		err = json.Unmarshal(b, &a)
+		err = json.Unmarshal(b, &response)
 	}
 
 	switch {
 	case err != nil:
-		return Batch{}, failure.Wrap(failure.LogUnavailable, err, "the log's answer to a read is cut")
+		return Batch{}, failure.Wrap(failure.LogUnavailable, err, "the log's response to a read is incomplete")
 	case status == http.StatusGone:
-		return Batch{}, &TrimmedError{First: a.First}
+		return Batch{}, &TrimmedError{First: response.First}
 	case status != http.StatusOK:
-		return Batch{}, refusal(status)
+		return Batch{}, statusError(status)
 	}
 
-	return a.batch(), nil
+	return response.batch(), nil
 }
 
-func (a readAnswer) batch() Batch {
-	records := make([]Record, len(a.Records))
-	for i, r := range a.Records {
-		records[i] = Record{Offset: r.Offset, At: time.UnixMilli(r.AtMS), Data: r.Data}
+func (r readResponse) batch() Batch {
+	records := make([]Record, len(r.Records))
+	for i, rec := range r.Records {
+		records[i] = Record{Offset: rec.Offset, At: time.UnixMilli(rec.AtMS), Data: rec.Data}
 	}
 
-	return Batch{First: a.First, Next: a.Next, Records: records}
+	return Batch{First: r.First, Next: r.Next, Records: records}
 }
 
 func (c *Client) path(stream string, q url.Values) string {
@@ -158,20 +161,21 @@
 	return p
 }
 
-// call makes one call within its deadline and returns the status and body.
+// call makes one HTTP call, which may take wait in addition to the timeout, and
+// returns the status and the body.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout())
 	defer cancel()
 
 	status, b, err := c.send(ctx, method, path, body)
 	if err == nil {
-		c.misses.Store(0)
+		c.timeouts.Store(0)
 
 		return status, b, nil
 	}
 
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		c.misses.Add(1)
+		c.timeouts.Add(1)
 	}
 
 	c.cfg.HTTP.CloseIdleConnections()
@@ -180,31 +184,32 @@
 }
 
 func (c *Client) send(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 
-	r.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Content-Type", "application/json")
 
-	// The transport would send a request without a body again by itself on a
-	// broken connection, but not a POST with one: no append is repeated unseen.
-	answer, err := c.cfg.HTTP.Do(r)
+	// On a broken connection the transport itself retries a request without a
+	// body, but not a POST with one, so that no append is retried unnoticed.
+	response, err := c.cfg.HTTP.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 
-	b, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 
-	return answer.StatusCode, b, err
+	return response.StatusCode, b, err
 }
 
-// timeout returns what a call may take after the timeouts before it.
+// timeout returns the timeout of the next call: it doubles with each call that
+// timed out since the last response.
 func (c *Client) timeout() time.Duration {
 	d := c.cfg.Timeout
-	for range c.misses.Load() {
+	for range c.timeouts.Load() {
 		if d *= 2; d >= c.cfg.MaxTimeout {
 			return c.cfg.MaxTimeout
 		}
@@ -213,36 +218,37 @@
 	return d
 }
 
-// appendFailed tells whether an append that got no answer may take effect. Only
-// a connection that never came about says that it can't.
-func appendFailed(err error) error {
+// appendError classifies an append without a response. Only when no connection
+// was established is it certain that the append won't take effect.
+func appendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return failure.Wrap(failure.LogUnavailable, err, "the log can't be reached")
+		return failure.Wrap(failure.LogUnavailable, err, "the connection to the log service failed")
 	}
 
-	return failure.Wrap(failure.OutcomeUnknown, err, "the log's answer to an append is lost")
+	return failure.Wrap(failure.OutcomeUnknown, err, "no response from the log to an append")
 }
 
-// refusal turns a status by which the service declines into an error. These
-// were not carried out, but for an unlisted one, of which nothing is known.
-func refusal(status int) error {
+// statusError returns the error for a status that reports a failure. The
+// service did not carry out a call with one of the listed statuses; for any
+// other status the outcome is unknown.
+func statusError(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
-		return failure.New(failure.RateLimited, "the log takes no more appends now").After(time.Second)
+		return failure.New(failure.RateLimited, "the log service limits the rate of appends").After(time.Second)
 	case http.StatusRequestEntityTooLarge:
-		return failure.New(failure.TooLarge, "the log takes no append of this size")
+		return failure.New(failure.TooLarge, "the append is too large for the log service")
 	case http.StatusServiceUnavailable:
-		return failure.New(failure.LogUnavailable, "the log is down").After(time.Second)
+		return failure.New(failure.LogUnavailable, "the log service is unavailable").After(time.Second)
 	default:
-		return failure.New(failure.OutcomeUnknown, "the log answered with status %d", status)
+		return failure.New(failure.OutcomeUnknown, "unexpected status %d from the log service", status)
 	}
 }
 
-func positive[T int | time.Duration](v, otherwise T) T {
+func positiveOr[T int | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
 	}
 
-	return otherwise
+	return fallback
 }
--- a/journal/client_test.go
+++ b/journal/client_test.go
@@ -23,10 +23,10 @@
 		body   string
 		want   failure.Kind
 	}{
-		{"down", http.StatusServiceUnavailable, "", failure.LogUnavailable},
+		{"unavailable", http.StatusServiceUnavailable, "", failure.LogUnavailable},
 		{"over the rate", http.StatusTooManyRequests, "", failure.RateLimited},
 		{"too large", http.StatusRequestEntityTooLarge, "", failure.TooLarge},
-		{"cut answer", http.StatusOK, `{"offs`, failure.OutcomeUnknown},
+		{"incomplete response", http.StatusOK, `{"offs`, failure.OutcomeUnknown},
 		{"unlisted status", http.StatusBadGateway, "", failure.OutcomeUnknown},
 	}
 
@@ -63,7 +63,7 @@
 
 	var trimmed *journal.TrimmedError
 	if _, err := c.Read(t.Context(), "s", 1, 10, 0); !errors.As(err, &trimmed) || trimmed.First != 5 {
-		t.Errorf("read of what is gone: got %v, want the first offset 5", err)
+		t.Errorf("read of a trimmed offset: got %v, want a TrimmedError with first offset 5", err)
 	}
 
 	b, err := c.Read(t.Context(), "s", 5, 10, 0)
@@ -72,28 +72,28 @@
 	}
 }
 
-// Something between the two ends loses track of a connection: it accepts what is
-// sent and nothing ever comes back, while new connections work. A client that
-// kept to it would see the log as down for good.
+// A device between client and service loses the state of a connection: it still
+// accepts data, but no response ever arrives, while new connections work. A
+// client that kept the connection would regard the log as down for good.
 func TestClientAbandonsASilentConnection(t *testing.T) {
-	var silent atomic.Pointer[net.Conn]
+	var stalled atomic.Pointer[net.Conn]
 
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 
-		mine, _ := r.Context().Value(connection{}).(net.Conn)
-		if p := silent.Load(); p != nil && *p == mine {
+		conn, _ := r.Context().Value(connKey{}).(net.Conn)
+		if p := stalled.Load(); p != nil && *p == conn {
 			<-r.Context().Done()
 
 			return
 		}
 
-		silent.CompareAndSwap(nil, &mine)
+		stalled.CompareAndSwap(nil, &conn)
 
 		_, _ = w.Write([]byte(`{"offset": 1}`))
 	}))
 	s.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connection{}, c)
+		return context.WithValue(ctx, connKey{}, c)
 	}
 	s.Start()
 
@@ -109,5 +109,5 @@
 	}
 }
 
-// connection is the key of a request's connection in its context.
-type connection struct{}
+// connKey is the key of a request's connKey in its context.
+type connKey struct{}
--- a/journal/envelope.go
+++ b/journal/envelope.go
@@ -7,50 +7,51 @@
 	"boragehub/failure"
 )
 
-// maxParts bounds how many parts a snapshot has.
-const maxParts = 4096
+// maxSnapshotParts bounds the number of parts of a snapshot.
+const maxSnapshotParts = 4096
 
-// envelope is what a record of the log service holds, in CBOR with small
-// integer keys.
+// envelope is the content of a record in the log service, encoded as CBOR with
+// small integer keys.
 type envelope struct {
-	// Writer identifies one run of one Writer.
+	// Writer is the ID of the Writer; it is new with each NewWriter.
 	Writer uuid.UUID `cbor:"1,keyasint"`
-	// Sequence rises by one with each record of a Writer; the first is 1.
+	// Sequence increases by one with each record of a Writer; the first is 1.
 	Sequence uint64 `cbor:"2,keyasint"`
-	// Data is the record's content, or a part of a snapshot.
+	// Data is the record's content, or that of a part of a snapshot.
 	Data []byte `cbor:"3,keyasint,omitempty"`
 	// Part is set when the record is a part of a snapshot.
-	Part *part `cbor:"4,keyasint,omitempty"`
+	Part *snapshotPart `cbor:"4,keyasint,omitempty"`
 }
 
-// part says which piece of which snapshot a record holds.
-type part struct {
-	// Covers is the last offset that the snapshot takes account of.
+// snapshotPart identifies a part of a snapshot.
+type snapshotPart struct {
+	// Covers is the offset of the last record that the snapshot includes.
 	Covers uint64 `cbor:"1,keyasint"`
-	// Index counts the parts from 0.
+	// Index is the position of the part, from 0.
 	Index int `cbor:"2,keyasint"`
 	// Count is the number of parts.
 	Count int `cbor:"3,keyasint"`
 }
 
-// snapshot is what the parts of a snapshot make up together.
+// snapshot is the content of a snapshot, encoded and split into parts.
 type snapshot struct {
-	// Seen are the highest sequence numbers by writer as of the covered offset.
-	Seen map[uuid.UUID]mark `cbor:"1,keyasint,omitempty"`
-	// Data is the state of the stream's owner.
+	// Seen holds each writer's newest record as of the covered offset, for
+	// deduplication.
+	Seen map[uuid.UUID]newestRecord `cbor:"1,keyasint,omitempty"`
+	// Data is the application's state.
 	Data []byte `cbor:"2,keyasint"`
 }
 
-// mark is the newest record seen from one writer.
-type mark struct {
-	// Sequence is its number.
+// newestRecord describes the newest record read from one writer.
+type newestRecord struct {
+	// Sequence is its sequence number.
 	Sequence uint64 `cbor:"1,keyasint"`
-	// At is when the service took it, in Unix milliseconds.
+	// At is when the service appended it, in Unix milliseconds.
 	At int64 `cbor:"2,keyasint"`
 }
 
-// seal encodes e. Encoding these types can't fail.
-func seal(e envelope) []byte {
+// encodeEnvelope encodes e, which can't fail for these types.
+func encodeEnvelope(e envelope) []byte {
 	b, err := cbor.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -59,15 +60,15 @@
 	return b
 }
 
-// open decodes an envelope.
-func open(b []byte) (envelope, error) {
+// decodeEnvelope decodes and validates an envelope.
+func decodeEnvelope(b []byte) (envelope, error) {
 	var e envelope
 	if err := cbor.Unmarshal(b, &e); err != nil {
-		return envelope{}, failure.Wrap(failure.BadMessage, err, "a record of the log is no envelope")
+		return envelope{}, failure.Wrap(failure.BadMessage, err, "the envelope of a log record could not be decoded")
 	}
 
-	if p := e.Part; p != nil && (p.Count < 1 || p.Count > maxParts || p.Index < 0 || p.Index >= p.Count) {
-		return envelope{}, failure.New(failure.BadMessage, "a snapshot has part %d of %d", p.Index, p.Count)
+	if p := e.Part; p != nil && (p.Count < 1 || p.Count > maxSnapshotParts || p.Index < 0 || p.Index >= p.Count) {
+		return envelope{}, failure.New(failure.BadMessage, "invalid snapshot part %d of %d", p.Index, p.Count)
 	}
 
 	return e, nil
--- a/journal/lease/keeper.go
+++ b/journal/lease/keeper.go
@@ -13,49 +13,50 @@
 )
 
 const (
-	// DefaultDuration is how long a lease lasts after a renewal.
+	// DefaultDuration is how long a lease lasts after its last renewal.
 	DefaultDuration = 15 * time.Second
-	// DefaultMargin is how long before that its holder stops.
+	// DefaultMargin is how long before the end of a lease its holder stops acting.
 	DefaultMargin = 4 * time.Second
-	// DefaultEvery is the time between renewals.
-	DefaultEvery = 4 * time.Second
-	// tick is how often a Keeper looks whether something is due.
-	tick = 500 * time.Millisecond
+	// DefaultRenewInterval is the time between two renewals.
+	DefaultRenewInterval = 4 * time.Second
+	// checkInterval is how often a Keeper checks whether to send a record.
+	checkInterval = 500 * time.Millisecond
 )
 
-// Config says which lease a Keeper wants.
+// Config configures a Keeper.
 type Config struct {
-	// Log is the service.
+	// Log is the log service.
 	Log journal.Log
-	// Stream holds the leases; empty is "leases".
+	// Stream is the stream with the lease's records; empty means "leases".
 	Stream string
-	// Name is the lease.
+	// Name is the name of the lease.
 	Name string
-	// Holder names this process; unique for each start of it.
+	// Holder is the name of this process; it must be new with each start of the
+	// process.
 	Holder string
-	// Terms are the lease's times; zero ones get the defaults.
-	Terms Terms
-	// Clock tells the time; nil is time.Now.
+	// Timing holds the lease's durations; zero ones get the defaults.
+	Timing Timing
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
-	// Logger gets the Keeper's events; its zero value drops them.
+	// Logger logs the Keeper's events; the zero value discards them.
 	Logger logr.Logger
 }
 
-// Keeper takes one lease when it can and renews it. Run is its duty.
+// Keeper takes one lease when it is available and renews it. Run does the work.
 type Keeper struct {
 	cfg    Config
 	reader *journal.Reader
 	writer *journal.Writer
 
-	mu    sync.Mutex
-	table *Table
-	view  View
-	nonce uint64
-	sends map[uint64]time.Time // when the record with this nonce was sent
-	was   bool
+	mu       sync.Mutex
+	table    *Table
+	view     View
+	nonce    uint64
+	sentAt   map[uint64]time.Time // by nonce, when the record was sent
+	wasValid bool
 }
 
-// NewKeeper returns a Keeper for cfg. It asks for nothing until Run.
+// NewKeeper returns a Keeper for cfg. It sends no record until Run is called.
 func NewKeeper(cfg Config) *Keeper {
 	if cfg.Stream == "" {
 		cfg.Stream = "leases"
@@ -65,9 +66,9 @@
 		cfg.Clock = time.Now
 	}
 
-	cfg.Terms = cfg.Terms.withDefaults()
+	cfg.Timing = cfg.Timing.withDefaults()
 
-	k := &Keeper{cfg: cfg, table: NewTable(), sends: map[uint64]time.Time{}, view: View{Self: cfg.Holder}}
+	k := &Keeper{cfg: cfg, table: NewTable(), sentAt: map[uint64]time.Time{}, view: View{Self: cfg.Holder}}
 	k.writer = journal.NewWriter(journal.WriterConfig{Log: cfg.Log, Stream: cfg.Stream, Logger: cfg.Logger})
 	k.reader = journal.NewReader(journal.ReaderConfig{
 		Log: cfg.Log, Stream: cfg.Stream, Handle: k.handle, Clock: cfg.Clock, Logger: cfg.Logger,
@@ -77,7 +78,7 @@
 	return k
 }
 
-func (t Terms) withDefaults() Terms {
+func (t Timing) withDefaults() Timing {
 	if t.Duration <= 0 {
 		t.Duration = DefaultDuration
 	}
@@ -86,32 +87,33 @@
 		t.Margin = DefaultMargin
 	}
 
-	if t.Every <= 0 {
-		t.Every = DefaultEvery
+	if t.RenewInterval <= 0 {
+		t.RenewInterval = DefaultRenewInterval
 	}
 
 	return t
 }
 
-// Fence returns the fencing number while this process may act on the lease.
+// Fence returns the fencing number of the lease that this process took last, and
+// whether the process may act on that lease now.
 func (k *Keeper) Fence(now time.Time) (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	return k.view.Fence, Valid(now, k.cfg.Terms, k.view)
+	return k.view.Fence, Valid(now, k.cfg.Timing, k.view)
 }
 
-// Run takes and renews the lease until ctx ends, and then gives it back.
+// Run takes and renews the lease until ctx ends, and then releases it.
 func (k *Keeper) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 
-	// The writer outlives ctx for as long as giving the lease back takes.
-	writing, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The writer runs on after ctx ends until the lease is released.
+	writerCtx, stopWriter := context.WithCancel(context.WithoutCancel(ctx))
 
-	wg.Go(func() { k.writer.Run(writing) })
+	wg.Go(func() { k.writer.Run(writerCtx) })
 	wg.Go(func() { k.reader.Run(ctx) })
 
-	t := time.NewTicker(tick)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 
 	for ctx.Err() == nil {
@@ -123,47 +125,48 @@
 		}
 	}
 
-	k.giveBack(writing)
-	stop()
+	k.releaseLease(writerCtx)
+	stopWriter()
 	wg.Wait()
 }
 
-// step does what is due. Whether a record counts is known from reading it back.
+// step sends a record if one is due. The outcome of the append is ignored:
+// whether the record counts is known once it is read from the stream.
 func (k *Keeper) step(ctx context.Context, now time.Time) {
-	c, ok := k.due(now)
+	c, ok := k.nextRecord(now)
 	if !ok {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Terms.Every)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.Timing.RenewInterval)
 	defer cancel()
 
 	_, _ = k.writer.Append(ctx, encode(c))
 }
 
-// due returns the record to send, if any.
-func (k *Keeper) due(now time.Time) (change, bool) {
+// nextRecord returns the record to send now; false if there is none.
+func (k *Keeper) nextRecord(now time.Time) (leaseRecord, bool) {
 	synced := k.reader.Synced()
 
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	k.notice(now)
+	k.logValidity(now)
 
-	step := Next(now, k.cfg.Terms, k.view)
-	if step == Wait || !synced {
-		return change{}, false
+	next := Next(now, k.cfg.Timing, k.view)
+	if next == Wait || !synced {
+		return leaseRecord{}, false
 	}
 
 	k.nonce++
-	k.sends[k.nonce] = now
-	k.view.Asked = now
-	c := change{
+	k.sentAt[k.nonce] = now
+	k.view.LastRequest = now
+	c := leaseRecord{
 		Action: take, Name: k.cfg.Name, Holder: k.cfg.Holder, Nonce: k.nonce,
-		DurationMS: k.cfg.Terms.Duration.Milliseconds(),
+		DurationMS: k.cfg.Timing.Duration.Milliseconds(),
 	}
 
-	if step == Renew {
+	if next == Renew {
 		c.Action = renew
 		c.Fence = k.view.Fence
 	}
@@ -171,29 +174,30 @@
 	return c, true
 }
 
-// notice logs when this process starts or stops to act on the lease.
-func (k *Keeper) notice(now time.Time) {
-	is := Valid(now, k.cfg.Terms, k.view)
-	if is == k.was {
+// logValidity logs when this process starts or ceases to be allowed to act on the
+// lease.
+func (k *Keeper) logValidity(now time.Time) {
+	valid := Valid(now, k.cfg.Timing, k.view)
+	if valid == k.wasValid {
 		return
 	}
 
-	k.was = is
+	k.wasValid = valid
 
 	e := event.LeaseLost
-	if is {
+	if valid {
 		e = event.LeaseTaken
 	}
 
 	event.Log(k.cfg.Logger, e, "lease", k.cfg.Name, "fence", k.view.Fence)
 }
 
-// handle takes account of a record of the stream.
+// handle applies a record of the stream and updates the view.
 func (k *Keeper) handle(r journal.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	before, _ := k.table.Lease(k.cfg.Name)
+	previous, _ := k.table.Lease(k.cfg.Name)
 
 	if err := k.table.Apply(r); err != nil {
 		event.Fail(k.cfg.Logger, err, event.JournalBadRecord, "stream", k.cfg.Stream, "offset", r.Offset)
@@ -204,43 +208,46 @@
 	l, held := k.table.Lease(k.cfg.Name)
 	k.view.Lease, k.view.Held = l, held
 
-	if l == before {
+	if l == previous {
 		return
 	}
 
-	k.view.Seen = k.cfg.Clock()
+	k.view.RenewalSeen = k.cfg.Clock()
 
 	if held && l.Holder == k.cfg.Holder {
 		k.view.Fence = l.Fence
-		k.view.Sent = k.sends[l.Nonce]
-		k.forget(l.Nonce)
+		k.view.RenewalSent = k.sentAt[l.Nonce]
+		k.dropSendTimes(l.Nonce)
 	}
 }
 
-// forget drops the sending times of records up to one that was read back. The
-// Writer keeps order, so earlier ones count no more.
-func (k *Keeper) forget(nonce uint64) {
-	for n := range k.sends {
+// dropSendTimes removes the send times of the records up to nonce, which was read
+// from the stream. The Writer keeps the order of records, so earlier ones won't
+// count any more.
+func (k *Keeper) dropSendTimes(nonce uint64) {
+	for n := range k.sentAt {
 		if n <= nonce {
-			delete(k.sends, n)
+			delete(k.sentAt, n)
 		}
 	}
 }
 
-// gap starts anew after records that are gone.
+// gap starts a partial table after records of the stream were lost. The lease
+// counts as held until its duration has passed.
 func (k *Keeper) gap(uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
 	k.table = NewPartialTable()
-	k.view.Lease, k.view.Held = Lease{Duration: k.cfg.Terms.Duration}, true
-	k.view.Seen = k.cfg.Clock()
+	k.view.Lease, k.view.Held = Lease{Duration: k.cfg.Timing.Duration}, true
+	k.view.RenewalSeen = k.cfg.Clock()
 }
 
-// giveBack releases the lease, so that another need not wait for its end.
-func (k *Keeper) giveBack(ctx context.Context) {
+// releaseLease releases the lease, so that another process need not wait for it
+// to expire.
+func (k *Keeper) releaseLease(ctx context.Context) {
 	k.mu.Lock()
-	c := change{Action: release, Name: k.cfg.Name, Holder: k.cfg.Holder, Fence: k.view.Fence}
+	c := leaseRecord{Action: release, Name: k.cfg.Name, Holder: k.cfg.Holder, Fence: k.view.Fence}
 	held := k.view.Fence != 0 && k.view.Lease.Fence == k.view.Fence
 	k.view.Fence = 0
 	k.mu.Unlock()
@@ -249,14 +256,14 @@
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Terms.Margin)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.Timing.Margin)
 	defer cancel()
 
 	_, _ = k.writer.Append(ctx, encode(c))
 }
 
-// encode encodes c, which can't fail.
-func encode(c change) []byte {
+// encode encodes c, which can't fail for this type.
+func encode(c leaseRecord) []byte {
 	b, err := cbor.Marshal(c)
 	if err != nil {
 		panic(err)
--- a/journal/lease/keeper_test.go
+++ b/journal/lease/keeper_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The holder's log goes away for longer than the lease, and then the holder
-// stops. Operators would notice two processes placing weights at once, or none.
+// The log is unavailable for longer than the lease lasts, and later the holder
+// stops. A fault would let two processes place weights at once, or none.
 func TestKeeperStopsInAnOutageAndAnotherTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -56,7 +56,7 @@
 		time.Sleep(time.Minute)
 
 		if _, ok := one.Fence(time.Now()); ok {
-			t.Error("in the outage: got a valid lease, want none")
+			t.Error("during the outage: got a valid lease, want none")
 		}
 
 		log.Set(memory.Faults{})
--- a/journal/lease/next.go
+++ b/journal/lease/next.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Step is what a Keeper does next.
+// Step is an action of a Keeper.
 type Step uint8
 
 // The steps.
 const (
-	// Wait does nothing for now.
+	// Wait sends no record.
 	Wait Step = iota
-	// Take asks for the lease.
+	// Take sends a record to take the lease.
 	Take
-	// Renew prolongs it.
+	// Renew sends a record to renew the lease.
 	Renew
 )
 
@@ -27,37 +27,39 @@
 	}
 }
 
-// Terms are the times of a lease.
-type Terms struct {
-	// Duration is how long nobody else may take the lease after a renewal.
+// Timing holds the durations of a lease.
+type Timing struct {
+	// Duration is how long after a renewal no other process may take the lease.
 	Duration time.Duration
-	// Margin is how long before the end of Duration the holder stops.
+	// Margin is how long before the end of Duration the holder stops acting.
 	Margin time.Duration
-	// Every is the time between renewals.
-	Every time.Duration
+	// RenewInterval is the minimum time between two records, such as renewals.
+	RenewInterval time.Duration
 }
 
 // View is what a process knows about one lease.
 type View struct {
-	// Self is the process's name as holder.
+	// Self is the name of the process, as in Lease.Holder.
 	Self string
-	// Lease is the lease as last read, when Held.
+	// Lease is the lease as last read from the stream; valid when Held is set.
 	Lease Lease
-	// Held says that somebody holds the lease, perhaps past its Duration.
+	// Held says that a process holds the lease, perhaps past its Duration.
 	Held bool
-	// Seen is when, by the process's own clock, it first read the Lease's newest renewal.
-	Seen time.Time
-	// Fence is the lease that this process itself took; zero when none.
+	// RenewalSeen is when, by its own clock, the process first read the newest
+	// change of Lease.
+	RenewalSeen time.Time
+	// Fence is the fencing number of the lease that this process took; zero when
+	// it took none.
 	Fence uint64
-	// Sent is when it sent the last record that counts for Fence.
-	Sent time.Time
-	// Asked is when it last sent a record, whatever became of it.
-	Asked time.Time
+	// RenewalSent is when it sent the last record that counts for Fence.
+	RenewalSent time.Time
+	// LastRequest is when it last sent a record, whatever the outcome.
+	LastRequest time.Time
 }
 
-// Next returns what to do about a lease.
-func Next(now time.Time, terms Terms, v View) Step {
-	if now.Sub(v.Asked) < terms.Every {
+// Next returns the step that a process takes now to get or keep a lease.
+func Next(now time.Time, timing Timing, v View) Step {
+	if now.Sub(v.LastRequest) < timing.RenewInterval {
 		return Wait
 	}
 
@@ -66,19 +68,19 @@
 		return Take
 	case v.Fence != 0 && v.Lease.Fence == v.Fence:
 		return Renew
-	case now.Sub(v.Seen) >= v.Lease.Duration:
+	case now.Sub(v.RenewalSeen) >= v.Lease.Duration:
 		return Take
 	default:
 		return Wait
 	}
 }
 
-// Valid tells whether a process may act on the lease that it took.
+// Valid reports whether a process may act on the lease that it took.
 //
-// The service took the last renewal no earlier than it was sent, so others may
-// take over no earlier than Duration after Sent. Counting from Sent by the
-// holder's own clock needs no agreement between clocks, and the margin covers
-// their different speeds and the time that an order takes.
-func Valid(now time.Time, terms Terms, v View) bool {
-	return v.Fence != 0 && v.Held && v.Lease.Fence == v.Fence && now.Sub(v.Sent) < v.Lease.Duration-terms.Margin
+// The service appended the last renewal no earlier than it was sent, so other
+// processes can take the lease no earlier than Duration after RenewalSent. The
+// holder measures from RenewalSent by its own clock, so the clocks need not
+// agree; the margin covers clock drift and the time that an order takes.
+func Valid(now time.Time, timing Timing, v View) bool {
+	return v.Fence != 0 && v.Held && v.Lease.Fence == v.Fence && now.Sub(v.RenewalSent) < v.Lease.Duration-timing.Margin
 }
--- a/journal/lease/stateful_test.go
+++ b/journal/lease/stateful_test.go
@@ -11,218 +11,222 @@
 	"boragehub/journal"
 )
 
-var terms = Terms{Duration: 15 * time.Second, Margin: 4 * time.Second, Every: 4 * time.Second}
-
-// holder is a process that wants the lease. Its clock has a base and a speed of
-// its own.
-type holder struct {
-	name   string
-	base   time.Time
-	speed  float64
-	table  *Table
-	view   View
-	nonce  uint64
-	sends  map[uint64]time.Time
-	next   int  // the record to read next
-	cut    bool // it can't read the log
-	frozen bool
-	orders []uint64 // orders that it decided on and has not sent yet
+var timing = Timing{Duration: 15 * time.Second, Margin: 4 * time.Second, RenewInterval: 4 * time.Second}
+
+// process competes for the lease. Its clock has its own start and speed.
+type process struct {
+	name        string
+	base        time.Time
+	speed       float64
+	table       *Table
+	view        View
+	nonce       uint64
+	sentAt      map[uint64]time.Time
+	next        int  // index of the record to read next
+	partitioned bool // partitioned from the log, so that it can't read it
+	paused      bool
+	orders      []uint64 // fencing numbers of orders decided on but not sent yet
 }
 
-// field is one lease, its processes, their log and the target of their orders.
-type field struct {
-	now     time.Duration
-	down    bool
-	records []journal.Record
-	way     [][]byte
-	procs   []*holder
-	guard   Guard
-	obeyed  []uint64
+// testEnv holds the processes that compete for one lease, their log and the
+// target of their orders.
+type testEnv struct {
+	now      time.Duration
+	down     bool
+	records  []journal.Record
+	inFlight [][]byte
+	procs    []*process
+	guard    Guard
+	executed []uint64
 }
 
-func newField() *field {
-	f := &field{}
+func newTestEnv() *testEnv {
+	e := &testEnv{}
 
 	for i := range 3 {
-		f.procs = append(f.procs, &holder{
+		e.procs = append(e.procs, &process{
 			name: fmt.Sprintf("p%d", i), base: time.Unix(int64(1000*i), 0), speed: 1 + float64(i-1)/10,
-			table: NewTable(), view: View{Self: fmt.Sprintf("p%d", i)}, sends: map[uint64]time.Time{},
+			table: NewTable(), view: View{Self: fmt.Sprintf("p%d", i)}, sentAt: map[uint64]time.Time{},
 		})
 	}
 
-	return f
+	return e
 }
 
-func (f *field) clock(h *holder) time.Time {
-	return h.base.Add(time.Duration(float64(f.now) * h.speed))
+func (e *testEnv) clock(p *process) time.Time {
+	return p.base.Add(time.Duration(float64(e.now) * p.speed))
 }
 
-// step lets a process read on, as far as it reaches the log, and do what is due.
-func (f *field) step(h *holder) {
-	now := f.clock(h)
+// step lets a process read the log, if it can reach it, and send a record if one
+// is due.
+func (e *testEnv) step(p *process) {
+	now := e.clock(p)
 
-	if !f.down && !h.cut {
-		f.read(now, h)
+	if !e.down && !p.partitioned {
+		e.read(now, p)
 	}
 
-	c := change{Name: "duty", Holder: h.name, DurationMS: terms.Duration.Milliseconds()}
+	c := leaseRecord{Name: "duty", Holder: p.name, DurationMS: timing.Duration.Milliseconds()}
 
-	switch Next(now, terms, h.view) {
+	switch Next(now, timing, p.view) {
 	case Take:
 		c.Action = take
 	case Renew:
-		c.Action, c.Fence = renew, h.view.Fence
+		c.Action, c.Fence = renew, p.view.Fence
 	case Wait:
 		return
 	}
 
-	h.nonce++
-	c.Nonce = h.nonce
-	h.sends[h.nonce] = now
-	h.view.Asked = now
-	f.way = append(f.way, encode(c))
+	p.nonce++
+	c.Nonce = p.nonce
+	p.sentAt[p.nonce] = now
+	p.view.LastRequest = now
+	e.inFlight = append(e.inFlight, encode(c))
 }
 
-// read lets a process take account of the records that it hasn't read.
-func (f *field) read(now time.Time, h *holder) {
-	for ; h.next < len(f.records); h.next++ {
-		before, _ := h.table.Lease("duty")
+// read applies the records that the process hasn't read yet.
+func (e *testEnv) read(now time.Time, p *process) {
+	for ; p.next < len(e.records); p.next++ {
+		before, _ := p.table.Lease("duty")
 
-		if err := h.table.Apply(f.records[h.next]); err != nil {
+		if err := p.table.Apply(e.records[p.next]); err != nil {
 			panic(err)
 		}
 
-		h.view.Lease, h.view.Held = h.table.Lease("duty")
-		if h.view.Lease == before {
+		p.view.Lease, p.view.Held = p.table.Lease("duty")
+		if p.view.Lease == before {
 			continue
 		}
 
-		h.view.Seen = now
+		p.view.RenewalSeen = now
 
-		if h.view.Held && h.view.Lease.Holder == h.name {
-			h.view.Fence, h.view.Sent = h.view.Lease.Fence, h.sends[h.view.Lease.Nonce]
+		if p.view.Held && p.view.Lease.Holder == p.name {
+			p.view.Fence, p.view.RenewalSent = p.view.Lease.Fence, p.sentAt[p.view.Lease.Nonce]
 		}
 	}
 }
 
-// round lets everyone who is awake do what is due, and the log take it.
-func (f *field) round() {
-	for _, h := range f.procs {
-		if !h.frozen {
-			f.step(h)
+// round runs a step of each process that isn't paused and appends the records
+// that they sent if the log is available. It takes a second.
+func (e *testEnv) round() {
+	for _, p := range e.procs {
+		if !p.paused {
+			e.step(p)
 		}
 	}
 
-	for i := 0; !f.down && i < len(f.way); i++ {
-		f.arrive(i)
+	for i := 0; !e.down && i < len(e.inFlight); i++ {
+		e.arrive(i)
 	}
 
-	if !f.down {
-		f.way = nil
+	if !e.down {
+		e.inFlight = nil
 	}
 
-	f.now += time.Second
+	e.now += time.Second
 }
 
-// arrive lets the log take a record that is on its way.
-func (f *field) arrive(i int) {
-	f.records = append(f.records, journal.Record{
-		Offset: uint64(len(f.records) + 1), At: time.Unix(1e6, 0).Add(f.now), Data: f.way[i],
+// arrive appends a record in flight to the log. It stays in flight, so that it
+// can arrive twice.
+func (e *testEnv) arrive(i int) {
+	e.records = append(e.records, journal.Record{
+		Offset: uint64(len(e.records) + 1), At: time.Unix(1e6, 0).Add(e.now), Data: e.inFlight[i],
 	})
 }
 
-// decide lets a process that may act on its lease decide on an order.
-func (f *field) decide(h *holder) {
-	if Valid(f.clock(h), terms, h.view) {
-		h.orders = append(h.orders, h.view.Fence)
+// decide lets a process decide on an order if it may act on its lease.
+func (e *testEnv) decide(p *process) {
+	if Valid(e.clock(p), timing, p.view) {
+		p.orders = append(p.orders, p.view.Fence)
 	}
 }
 
-// order lets a process send the order that it decided on, however long ago.
-func (f *field) order(t *rapid.T, h *holder) {
-	if len(h.orders) == 0 {
-		t.Skip("no order")
+// order sends the oldest order that a process decided on, however long ago.
+func (e *testEnv) order(t *rapid.T, p *process) {
+	if len(p.orders) == 0 {
+		t.Skip("no order to send")
 	}
 
-	fence := h.orders[0]
-	h.orders = h.orders[1:]
+	fence := p.orders[0]
+	p.orders = p.orders[1:]
 
-	err := f.guard.Check(fence)
+	err := e.guard.Check(fence)
 
 	switch {
 	case err == nil:
-		f.obeyed = append(f.obeyed, fence)
+		e.executed = append(e.executed, fence)
 	case failure.KindOf(err) != failure.StaleFence:
-		t.Fatalf("order with fence %d: got %v, want it obeyed or stale", fence, err)
+		t.Fatalf("order with fence %d: got error %v, want it executed or failure.StaleFence", fence, err)
 	}
 }
 
-// check fails when two processes may act at once, or when a target obeyed an
-// earlier holder after a later one.
-func (f *field) check(t *rapid.T) {
+// check fails when two processes may act at once, or when the target executed an
+// order of an earlier holder after one of a later holder.
+func (e *testEnv) check(t *rapid.T) {
 	acting := ""
 
-	for _, h := range f.procs {
-		if !Valid(f.clock(h), terms, h.view) {
+	for _, p := range e.procs {
+		if !Valid(e.clock(p), timing, p.view) {
 			continue
 		}
 
 		if acting != "" {
-			t.Fatalf("got %s and %s acting at once, want one", acting, h.name)
+			t.Fatalf("got %s and %s acting at once, want one", acting, p.name)
 		}
 
-		acting = h.name
+		acting = p.name
 	}
 
-	for i := 1; i < len(f.obeyed); i++ {
-		if f.obeyed[i] < f.obeyed[i-1] {
-			t.Fatalf("got orders obeyed with fences %v, want none older than one before it", f.obeyed)
+	for i := 1; i < len(e.executed); i++ {
+		if e.executed[i] < e.executed[i-1] {
+			t.Fatalf("orders executed with fences %v, want none lower than the one before it", e.executed)
 		}
 	}
 }
 
-// A holder is paused past its lease and wakes with an order in hand, the log is
-// away for a while, and records arrive twice, late or never. If two processes
-// acted at once, operators would see engines load one version and another in
-// turn, and a target that obeyed the older holder last would stay wrong.
+// A holder is paused past the end of its lease and resumes with an order to send,
+// the log is unavailable for a while, and records arrive twice, late or never.
+// If two processes acted at once, engines would load two versions alternately,
+// and a target that executed the older holder's order last would keep the wrong
+// version.
 func TestLeaseUnderFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newField()
-		draw := func(t *rapid.T) *holder {
-			h := f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "process")]
-			if h.frozen {
-				t.Skip("frozen")
+		e := newTestEnv()
+		drawRunning := func(t *rapid.T) *process {
+			p := e.procs[rapid.IntRange(0, len(e.procs)-1).Draw(t, "process")]
+			if p.paused {
+				t.Skip("process is paused")
 			}
 
-			return h
+			return p
 		}
-		pass := func(t *rapid.T) {
-			f.now += time.Duration(rapid.IntRange(1, 6000).Draw(t, "time")) * time.Millisecond
+		advanceTime := func(t *rapid.T) {
+			e.now += time.Duration(rapid.IntRange(1, 6000).Draw(t, "time")) * time.Millisecond
 		}
 		rounds := func(t *rapid.T) {
 			for range rapid.IntRange(1, 12).Draw(t, "rounds") {
-				f.round()
-				f.check(t)
+				e.round()
+				e.check(t)
 			}
 		}
 
 		t.Repeat(map[string]func(*rapid.T){
-			"": f.check, "time": pass, "rounds": rounds, "rounds2": rounds, "rounds3": rounds,
-			"step":   func(t *rapid.T) { f.step(draw(t)) },
-			"decide": func(t *rapid.T) { f.decide(draw(t)) },
-			"order":  func(t *rapid.T) { f.order(t, draw(t)) },
-			"log":    func(*rapid.T) { f.down = !f.down },
-			"cut":    func(t *rapid.T) { h := draw(t); h.cut = !h.cut },
-			"freeze": func(t *rapid.T) { draw(t).frozen = true },
+			"": e.check, "time": advanceTime, "rounds": rounds, "rounds2": rounds, "rounds3": rounds,
+			"step":   func(t *rapid.T) { e.step(drawRunning(t)) },
+			"decide": func(t *rapid.T) { e.decide(drawRunning(t)) },
+			"order":  func(t *rapid.T) { e.order(t, drawRunning(t)) },
+			"log":    func(*rapid.T) { e.down = !e.down },
+			"cut":    func(t *rapid.T) { p := drawRunning(t); p.partitioned = !p.partitioned },
+			"freeze": func(t *rapid.T) { drawRunning(t).paused = true },
 			"wake": func(t *rapid.T) {
-				f.procs[rapid.IntRange(0, len(f.procs)-1).Draw(t, "sleeper")].frozen = false
+				e.procs[rapid.IntRange(0, len(e.procs)-1).Draw(t, "sleeper")].paused = false
 			},
 			"arrive": func(t *rapid.T) {
-				if len(f.way) == 0 || f.down {
-					t.Skip("nothing on the way")
+				if len(e.inFlight) == 0 || e.down {
+					t.Skip("no record in flight or log down")
 				}
 
-				f.arrive(rapid.IntRange(0, len(f.way)-1).Draw(t, "record"))
+				e.arrive(rapid.IntRange(0, len(e.inFlight)-1).Draw(t, "record"))
 			},
 		})
 	})
--- a/journal/memory/log.go
+++ b/journal/memory/log.go
@@ -1,7 +1,7 @@
-// Package memory is a log service inside the process, for tests and experiments.
+// Package memory implements the log service in memory, for tests and experiments.
 //
-// It behaves as the platform's log service does, with the faults of it that a
-// client has to live with. It keeps no state outside of the process:
+// It behaves as the platform's log service does and can be given the faults that
+// a client of that service must tolerate. It keeps no state outside the process:
 //
 //	log := memory.New()
 //	log.Set(memory.Faults{Down: true})
@@ -16,27 +16,29 @@
 	"boragehub/journal"
 )
 
-// Faults are the switches of a Log. The zero value is a service in order.
+// Faults are the faults of a Log. The zero value is a service without faults.
 type Faults struct {
-	// Down refuses every call.
+	// Down makes every call fail with failure.LogUnavailable.
 	Down bool
-	// Silent takes every call and never answers; nothing takes effect.
+	// Silent leaves every call without a response and without effect.
 	Silent bool
-	// Delay is how long each call takes before it has its effect. A caller gives
-	// up after Patience; its append takes effect all the same.
+	// Delay is the time until a call takes effect. A caller times out after
+	// CallTimeout, but its append takes effect all the same.
 	Delay time.Duration
-	// Lose cuts the answer of this append, counted from 1 over all streams,
-	// after it took effect. Nil loses none.
+	// Lose reports whether the response to append n is lost after the append took
+	// effect; n counts the appends to all streams from 1. Nil loses none.
 	Lose func(n uint64) bool
-	// Late lets this append take effect only after a time, its answer being cut
-	// at once. Nil delays none.
+	// Late returns the time until append n takes effect; if it is not zero, the
+	// response is lost at once. Nil delays none.
 	Late func(n uint64) time.Duration
 }
 
-// Patience is how long a caller waits for an answer, as a client's deadline makes it.
-const Patience = 2 * time.Second
+// CallTimeout is how long a caller waits for a response, as the deadline of a
+// journal.Client does.
+const CallTimeout = 2 * time.Second
 
-// Log is a log service in memory. Use New.
+// Log is a log service in memory. It implements journal.Log and is safe for
+// concurrent use. Use New.
 type Log struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -55,16 +57,16 @@
 	return &Log{streams: map[string]*stream{}, changed: make(chan struct{})}
 }
 
-// Set replaces the faults.
+// Set replaces the faults and applies them to waiting reads too.
 func (l *Log) Set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.faults = f
-	l.wake()
+	l.notifyReaders()
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect or will do so.
 func (l *Log) Appends() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	return l.appends
 }
 
-// Trim forgets the records of a stream before an offset.
+// Trim removes the records of a stream before offset first.
 func (l *Log) Trim(name string, first uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +89,7 @@
 	s.first += uint64(n)
 }
 
-// Records returns the records of a stream that are kept.
+// Records returns the records of a stream that were not trimmed.
 func (l *Log) Records(name string) []journal.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,14 +107,14 @@
 	return s
 }
 
-func (l *Log) wake() {
+func (l *Log) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // Append implements journal.Log.
 func (l *Log) Append(ctx context.Context, name string, records [][]byte) (uint64, error) {
-	late, err := l.enter(ctx)
+	effectDelay, err := l.beginCall(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -123,37 +125,37 @@
 	l.appends++
 
 	if l.faults.Late != nil {
-		late = max(late, l.faults.Late(l.appends))
+		effectDelay = max(effectDelay, l.faults.Late(l.appends))
 	}
 
-	if late > 0 {
+	if effectDelay > 0 {
 		copies := append([][]byte(nil), records...)
 
-		time.AfterFunc(late, func() { l.late(name, copies) })
+		time.AfterFunc(effectDelay, func() { l.appendLate(name, copies) })
 
-		return 0, lostAnswer()
+		return 0, lostResponse()
 	}
 
-	offset := l.put(name, records)
+	offset := l.appendRecords(name, records)
 	if l.faults.Lose != nil && l.faults.Lose(l.appends) {
-		return 0, lostAnswer()
+		return 0, lostResponse()
 	}
 
 	return offset, nil
 }
 
-func (l *Log) late(name string, records [][]byte) {
+func (l *Log) appendLate(name string, records [][]byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	l.put(name, records)
+	l.appendRecords(name, records)
 }
 
-func lostAnswer() error {
-	return failure.New(failure.OutcomeUnknown, "the answer is lost")
+func lostResponse() error {
+	return failure.New(failure.OutcomeUnknown, "the response is lost")
 }
 
-func (l *Log) put(name string, records [][]byte) uint64 {
+func (l *Log) appendRecords(name string, records [][]byte) uint64 {
 	s := l.stream(name)
 	offset := s.first + uint64(len(s.records))
 
@@ -162,33 +164,33 @@
 		s.records = append(s.records, r)
 	}
 
-	l.wake()
+	l.notifyReaders()
 
 	return offset
 }
 
-// enter lets a call in, as far as the faults allow. It returns how long the
-// call's effect still takes when the caller has given up.
-func (l *Log) enter(ctx context.Context) (time.Duration, error) {
+// beginCall applies the faults to the start of a call. If the caller times out
+// before the call takes effect, it returns the time that remains until then.
+func (l *Log) beginCall(ctx context.Context) (time.Duration, error) {
 	l.mu.Lock()
 	f := l.faults
 	l.mu.Unlock()
 
 	switch {
 	case f.Silent:
-		_ = pause(ctx, Patience)
+		_ = sleep(ctx, CallTimeout)
 
-		return 0, lostAnswer()
+		return 0, lostResponse()
 	case f.Down:
-		return 0, failure.New(failure.LogUnavailable, "the log is down")
-	case f.Delay > Patience:
-		return f.Delay - Patience, pause(ctx, Patience)
+		return 0, failure.New(failure.LogUnavailable, "the log service is unavailable")
+	case f.Delay > CallTimeout:
+		return f.Delay - CallTimeout, sleep(ctx, CallTimeout)
 	default:
-		return 0, pause(ctx, f.Delay)
+		return 0, sleep(ctx, f.Delay)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
 	}
@@ -200,41 +202,41 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return failure.Wrap(failure.OutcomeUnknown, ctx.Err(), "no answer in time")
+		return failure.Wrap(failure.OutcomeUnknown, ctx.Err(), "no response before the call ended")
 	}
 }
 
 // Read implements journal.Log.
-func (l *Log) Read(ctx context.Context, name string, from uint64, most int, longest time.Duration) (journal.Batch, error) {
-	if late, err := l.enter(ctx); err != nil || late > 0 {
-		return journal.Batch{}, failure.Wrap(failure.LogUnavailable, err, "no answer to a read")
+func (l *Log) Read(ctx context.Context, name string, from uint64, maxRecords int, wait time.Duration) (journal.Batch, error) {
+	if effectDelay, err := l.beginCall(ctx); err != nil || effectDelay > 0 {
+		return journal.Batch{}, failure.Wrap(failure.LogUnavailable, err, "no response to a read")
 	}
 
-	t := time.NewTimer(longest)
+	t := time.NewTimer(wait)
 	defer t.Stop()
 
 	for {
-		b, changed, err := l.read(name, from, most)
-		if err != nil || len(b.Records) > 0 || longest <= 0 {
+		b, changed, err := l.read(name, from, maxRecords)
+		if err != nil || len(b.Records) > 0 || wait <= 0 {
 			return b, err
 		}
 
 		select {
 		case <-changed:
 		case <-t.C:
-			longest = 0
+			wait = 0
 		case <-ctx.Done():
 			return journal.Batch{}, failure.As(ctx.Err())
 		}
 	}
 }
 
-func (l *Log) read(name string, from uint64, most int) (journal.Batch, <-chan struct{}, error) {
+func (l *Log) read(name string, from uint64, maxRecords int) (journal.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	if l.faults.Down {
-		return journal.Batch{}, nil, failure.New(failure.LogUnavailable, "the log is down")
+		return journal.Batch{}, nil, failure.New(failure.LogUnavailable, "the log service is unavailable")
 	}
 
 	s := l.stream(name)
@@ -245,7 +247,7 @@
 	b := journal.Batch{First: s.first, Next: s.first + uint64(len(s.records))}
 	if from < b.Next {
 		start := int(from - s.first)
-		end := min(start+most, len(s.records))
+		end := min(start+maxRecords, len(s.records))
 		b.Records = append(b.Records, s.records[start:end]...)
 	}
 
--- a/journal/pending.go
+++ b/journal/pending.go
@@ -12,44 +12,46 @@
 	stateCancelled
 )
 
-// Pending is a record on its way into the stream.
+// Pending is a record that was submitted to a Writer.
 type Pending struct {
 	envelope envelope
-	// tainted is set once the record was sent without learning what became of
-	// it. From then on it can arrive at any time and can't be taken back. Only
-	// the Writer's goroutine uses it.
-	tainted bool
-	state   atomic.Uint32
-	done    chan struct{}
-	offset  uint64
-	err     error
+	// maybeAppended is set once the record was sent and the outcome is unknown.
+	// From then on the service may append it at any time, so it can't be
+	// cancelled. Only the Writer's goroutine uses it.
+	maybeAppended bool
+	state         atomic.Uint32
+	done          chan struct{}
+	offset        uint64
+	err           error
 }
 
-// Done is closed when the outcome is known, or the Writer stopped.
+// Done returns a channel that is closed when the outcome is known or the Writer
+// has stopped. It is not closed for a record that was cancelled.
 func (p *Pending) Done() <-chan struct{} { return p.done }
 
-// Offset returns the outcome once Done is closed; see Writer.Append.
+// Offset returns the outcome, as Writer.Append does, once Done is closed.
 func (p *Pending) Offset() (uint64, error) { return p.offset, p.err }
 
-// Cancel takes the record back and reports whether it certainly was not and
-// won't be appended. False says that it was sent or is already settled.
+// Cancel withdraws the record if it is still queued. True means that it was not
+// and won't be appended; false means that it is being sent or has an outcome.
 func (p *Pending) Cancel() bool {
 	return p.state.CompareAndSwap(stateQueued, stateCancelled) || p.state.Load() == stateCancelled
 }
 
-// take marks the record as being sent; false when it is cancelled.
-func (p *Pending) take() bool {
+// startSending marks the record as being sent. It returns false when the record
+// was cancelled.
+func (p *Pending) startSending() bool {
 	return p.state.CompareAndSwap(stateQueued, stateSent) || p.state.Load() == stateSent
 }
 
-// release allows to cancel again, after the service declined the record.
-func (p *Pending) release() {
-	if !p.tainted {
+// endSending makes a record that certainly was not appended cancellable again.
+func (p *Pending) endSending() {
+	if !p.maybeAppended {
 		p.state.CompareAndSwap(stateSent, stateQueued)
 	}
 }
 
-// resolve makes the outcome known. A cancelled record has its outcome already.
+// resolve sets the outcome. A cancelled record already has its outcome.
 func (p *Pending) resolve(offset uint64, err error) {
 	if p.state.Load() == stateCancelled {
 		return
@@ -60,5 +62,5 @@
 	close(p.done)
 }
 
-// size is what the record adds to an append.
-func (p *Pending) size() int { return len(p.envelope.Data) + envelopeBytes }
+// appendSize returns the number of bytes that the record adds to an append.
+func (p *Pending) appendSize() int { return len(p.envelope.Data) + maxEnvelopeBytes }
--- a/journal/snapshot.go
+++ b/journal/snapshot.go
@@ -12,33 +12,33 @@
 	"boragehub/pause"
 )
 
-// partBytes bounds one part of a snapshot.
-const partBytes = 256 << 10
+// maxPartBytes bounds the content of one part of a snapshot.
+const maxPartBytes = 256 << 10
 
-// Snapshot is the state of a stream as of an offset, ready to be written.
+// Snapshot is the encoded state of a stream as of an offset.
 type Snapshot struct {
 	covers uint64
 	data   []byte
 }
 
-// Covers returns the last offset that the snapshot takes account of.
+// Covers returns the offset of the last record that the snapshot includes.
 func (s Snapshot) Covers() uint64 { return s.covers }
 
 // Size returns the length of the snapshot in bytes.
 func (s Snapshot) Size() int { return len(s.data) }
 
-// Capture takes a snapshot of the state that the records handled so far have
-// made. It calls state while no record is handled. False says that the Reader
-// itself lacks records, so that it has no state worth keeping.
+// Capture takes a snapshot of the state that results from the records handled
+// so far. It calls state while no record is being handled. It returns false
+// when the Reader lacks records itself, so that its state is incomplete.
 func (r *Reader) Capture(state func() []byte) (Snapshot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if r.mode != following {
+	if r.mode != handlingAll {
 		return Snapshot{}, false
 	}
 
-	r.prune()
+	r.pruneWriters()
 
 	b, err := cbor.Marshal(snapshot{Seen: r.seen, Data: state()})
 	if err != nil {
@@ -48,8 +48,9 @@
 	return Snapshot{covers: r.next - 1, data: b}, true
 }
 
-// prune forgets writers that have been silent for the StragglerWindow.
-func (r *Reader) prune() {
+// pruneWriters removes the writers whose newest record is older than the newest
+// of all by more than StragglerWindow.
+func (r *Reader) pruneWriters() {
 	newest := int64(0)
 	for _, m := range r.seen {
 		newest = max(newest, m.At)
@@ -62,15 +63,16 @@
 	}
 }
 
-// WriteSnapshot appends s in as many parts as it needs and waits for the last.
+// WriteSnapshot appends s in as many parts as it needs and waits for the outcome
+// of the last one.
 func (w *Writer) WriteSnapshot(ctx context.Context, s Snapshot) error {
-	count := max((len(s.data)+partBytes-1)/partBytes, 1)
+	count := max((len(s.data)+maxPartBytes-1)/maxPartBytes, 1)
 
 	var last *Pending
 
 	for i := range count {
-		data := s.data[i*partBytes : min((i+1)*partBytes, len(s.data))]
-		e := envelope{Writer: w.id, Data: data, Part: &part{Covers: s.covers, Index: i, Count: count}}
+		data := s.data[i*maxPartBytes : min((i+1)*maxPartBytes, len(s.data))]
+		e := envelope{Writer: w.id, Data: data, Part: &snapshotPart{Covers: s.covers, Index: i, Count: count}}
 
 		p, err := w.submitPart(ctx, e)
 		if err != nil {
@@ -98,7 +100,8 @@
 	return nil
 }
 
-// submitPart waits for room, since a snapshot may be larger than the queue.
+// submitPart submits e and waits while the queue is full, because a snapshot may
+// have more parts than the queue takes.
 func (w *Writer) submitPart(ctx context.Context, e envelope) (*Pending, error) {
 	for {
 		p, err := w.submit(e)
@@ -112,48 +115,50 @@
 	}
 }
 
-func openSnapshot(b []byte) (snapshot, error) {
+func decodeSnapshot(b []byte) (snapshot, error) {
 	var s snapshot
 	if err := cbor.Unmarshal(b, &s); err != nil {
-		return snapshot{}, failure.Wrap(failure.BadMessage, err, "a snapshot can't be understood")
+		return snapshot{}, failure.Wrap(failure.BadMessage, err, "a snapshot could not be decoded")
 	}
 
 	return s, nil
 }
 
-// assembly puts the parts of snapshots together, one snapshot for each writer.
-type assembly map[uuid.UUID]*pieces
+// snapshotAssembler joins the parts of snapshots, one snapshot per writer at a
+// time.
+type snapshotAssembler map[uuid.UUID]*partialSnapshot
 
-// pieces are the parts of one snapshot that have come.
-type pieces struct {
-	covers uint64
-	parts  [][]byte
-	have   int
+// partialSnapshot holds the parts of one snapshot that were read so far.
+type partialSnapshot struct {
+	covers   uint64
+	parts    [][]byte
+	received int
 }
 
-// add takes a part and returns the whole snapshot once it is complete.
-func (a assembly) add(e envelope) ([]byte, bool) {
+// add adds a part and returns the joined snapshot once it is complete. A part
+// of another snapshot of the same writer discards the parts before it.
+func (a snapshotAssembler) add(e envelope) ([]byte, bool) {
 	p := a[e.Writer]
 	if p == nil || p.covers != e.Part.Covers || len(p.parts) != e.Part.Count {
-		p = &pieces{covers: e.Part.Covers, parts: make([][]byte, e.Part.Count)}
+		p = &partialSnapshot{covers: e.Part.Covers, parts: make([][]byte, e.Part.Count)}
 		a[e.Writer] = p
 	}
 
 	if p.parts[e.Part.Index] == nil {
 		p.parts[e.Part.Index] = append([]byte{}, e.Data...)
-		p.have++
+		p.received++
 	}
 
-	if p.have < len(p.parts) {
+	if p.received < len(p.parts) {
 		return nil, false
 	}
 
 	delete(a, e.Writer)
 
-	var whole []byte
+	var joined []byte
 	for _, b := range p.parts {
-		whole = append(whole, b...)
+		joined = append(joined, b...)
 	}
 
-	return whole, true
+	return joined, true
 }
--- a/journal/snapshot_test.go
+++ b/journal/snapshot_test.go
@@ -18,15 +18,16 @@
 	"boragehub/journal/memory"
 )
 
-// list is a state that depends on every record and on their order.
-type list struct {
-	mu    sync.Mutex
-	text  strings.Builder
-	gaps  int
-	taken int
+// textState is a state that depends on every record and on the order of the
+// records. It counts the gaps and the snapshots restored.
+type textState struct {
+	mu       sync.Mutex
+	text     strings.Builder
+	gaps     int
+	restored int
 }
 
-func (l *list) handle(r journal.Record) {
+func (l *textState) handle(r journal.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -34,18 +35,18 @@
 	l.text.WriteByte(' ')
 }
 
-func (l *list) restore(b []byte) error {
+func (l *textState) restore(b []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.text.Reset()
 	l.text.Write(b)
-	l.taken++
+	l.restored++
 
 	return nil
 }
 
-func (l *list) gap(uint64) {
+func (l *textState) gap(uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -53,57 +54,61 @@
 	l.gaps++
 }
 
-func (l *list) String() string {
+func (l *textState) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	return l.text.String()
 }
 
-func (l *list) reader(log journal.Log) *journal.Reader {
+func (l *textState) reader(log journal.Log) *journal.Reader {
 	return journal.NewReader(journal.ReaderConfig{
 		Log: log, Stream: stream, Handle: l.handle, Restore: l.restore, Gap: l.gap,
 	})
 }
 
-// cutOff is a log that one process can't reach at times.
-type cutOff struct {
+// partitionedLog is a log whose reads fail while it is partitioned from one
+// reader.
+type partitionedLog struct {
 	journal.Log
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-func (c *cutOff) Read(ctx context.Context, s string, from uint64, most int, wait time.Duration) (journal.Batch, error) {
-	if c.cut.Load() {
-		return journal.Batch{}, failure.New(failure.LogUnavailable, "cut off")
+func (c *partitionedLog) Read(ctx context.Context, s string, from uint64, maxRecords int, wait time.Duration) (journal.Batch, error) {
+	if c.partitioned.Load() {
+		return journal.Batch{}, failure.New(failure.LogUnavailable, "network partition")
 	}
 
-	return c.Log.Read(ctx, s, from, most, wait)
+	return c.Log.Read(ctx, s, from, maxRecords, wait)
 }
 
-// lateBy is how long some appends take to take effect after their sender gave up.
-const lateBy = 3 * time.Second
+// appendDelay is the time until a delayed append takes effect after its response
+// was lost.
+const appendDelay = 3 * time.Second
 
-// chunk makes a record large enough for snapshots of several parts.
-const chunk = 20 << 10
+// paddingBytes makes records large enough that snapshots have several parts.
+const paddingBytes = 20 << 10
 
-// retain plays a stream whose records are forgotten once a snapshot covers them,
-// while one reader is there, one is cut off at times and one comes at the end.
-func retain(ctx context.Context, steps []int) error {
+// runRetention runs a stream whose records are trimmed once a snapshot covers
+// them. One reader runs continuously, one is partitioned from the log at times,
+// and one starts at the end. It returns an error if the states of the readers
+// differ.
+func runRetention(ctx context.Context, steps []int) error {
 	var wg sync.WaitGroup
 
 	ctx, cancel := context.WithCancel(ctx)
 	log := memory.New()
-	lost := &cutOff{Log: log}
+	partitionable := &partitionedLog{Log: log}
 	w := journal.NewWriter(journal.WriterConfig{Log: log, Stream: stream})
-	keeper, away, late := &list{}, &list{}, &list{}
-	r := keeper.reader(log)
+	continuous, interrupted, late := &textState{}, &textState{}, &textState{}
+	r := continuous.reader(log)
 
 	wg.Go(func() { w.Run(ctx) })
 	wg.Go(func() { r.Run(ctx) })
-	wg.Go(func() { away.reader(lost).Run(ctx) })
+	wg.Go(func() { interrupted.reader(partitionable).Run(ctx) })
 
 	for i, step := range steps {
-		if err := retainStep(ctx, i, step, log, lost, w, r, keeper); err != nil {
+		if err := runStep(ctx, i, step, log, partitionable, w, r, continuous); err != nil {
 			cancel()
 			wg.Wait()
 
@@ -113,45 +118,45 @@
 		time.Sleep(time.Second)
 	}
 
-	time.Sleep(2 * lateBy)
+	time.Sleep(2 * appendDelay)
 	log.Set(memory.Faults{})
-	lost.cut.Store(false)
+	partitionable.partitioned.Store(false)
 	wg.Go(func() { late.reader(log).Run(ctx) })
 	time.Sleep(time.Minute)
 	cancel()
 	wg.Wait()
 
-	for name, l := range map[string]*list{"cut off": away, "late": late} {
-		if l.gaps > 0 || l.String() != keeper.String() {
-			return fmt.Errorf("reader that was %s: got %d bytes and %d gaps, want %d bytes and none",
-				name, len(l.String()), l.gaps, len(keeper.String()))
+	for name, l := range map[string]*textState{"temporarily partitioned": interrupted, "late": late} {
+		if l.gaps > 0 || l.String() != continuous.String() {
+			return fmt.Errorf("%s reader: got %d bytes and %d gaps, want %d bytes and none",
+				name, len(l.String()), l.gaps, len(continuous.String()))
 		}
 	}
 
 	return nil
 }
 
-// The things that may happen to a stream.
+// The steps of a test run.
 const (
 	stepAppend = iota
 	stepSnapshot
 	stepTrim
-	stepCut
-	stepLate
-	steps
+	stepPartition
+	stepDelay
+	stepCount
 )
 
-func retainStep(
-	ctx context.Context, i, step int, log *memory.Log, lost *cutOff,
-	w *journal.Writer, r *journal.Reader, keeper *list,
+func runStep(
+	ctx context.Context, i, step int, log *memory.Log, partitionable *partitionedLog,
+	w *journal.Writer, r *journal.Reader, continuous *textState,
 ) error {
 	switch step {
 	case stepAppend:
-		_, err := w.Append(ctx, []byte(fmt.Sprintf("%d%s", i, strings.Repeat(".", chunk))))
+		_, err := w.Append(ctx, []byte(fmt.Sprintf("%d%s", i, strings.Repeat(".", paddingBytes))))
 
 		return err
 	case stepSnapshot, stepTrim:
-		s, ok := r.Capture(func() []byte { return []byte(keeper.String()) })
+		s, ok := r.Capture(func() []byte { return []byte(continuous.String()) })
 		if !ok {
 			return errors.New("capture: got none, want a snapshot")
 		}
@@ -163,25 +168,25 @@
 		if step == stepTrim {
 			log.Trim(stream, s.Covers()+1)
 		}
-	case stepLate:
-		log.Set(memory.Faults{Late: func(n uint64) time.Duration { return time.Duration(n%2) * lateBy }})
-	case stepCut:
-		lost.cut.Store(!lost.cut.Load())
+	case stepDelay:
+		log.Set(memory.Faults{Late: func(n uint64) time.Duration { return time.Duration(n%2) * appendDelay }})
+	case stepPartition:
+		partitionable.partitioned.Store(!partitionable.partitioned.Load())
 	}
 
 	return nil
 }
 
-// The log forgets records while a reader is cut off, or before it has started.
-// A reader that went on with what is left would act on half of the state: an
-// operator would see a setting revert, a caller a booking made twice.
+// The log trims records while a reader is partitioned from it, or before the
+// reader starts. A reader that went on without a snapshot would act on a part of
+// the state: a setting would revert, or a caller's booking be made twice.
 func TestSnapshotsOutliveRetention(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		drawn := rapid.SliceOfN(rapid.IntRange(0, steps-1), 1, 40).Draw(rt, "steps")
+		drawn := rapid.SliceOfN(rapid.IntRange(0, stepCount-1), 1, 40).Draw(rt, "steps")
 
 		var err error
 
-		synctest.Test(t, func(t *testing.T) { err = retain(t.Context(), drawn) })
+		synctest.Test(t, func(t *testing.T) { err = runRetention(t.Context(), drawn) })
 
 		if err != nil {
 			rt.Fatal(err)
@@ -189,8 +194,8 @@
 	})
 }
 
-// All that tells of a state is forgotten and no snapshot was written. The reader
-// says so, and a snapshot that comes later mends it.
+// The log trims records before a snapshot covers them. The reader must report
+// the gap and restore the complete state from a later snapshot.
 func TestGapIsToldAndMended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -198,8 +203,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		log := memory.New()
 		w := journal.NewWriter(journal.WriterConfig{Log: log, Stream: stream})
-		keeper, late := &list{}, &list{}
-		r := keeper.reader(log)
+		continuous, late := &textState{}, &textState{}
+		r := continuous.reader(log)
 
 		wg.Go(func() { w.Run(ctx) })
 		wg.Go(func() { r.Run(ctx) })
@@ -218,7 +223,7 @@
 			t.Errorf("after the gap: got %q and %d gaps, want %q and 1", got, late.gaps, want)
 		}
 
-		s, _ := r.Capture(func() []byte { return []byte(keeper.String()) })
+		s, _ := r.Capture(func() []byte { return []byte(continuous.String()) })
 		if err := w.WriteSnapshot(ctx, s); err != nil {
 			t.Fatal(err)
 		}
@@ -234,8 +239,9 @@
 	})
 }
 
-// A snapshot was captured, then held up, and what came between is forgotten. A
-// reader that took it would lack a record and not know.
+// A snapshot is captured, a record is appended before it is written, and the log
+// trims that record. A reader that restored the snapshot would lack the record
+// without noticing.
 func TestSnapshotThatLeavesAGapIsNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -243,36 +249,36 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		log := memory.New()
 		w := journal.NewWriter(journal.WriterConfig{Log: log, Stream: stream})
-		keeper, late := &list{}, &list{}
-		r := keeper.reader(log)
+		continuous, late := &textState{}, &textState{}
+		r := continuous.reader(log)
 
 		wg.Go(func() { w.Run(ctx) })
 		wg.Go(func() { r.Run(ctx) })
 
-		add := func(text string) {
+		appendText := func(text string) {
 			if _, err := w.Append(ctx, []byte(text)); err != nil {
 				t.Fatal(err)
 			}
 		}
 
-		add("a")
+		appendText("a")
 		time.Sleep(time.Second)
 
-		s, _ := r.Capture(func() []byte { return []byte(keeper.String()) })
+		s, _ := r.Capture(func() []byte { return []byte(continuous.String()) })
 
-		add("b")
+		appendText("b")
 
 		if err := w.WriteSnapshot(ctx, s); err != nil {
 			t.Fatal(err)
 		}
 
-		add("c")
+		appendText("c")
 		log.Trim(stream, 3)
 		wg.Go(func() { late.reader(log).Run(ctx) })
 		time.Sleep(time.Second)
 
-		if got, want := late.String(), "c "; got != want || late.gaps != 1 || late.taken != 0 {
-			t.Errorf("got %q, %d gaps, %d snapshots taken, want %q, 1 and 0", got, late.gaps, late.taken, want)
+		if got, want := late.String(), "c "; got != want || late.gaps != 1 || late.restored != 0 {
+			t.Errorf("got %q, %d gaps, %d snapshots restored, want %q, 1 and 0", got, late.gaps, late.restored, want)
 		}
 
 		cancel()
--- a/journal/stateful_test.go
+++ b/journal/stateful_test.go
@@ -19,40 +19,40 @@
 
 const stream = "settings"
 
-// script is what happens to the log, and what is appended meanwhile.
-type script struct {
-	faults  []memory.Faults
-	lengths []time.Duration
-	appends []submission
+// scenario is a sequence of faults of the log, and the appends made meanwhile.
+type scenario struct {
+	faults         []memory.Faults
+	faultDurations []time.Duration
+	appends        []submission
 }
 
-// submission is one append of a writer.
+// submission is one append by a writer, made after a pause.
 type submission struct {
 	writer  int
 	after   time.Duration
 	timeout time.Duration
 }
 
-// answer is what the caller of an append got.
-type answer struct {
+// result is the outcome that the caller of an append got.
+type result struct {
 	text   string
 	offset uint64
 	err    error
 }
 
-// drawScript draws faults and appends.
-func drawScript(t *rapid.T) script {
-	var s script
+// drawScenario draws a scenario.
+func drawScenario(t *rapid.T) scenario {
+	var s scenario
 
 	for range rapid.IntRange(1, 8).Draw(t, "faults") {
 		n := uint64(rapid.IntRange(1, 3).Draw(t, "every"))
-		some := func(i uint64) bool { return i%n == 0 }
+		affected := func(i uint64) bool { return i%n == 0 }
 		late := rapid.SampledFrom([]time.Duration{
 			300 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second, time.Minute,
 		}).Draw(t, "late")
 
-		slow := func(i uint64) time.Duration {
-			if some(i) {
+		delay := func(i uint64) time.Duration {
+			if affected(i) {
 				return late
 			}
 
@@ -60,10 +60,10 @@
 		}
 
 		s.faults = append(s.faults, rapid.SampledFrom([]memory.Faults{
-			{}, {Down: true}, {Silent: true}, {Delay: time.Second}, {Delay: 4 * time.Second}, {Lose: some},
-			{Late: slow}, {Late: slow, Delay: time.Second},
+			{}, {Down: true}, {Silent: true}, {Delay: time.Second}, {Delay: 4 * time.Second}, {Lose: affected},
+			{Late: delay}, {Late: delay, Delay: time.Second},
 		}).Draw(t, "fault"))
-		s.lengths = append(s.lengths, time.Duration(rapid.IntRange(10, 20000).Draw(t, "length"))*time.Millisecond)
+		s.faultDurations = append(s.faultDurations, time.Duration(rapid.IntRange(10, 20000).Draw(t, "length"))*time.Millisecond)
 	}
 
 	for range rapid.IntRange(1, 20).Draw(t, "appends") {
@@ -77,8 +77,9 @@
 	return s
 }
 
-// follow reads the stream from its beginning into what it returns.
-func follow(ctx context.Context, wg *sync.WaitGroup, log journal.Log) *[]journal.Record {
+// startReader starts a reader from the beginning of the stream and returns the
+// records that it reads, which may be used once wg is done.
+func startReader(ctx context.Context, wg *sync.WaitGroup, log journal.Log) *[]journal.Record {
 	var (
 		mu   sync.Mutex
 		seen []journal.Record
@@ -96,9 +97,9 @@
 	return &seen
 }
 
-// play carries out a script and returns what callers got and what two readers,
-// one there from the start and one that comes at the end, have read.
-func (s script) play(ctx context.Context) (answers []answer, early, late []journal.Record) {
+// run runs the scenario. It returns the results of the appends, and the records
+// read by two readers, one from the start of the run and one from its end.
+func (s scenario) run(ctx context.Context) (results []result, early, late []journal.Record) {
 	var (
 		wg, calls sync.WaitGroup
 		mu        sync.Mutex
@@ -106,7 +107,7 @@
 
 	ctx, cancel := context.WithCancel(ctx)
 	log := memory.New()
-	first := follow(ctx, &wg, log)
+	first := startReader(ctx, &wg, log)
 	writers := []*journal.Writer{}
 
 	for range 2 {
@@ -118,7 +119,7 @@
 	wg.Go(func() {
 		for i, f := range s.faults {
 			log.Set(f)
-			time.Sleep(s.lengths[i])
+			time.Sleep(s.faultDurations[i])
 		}
 
 		log.Set(memory.Faults{})
@@ -127,40 +128,41 @@
 	for i, a := range s.appends {
 		time.Sleep(a.after)
 		calls.Go(func() {
-			limit, done := context.WithTimeout(ctx, a.timeout)
-			defer done()
+			callCtx, cancelCall := context.WithTimeout(ctx, a.timeout)
+			defer cancelCall()
 
 			text := fmt.Sprintf("%d/%03d", a.writer, i)
-			offset, err := writers[a.writer].Append(limit, []byte(text))
+			offset, err := writers[a.writer].Append(callCtx, []byte(text))
 
 			mu.Lock()
 			defer mu.Unlock()
 
-			answers = append(answers, answer{text: text, offset: offset, err: err})
+			results = append(results, result{text: text, offset: offset, err: err})
 		})
 	}
 
 	calls.Wait()
 	time.Sleep(10 * time.Minute)
 
-	last := follow(ctx, &wg, log)
+	last := startReader(ctx, &wg, log)
 
 	time.Sleep(time.Minute)
 	cancel()
 	wg.Wait()
 
-	return answers, *first, *last
+	return results, *first, *last
 }
 
-// check compares what callers were told with what readers saw.
-func check(answers []answer, seen []journal.Record) error {
+// checkRecords compares the results of the appends with the records that a
+// reader read.
+func checkRecords(results []result, seen []journal.Record) error {
 	at := map[string]uint64{}
 	order := map[string][]string{}
 
 	for _, r := range seen {
 		text := string(r.Data)
 		if _, ok := at[text]; ok {
-			return fmt.Errorf("record %s: got it twice, want once", text)
+			return fmt.Errorf("record %s: read twice, want once", text)
 		}
 
 		at[text] = r.Offset
@@ -170,46 +172,47 @@
 
 	for w, texts := range order {
 		if !slices.IsSorted(texts) {
-			return fmt.Errorf("writer %s: got the order %v, want that of submission", w, texts)
+			return fmt.Errorf("writer %s: got records in order %v, want the order of submission", w, texts)
 		}
 	}
 
-	for _, a := range answers {
+	for _, a := range results {
 		offset, ok := at[a.text]
 		kind := failure.KindOf(a.err)
 
 		switch {
 		case a.err == nil && !ok:
-			return fmt.Errorf("record %s: got none, want one as offset %d was answered", a.text, a.offset)
+			return fmt.Errorf("record %s: got no record, want one at the returned offset %d", a.text, a.offset)
 		case a.err == nil && offset != a.offset:
-			return fmt.Errorf("record %s: got offset %d, want %d as was answered", a.text, offset, a.offset)
+			return fmt.Errorf("record %s: got offset %d, want the returned offset %d", a.text, offset, a.offset)
 		case a.err != nil && ok && kind != failure.OutcomeUnknown:
-			return fmt.Errorf("record %s: got it at %d, want none after %w", a.text, offset, a.err)
+			return fmt.Errorf("record %s: got it at offset %d, want none after error %w", a.text, offset, a.err)
 		}
 	}
 
 	return nil
 }
 
-// The log is down, slow or silent, it loses answers, or carries an append out
-// long after its sender gave up. A writer that took "not found" for "not
-// appended" and sent anew would show an operator the same change twice, and one
-// that answered "not appended" too early would tell of a change that then comes.
+// The log is down, slow or unresponsive, loses responses, or carries out an
+// append long after its sender timed out. A writer that took "not found" for
+// "not appended" and sent the record with a new sequence number would make the
+// same change twice; one that reported "not appended" too early would be wrong
+// about a change that still takes effect.
 func TestAppendsUnderFailure(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := drawScript(rt)
+		s := drawScenario(rt)
 
 		var err error
 
 		synctest.Test(t, func(t *testing.T) {
-			answers, early, late := s.play(t.Context())
+			results, early, late := s.run(t.Context())
 
-			if err = check(answers, early); err == nil {
-				err = check(answers, late)
+			if err = checkRecords(results, early); err == nil {
+				err = checkRecords(results, late)
 			}
 
 			if err == nil && len(early) != len(late) {
-				err = fmt.Errorf("reader that came late: got %d records, want %d as the other", len(late), len(early))
+				err = fmt.Errorf("reader started late: got %d records, want %d as the early reader", len(late), len(early))
 			}
 		})
 
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -19,75 +19,78 @@
 )
 
 const (
-	// DefaultInterval is the least time between two appends of a Writer.
+	// DefaultInterval is the minimum time between two appends of a Writer.
 	DefaultInterval = 50 * time.Millisecond
-	// DefaultQueue is how many records may wait in a Writer.
+	// DefaultQueue is the capacity of a Writer's queue, in records.
 	DefaultQueue = 1024
-	// DefaultMaxBytes bounds the content of one append. In base64 it stays
-	// below the 1 MiB that the service takes.
+	// DefaultMaxBytes bounds the content of one append. Encoded in base64 it stays
+	// below the 1 MiB that the service accepts.
 	DefaultMaxBytes = 512 << 10
-	// envelopeBytes is room for the envelope around a record's content.
-	envelopeBytes = 64
-	// readMost is how many records a call reads at once.
-	readMost = 512
-	// firstBackoff and lastBackoff bound the wait between tries in an outage.
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = 2 * time.Second
+	// maxEnvelopeBytes is the size allowed for the envelope around a record's
+	// content.
+	maxEnvelopeBytes = 64
+	// maxReadRecords is the maximum number of records per read.
+	maxReadRecords = 512
+	// initialBackoff and maxBackoff bound the backoff between attempts in an
+	// outage.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// WriterConfig says what a Writer writes to and how often.
+// WriterConfig configures a Writer.
 type WriterConfig struct {
-	// Log is the service.
+	// Log is the log service.
 	Log Log
 	// Stream is the stream to append to.
 	Stream string
-	// Interval is the least time between two appends; what comes meanwhile goes
-	// in one append together. Zero is DefaultInterval.
+	// Interval is the minimum time between two appends; records submitted in
+	// between are batched into one append. Zero means DefaultInterval.
 	Interval time.Duration
-	// Limit bounds the appends of several Writers together; nil bounds nothing.
+	// Limit is a rate limit on appends that several Writers may share; nil means
+	// no limit.
 	Limit *rate.Limiter
-	// Queue is how many records may wait; zero is DefaultQueue.
+	// Queue is the capacity of the queue, in records; zero means DefaultQueue.
 	Queue int
-	// MaxBytes bounds the content of one append; zero is DefaultMaxBytes.
+	// MaxBytes bounds the content of one append; zero means DefaultMaxBytes.
 	MaxBytes int
-	// Logger gets the Writer's events; its zero value drops them.
+	// Logger logs the Writer's events; the zero value discards them.
 	Logger logr.Logger
 }
 
-// Writer appends records to one stream, many in one append, and finds out what
-// became of an append whose answer was lost. Run is its duty.
+// Writer appends records to one stream in batches. When the response to an
+// append is lost, it reads the stream to find the outcome. Run does the work.
 type Writer struct {
-	cfg      WriterConfig
-	id       uuid.UUID
-	queue    *ring.Ring[*Pending]
-	last     time.Time
-	known    uint64
-	sequence uint64
-	appends  atomic.Uint64
+	cfg        WriterConfig
+	id         uuid.UUID
+	queue      *ring.Ring[*Pending]
+	lastAppend time.Time
+	searchFrom uint64
+	sequence   uint64
+	appends    atomic.Uint64
 
 	mu      sync.Mutex
 	stopped bool
 }
 
-// NewWriter returns a Writer for cfg. Nothing is written until Run.
+// NewWriter returns a Writer for cfg. It appends nothing until Run is called.
 func NewWriter(cfg WriterConfig) *Writer {
-	cfg.Interval = positive(cfg.Interval, DefaultInterval)
-	cfg.Queue = positive(cfg.Queue, DefaultQueue)
-	cfg.MaxBytes = positive(cfg.MaxBytes, DefaultMaxBytes)
+	cfg.Interval = positiveOr(cfg.Interval, DefaultInterval)
+	cfg.Queue = positiveOr(cfg.Queue, DefaultQueue)
+	cfg.MaxBytes = positiveOr(cfg.MaxBytes, DefaultMaxBytes)
 
 	return &Writer{cfg: cfg, id: uuid.New(), queue: ring.New[*Pending](cfg.Queue)}
 }
 
-// ID identifies this Writer in the envelopes of its records.
+// ID returns the ID of this Writer in the envelopes of its records.
 func (w *Writer) ID() uuid.UUID { return w.id }
 
-// Appends returns how many appends were sent to the service.
+// Appends returns the number of appends sent to the service, with retries.
 func (w *Writer) Appends() uint64 { return w.appends.Load() }
 
-// Append appends data and waits for its outcome: the offset, or an error that
-// is failure.OutcomeUnknown when the record may be or become part of the
-// stream, and any other kind when it never will. When ctx ends first, the
-// Writer goes on with a record whose outcome is unknown.
+// Append appends data and waits for the outcome: its offset or an error. After
+// an error of kind failure.OutcomeUnknown the record may be in the stream or
+// may still be appended; after any other error it was not and won't be. If ctx
+// ends while the record is being sent, the Writer keeps trying to append it.
 func (w *Writer) Append(ctx context.Context, data []byte) (uint64, error) {
 	p, err := w.Submit(data)
 	if err != nil {
@@ -101,25 +104,27 @@
 	}
 
 	if p.Cancel() {
-		return 0, failure.New(failure.LogUnavailable, "the record was not sent to the log in time")
+		return 0, failure.New(failure.LogUnavailable, "the call ended before the record was sent to the log")
 	}
 
 	select {
 	case <-p.Done():
 		return p.Offset()
 	default:
-		return 0, failure.New(failure.OutcomeUnknown, "it is not known yet whether the log took the record")
+		return 0, failure.New(failure.OutcomeUnknown, "the call ended before the outcome of the append was known")
 	}
 }
 
-// Submit queues data and returns at once. Records get into the stream in the
-// order of their submission. A full queue is failure.QueueFull.
+// Submit queues data without waiting for the outcome. Records are appended in
+// the order of their submission. The error is failure.QueueFull when the queue
+// is full, failure.TooLarge when data does not fit into one append, and
+// failure.LogUnavailable when the Writer has stopped.
 func (w *Writer) Submit(data []byte) (*Pending, error) {
 	return w.submit(envelope{Writer: w.id, Data: data})
 }
 
 func (w *Writer) submit(e envelope) (*Pending, error) {
-	if len(e.Data)+envelopeBytes > w.cfg.MaxBytes {
+	if len(e.Data)+maxEnvelopeBytes > w.cfg.MaxBytes {
 		return nil, failure.New(failure.TooLarge, "a record of %d bytes is too large for the log", len(e.Data))
 	}
 
@@ -132,31 +137,32 @@
 
 	p := &Pending{envelope: e, done: make(chan struct{})}
 	if !w.queue.Offer(p) {
-		return nil, failure.New(failure.QueueFull, "too many records wait for the log")
+		return nil, failure.New(failure.QueueFull, "the queue of records for the log is full")
 	}
 
 	return p, nil
 }
 
-// Run appends what is submitted until ctx ends. Records that then wait have
-// certainly not been appended; of those sent without an answer it stays unknown.
+// Run appends the submitted records until ctx ends. Records that are then still
+// queued certainly were not appended; for those sent without a response the
+// outcome stays unknown.
 func (w *Writer) Run(ctx context.Context) {
 	defer w.stop()
 
-	var rest *Pending
+	var overflow *Pending
 
 	for ctx.Err() == nil {
-		batch := w.collect(ctx, rest)
-		batch, rest = w.cut(batch)
+		batch := w.collect(ctx, overflow)
+		batch, overflow = w.splitOverflow(batch)
 		w.deliver(ctx, batch)
 	}
 
-	if rest != nil {
-		rest.resolve(0, failure.New(failure.LogUnavailable, "the writer has stopped"))
+	if overflow != nil {
+		overflow.resolve(0, failure.New(failure.LogUnavailable, "the writer has stopped"))
 	}
 }
 
-// stop refuses what waits and what comes later.
+// stop rejects the records in the queue and those submitted later.
 func (w *Writer) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,10 +175,10 @@
 	}
 }
 
-// collect waits for a record and for the next append to be due, and returns
-// what has come until then.
-func (w *Writer) collect(ctx context.Context, rest *Pending) []*Pending {
-	first := rest
+// collect waits for a record and until the next append is due, and returns the
+// records submitted until then, up to one more than fit into one append.
+func (w *Writer) collect(ctx context.Context, overflow *Pending) []*Pending {
+	first := overflow
 	if first == nil {
 		p, ok := w.queue.Take(ctx)
 		if !ok {
@@ -184,27 +190,28 @@
 
 	batch := []*Pending{first}
 
-	pause.For(ctx, time.Until(w.last.Add(w.cfg.Interval)))
+	pause.For(ctx, time.Until(w.lastAppend.Add(w.cfg.Interval)))
 
 	if w.cfg.Limit != nil {
 		_ = w.cfg.Limit.Wait(ctx)
 	}
 
-	size := first.size()
+	size := first.appendSize()
 	for w.queue.Len() > 0 && size <= w.cfg.MaxBytes {
 		p := <-w.queue.C()
-		size += p.size()
+		size += p.appendSize()
 		batch = append(batch, p)
 	}
 
 	return batch
 }
 
-// cut takes off the last record of batch when it makes the append too large.
-func (w *Writer) cut(batch []*Pending) ([]*Pending, *Pending) {
+// splitOverflow removes the last record from batch, and returns it separately,
+// if it makes the append too large.
+func (w *Writer) splitOverflow(batch []*Pending) ([]*Pending, *Pending) {
 	size := 0
 	for _, p := range batch {
-		size += p.size()
+		size += p.appendSize()
 	}
 
 	n := len(batch) - 1
@@ -215,31 +222,31 @@
 	return batch[:n], batch[n]
 }
 
-// deliver appends batch and tries until its outcome is known or ctx ends.
+// deliver appends batch with retries until its outcome is known or ctx ends.
 func (w *Writer) deliver(ctx context.Context, batch []*Pending) {
 	wait := newBackoff()
 
 	for {
-		batch = w.claim(batch)
+		batch = w.dropCancelled(batch)
 		if len(batch) == 0 {
 			return
 		}
 
-		offset, err := w.try(ctx, batch)
+		offset, err := w.appendOnce(ctx, batch)
 		if err == nil {
-			w.settle(batch, offset)
+			w.resolveBatch(batch, offset)
 
 			return
 		}
 
 		if failure.KindOf(err) == failure.TooLarge {
-			w.halve(ctx, batch, err)
+			w.deliverHalves(ctx, batch, err)
 
 			return
 		}
 
 		for _, p := range batch {
-			p.release()
+			p.endSending()
 		}
 
 		if !pause.For(ctx, wait.NextBackOff()) {
@@ -250,12 +257,13 @@
 	}
 }
 
-// claim marks the records of batch as being sent and drops those cancelled.
-func (w *Writer) claim(batch []*Pending) []*Pending {
+// dropCancelled removes the cancelled records from batch and marks the others as
+// being sent.
+func (w *Writer) dropCancelled(batch []*Pending) []*Pending {
 	kept := batch[:0]
 
 	for _, p := range batch {
-		if p.take() {
+		if p.startSending() {
 			kept = append(kept, p)
 		}
 	}
@@ -263,10 +271,11 @@
 	return kept
 }
 
-// try appends batch once. While the outcome of that is unknown it finds it out,
-// so that an error means that the batch was not appended or that ctx ended.
-func (w *Writer) try(ctx context.Context, batch []*Pending) (uint64, error) {
-	if err := w.learn(ctx); err != nil {
+// appendOnce appends batch so that it counts once. While the outcome is unknown
+// it looks the batch up in the stream and sends it again if it isn't there, so
+// that an error means that the batch was not appended or that ctx ended.
+func (w *Writer) appendOnce(ctx context.Context, batch []*Pending) (uint64, error) {
+	if err := w.findEnd(ctx); err != nil {
 		return 0, err
 	}
 
@@ -274,7 +283,7 @@
 
 	for {
 		offset, err := w.send(ctx, batch)
-		if !batch[0].tainted && (err == nil || failure.KindOf(err) != failure.OutcomeUnknown) {
+		if !batch[0].maybeAppended && (err == nil || failure.KindOf(err) != failure.OutcomeUnknown) {
 			return offset, err
 		}
 
@@ -282,11 +291,11 @@
 			event.Fail(w.cfg.Logger, err, event.JournalAppendUnknown, "stream", w.cfg.Stream, "records", len(batch))
 		}
 
-		// Also a success is looked up after a try of which nothing is known: that
-		// one may have come first, and the first is the one that counts.
-		taint(batch)
+		// After an attempt with an unknown outcome a success is looked up too: the
+		// earlier attempt may have been appended first, and the first one counts.
+		markMaybeAppended(batch)
 
-		offset, found, err := w.resolve(ctx, batch[0].envelope.Sequence)
+		offset, found, err := w.lookUp(ctx, batch[0].envelope.Sequence)
 		if err != nil {
 			return 0, err
 		}
@@ -298,15 +307,15 @@
 		}
 
 		if !pause.For(ctx, wait.NextBackOff()) {
-			return 0, failure.New(failure.OutcomeUnknown, "the writer stopped before it knew")
+			return 0, failure.New(failure.OutcomeUnknown, "the writer stopped before the outcome of an append was known")
 		}
 	}
 }
 
-// learn finds the end of the stream before the first append, so that a lost
-// answer can be looked for from there on.
-func (w *Writer) learn(ctx context.Context) error {
-	if w.known > 0 {
+// findEnd finds the end of the stream before the first append, so that an append
+// whose response is lost can be looked up from there on.
+func (w *Writer) findEnd(ctx context.Context) error {
+	if w.searchFrom > 0 {
 		return nil
 	}
 
@@ -318,15 +327,16 @@
 	}
 
 	if err != nil {
-		return failure.Wrap(failure.LogUnavailable, err, "the end of the stream is not known")
+		return failure.Wrap(failure.LogUnavailable, err, "the end of the stream could not be read")
 	}
 
-	w.known = max(b.Next, 1)
+	w.searchFrom = max(b.Next, 1)
 
 	return nil
 }
 
-// send makes the call. A record keeps the number that it gets here.
+// send sends batch to the service. Each record gets its sequence number when it
+// is first sent and keeps it in retries.
 func (w *Writer) send(ctx context.Context, batch []*Pending) (uint64, error) {
 	records := make([][]byte, len(batch))
 
@@ -336,26 +346,27 @@
 			p.envelope.Sequence = w.sequence
 		}
 
-		records[i] = seal(p.envelope)
+		records[i] = encodeEnvelope(p.envelope)
 	}
 
-	w.last = time.Now()
+	w.lastAppend = time.Now()
 	w.appends.Add(1)
 
 	return w.cfg.Log.Append(ctx, w.cfg.Stream, records)
 }
 
-// resolve reads on from the last offset known until it finds the record with
-// this sequence number or the end of the stream.
+// lookUp reads from searchFrom until it finds the record with this sequence
+// number or reaches the end of the stream. It reports whether it found the
+// record.
 //
-// A record that isn't there may still arrive later, when the service carries
-// out late what it took. Sending it again is safe all the same: it bears the
-// same number, and readers drop the second one.
-func (w *Writer) resolve(ctx context.Context, sequence uint64) (uint64, bool, error) {
+// A record that isn't there may still be appended later, when the service
+// carries out an append late. Sending it again is safe all the same: it has the
+// same sequence number, and readers drop the second copy.
+func (w *Writer) lookUp(ctx context.Context, sequence uint64) (uint64, bool, error) {
 	wait := newBackoff()
 
-	for from := w.known; ; {
-		b, err := w.cfg.Log.Read(ctx, w.cfg.Stream, from, readMost, 0)
+	for from := w.searchFrom; ; {
+		b, err := w.cfg.Log.Read(ctx, w.cfg.Stream, from, maxReadRecords, 0)
 
 		var trimmed *TrimmedError
 
@@ -366,14 +377,14 @@
 			continue
 		case err != nil:
 			if !pause.For(ctx, wait.NextBackOff()) {
-				return 0, false, failure.Wrap(failure.OutcomeUnknown, err, "the writer stopped before it knew")
+				return 0, false, failure.Wrap(failure.OutcomeUnknown, err, "the writer stopped before the outcome of an append was known")
 			}
 
 			continue
 		}
 
 		for _, r := range b.Records {
-			e, err := open(r.Data)
+			e, err := decodeEnvelope(r.Data)
 			if err == nil && e.Writer == w.id && e.Sequence == sequence {
 				return r.Offset, true, nil
 			}
@@ -387,17 +398,18 @@
 	}
 }
 
-// settle tells the records of batch their offsets.
-func (w *Writer) settle(batch []*Pending, offset uint64) {
-	w.known = max(w.known, offset+uint64(len(batch)))
+// resolveBatch sets the offsets of the records of batch.
+func (w *Writer) resolveBatch(batch []*Pending, offset uint64) {
+	w.searchFrom = max(w.searchFrom, offset+uint64(len(batch)))
 
 	for i, p := range batch {
 		p.resolve(offset+uint64(i), nil)
 	}
 }
 
-// halve sends in two parts what is too large for the service in one.
-func (w *Writer) halve(ctx context.Context, batch []*Pending, err error) {
+// deliverHalves delivers in two halves a batch that the service rejected as too
+// large. A single record that is too large gets err.
+func (w *Writer) deliverHalves(ctx context.Context, batch []*Pending, err error) {
 	if len(batch) == 1 {
 		batch[0].resolve(0, err)
 
@@ -405,7 +417,7 @@
 	}
 
 	for _, p := range batch {
-		p.release()
+		p.endSending()
 	}
 
 	n := len(batch) / 2
@@ -413,27 +425,27 @@
 	w.deliver(ctx, batch[n:])
 }
 
-// abandon resolves what the Writer can't bring to an end because it stops.
+// abandon resolves the records that were not delivered when the Writer stops.
 func abandon(batch []*Pending, err error) {
 	for _, p := range batch {
-		if p.tainted {
-			p.resolve(0, failure.Wrap(failure.OutcomeUnknown, err, "the writer stopped before it knew"))
+		if p.maybeAppended {
+			p.resolve(0, failure.Wrap(failure.OutcomeUnknown, err, "the writer stopped before the outcome of an append was known"))
 		} else {
 			p.resolve(0, failure.Wrap(failure.LogUnavailable, err, "the writer has stopped"))
 		}
 	}
 }
 
-func taint(batch []*Pending) {
+func markMaybeAppended(batch []*Pending) {
 	for _, p := range batch {
-		p.tainted = true
+		p.maybeAppended = true
 	}
 }
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstBackoff
-	b.MaxInterval = lastBackoff
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 
 	return b
 }
