--- a/message/codec.go
+++ b/message/codec.go
@@ -10,14 +10,14 @@
 	"boragehub/failure"
 )
 
-// MaxFrame is the largest frame that any process reads, in bytes.
+// MaxFrame is the maximum size of a frame's body, in bytes.
 const MaxFrame = 8 << 20
 
 const headerSize = 6
 
-// mode refuses what a peer has no business sending: duplicate keys, endless
-// lengths and deep nesting would cost memory before they are noticed.
-var mode = func() cbor.DecMode {
+// decMode rejects input that no peer sends in normal operation: duplicate keys,
+// indefinite lengths and deep nesting would use memory before they are detected.
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
@@ -32,15 +32,16 @@
 	return m
 }()
 
-// Write writes m as one frame.
+// Write writes m to w as one frame. The error is failure.TooLarge when the body
+// exceeds MaxFrame.
 func Write[M Message](w io.Writer, m M) error {
 	body, err := cbor.Marshal(m)
 	if err != nil {
-		return failure.Wrap(failure.Internal, err, "a message could not be encoded")
+		return failure.Wrap(failure.Internal, err, "failed to encode a message")
 	}
 
 	if len(body) > MaxFrame {
-		return failure.New(failure.TooLarge, "a message of %d bytes is over %d", len(body), MaxFrame)
+		return failure.New(failure.TooLarge, "a message of %d bytes exceeds the maximum of %d bytes", len(body), MaxFrame)
 	}
 
 	frame := make([]byte, headerSize, headerSize+len(body))
@@ -53,7 +54,9 @@
 	return err
 }
 
-// Read reads one frame. An end before the first byte is io.EOF.
+// Read reads one frame and decodes its message. The error is io.EOF when r ends
+// before the first byte and io.ErrUnexpectedEOF when it ends within the header;
+// the package comment lists the errors of invalid frames.
 func Read(r io.Reader) (Message, error) {
 	var header [headerSize]byte
 
@@ -62,80 +65,80 @@
 	}
 
 	if header[4] != Version {
-		return nil, failure.New(failure.ProtocolMismatch, "the peer speaks message version %d, this process %d", header[4], Version)
+		return nil, failure.New(failure.ProtocolMismatch, "the peer uses protocol version %d, this process version %d", header[4], Version)
 	}
 
 	n := binary.BigEndian.Uint32(header[:])
 	if n > MaxFrame {
-		return nil, failure.New(failure.BadMessage, "a frame of %d bytes is over %d", n, MaxFrame)
+		return nil, failure.New(failure.BadMessage, "a frame of %d bytes exceeds the maximum of %d bytes", n, MaxFrame)
 	}
 
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, failure.Wrap(failure.BadMessage, err, "a frame was cut")
+		return nil, failure.Wrap(failure.BadMessage, err, "a frame is incomplete")
 	}
 
 	return decode(Type(header[5]), body)
 }
 
-// decoders is indexed by Type.
+// decoders holds the decoder of each Type, by its number.
 var decoders = [...]func([]byte) (Message, error){
-	TypeBeat:     into[Beat],
-	TypeRun:      into[Run],
-	TypeToken:    into[Token],
-	TypeDone:     into[Done],
-	TypeRefused:  into[Refused],
-	TypeCall:     into[Call],
-	TypeReply:    into[Reply],
-	TypeLocate:   into[Locate],
-	TypeLocated:  into[Located],
-	TypeLearn:    into[Learn],
-	TypeAck:      into[Ack],
-	TypeAsk:      into[Ask],
-	TypeState:    into[State],
-	TypeFetch:    into[Fetch],
-	TypeSettings: into[Settings],
-	TypeCrashed:  into[Crashed],
-	TypeOrder:    into[Order],
-	TypeView:     into[View],
-	TypeViewed:   into[Viewed],
-	TypeImported: into[Imported],
+	TypeBeat:     decodeAs[Beat],
+	TypeRun:      decodeAs[Run],
+	TypeToken:    decodeAs[Token],
+	TypeDone:     decodeAs[Done],
+	TypeRefused:  decodeAs[Refused],
+	TypeCall:     decodeAs[Call],
+	TypeReply:    decodeAs[Reply],
+	TypeLocate:   decodeAs[Locate],
+	TypeLocated:  decodeAs[Located],
+	TypeLearn:    decodeAs[Learn],
+	TypeAck:      decodeAs[Ack],
+	TypeAsk:      decodeAs[Ask],
+	TypeState:    decodeAs[State],
+	TypeFetch:    decodeAs[Fetch],
+	TypeSettings: decodeAs[Settings],
+	TypeCrashed:  decodeAs[Crashed],
+	TypeOrder:    decodeAs[Order],
+	TypeView:     decodeAs[View],
+	TypeViewed:   decodeAs[Viewed],
+	TypeImported: decodeAs[Imported],
 }
 
 func decode(t Type, body []byte) (Message, error) {
 	if int(t) >= len(decoders) || decoders[t] == nil {
-		return nil, failure.New(failure.BadMessage, "message type %d is not known", t)
+		return nil, failure.New(failure.BadMessage, "unknown message type %d", t)
 	}
 
 	return decoders[t](body)
 }
 
-func into[M Message](body []byte) (Message, error) {
+func decodeAs[M Message](body []byte) (Message, error) {
 	var m M
-	if err := mode.Unmarshal(body, &m); err != nil {
-		return nil, failure.Wrap(failure.BadMessage, err, "a message could not be decoded")
+	if err := decMode.Unmarshal(body, &m); err != nil {
+		return nil, failure.Wrap(failure.BadMessage, err, "failed to decode a message")
 	}
 
 	return m, nil
 }
 
-// Expect returns m as an M. A Refused becomes its error, any other message
-// failure.BadMessage.
+// Expect returns m as an M. If m is a Refused, it returns the error from the
+// peer; for any other message it returns failure.BadMessage.
 func Expect[M Message](m Message) (M, error) {
-	if want, ok := m.(M); ok {
-		return want, nil
+	if typed, ok := m.(M); ok {
+		return typed, nil
 	}
 
-	var none M
+	var zero M
 
 	if r, ok := m.(Refused); ok {
-		return none, r.Err()
+		return zero, r.Err()
 	}
 
-	return none, failure.New(failure.BadMessage, "message type %d came where %d was due", m.Type(), none.Type())
+	return zero, failure.New(failure.BadMessage, "got message type %d, expected type %d", m.Type(), zero.Type())
 }
 
-// Err returns the error that r tells of.
+// Err returns the error that r reports, with its retry delay.
 func (r Refused) Err() error {
 	after := time.Duration(r.RetryAfterMS) * time.Millisecond
 
--- a/message/message_test.go
+++ b/message/message_test.go
@@ -12,7 +12,7 @@
 	"boragehub/quarantine"
 )
 
-func all() []Message {
+func allMessages() []Message {
 	return []Message{
 		Beat{}, Run{RequestID: "r", Prompt: "p", Copies: []Holding{{Holder: "s", Blocks: 3}}}, Token{Index: 7, Text: "t"},
 		Done{Tokens: 8, Finish: "stop"}, Refused{Kind: failure.Draining, Text: "leaving"}, Call{Method: "POST", Body: []byte("b")},
@@ -22,7 +22,7 @@
 	}
 }
 
-func frame(t testing.TB, m Message) []byte {
+func encodeFrame(t testing.TB, m Message) []byte {
 	t.Helper()
 
 	var b bytes.Buffer
@@ -34,22 +34,23 @@
 }
 
 func TestEveryMessageReturnsAsItWas(t *testing.T) {
-	for _, want := range all() {
-		got, err := Read(bytes.NewReader(frame(t, want)))
+	for _, want := range allMessages() {
+		got, err := Read(bytes.NewReader(encodeFrame(t, want)))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("type %d: got %+v %v, want %+v", want.Type(), got, err, want)
 		}
 	}
 
-	if got, want := len(all()), len(decoders)-1; got != want {
-		t.Errorf("messages tried: got %d, want %d", got, want)
+	if got, want := len(allMessages()), len(decoders)-1; got != want {
+		t.Errorf("messages tested: got %d, want %d", got, want)
 	}
 }
 
-// A release with another protocol version dials in. If its frames were decoded
-// all the same, a field could change its meaning and a caller get a wrong answer.
+// A release with another protocol version connects. If its frames were decoded
+// all the same, a field could have another meaning and a caller get a wrong
+// response.
 func TestAnotherVersionIsRefused(t *testing.T) {
-	b := frame(t, Ack{})
+	b := encodeFrame(t, Ack{})
 	b[4] = Version + 1
 
 	_, err := Read(bytes.NewReader(b))
@@ -58,11 +59,12 @@
 	}
 }
 
-// A peer dies in the middle of a frame or sends noise. Nothing but an error may
-// come of it: a part of a message must never pass for a whole one.
+// A peer crashes in the middle of a frame, or a frame is corrupted. Truncation
+// must give an error: a part of a message must never be taken for a complete one.
+// A corrupted byte must give no other error than these two kinds.
 func TestCutAndAlteredFramesGiveErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		messages := all()
+		messages := allMessages()
 		b := bytes.NewBuffer(nil)
 		m := messages[rapid.IntRange(0, len(messages)-1).Draw(t, "message")]
 
@@ -70,20 +72,20 @@
 			t.Fatal(err)
 		}
 
-		whole := b.Bytes()
-		cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut")
+		encoded := b.Bytes()
+		cut := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 
-		if got, err := Read(bytes.NewReader(whole[:cut])); err == nil {
-			t.Fatalf("cut at %d of %d: got %+v, want an error", cut, len(whole), got)
+		if got, err := Read(bytes.NewReader(encoded[:cut])); err == nil {
+			t.Fatalf("truncated to %d of %d bytes: got %+v, want an error", cut, len(encoded), got)
 		}
 
-		at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
-		whole[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		at := rapid.IntRange(0, len(encoded)-1).Draw(t, "at")
+		encoded[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 
-		if _, err := Read(bytes.NewReader(whole)); err != nil {
+		if _, err := Read(bytes.NewReader(encoded)); err != nil {
 			kind := failure.KindOf(err)
 			if kind != failure.BadMessage && kind != failure.ProtocolMismatch {
-				t.Fatalf("altered at %d: got kind %v", at, kind)
+				t.Fatalf("altered at byte %d: got error kind %v", at, kind)
 			}
 		}
 	})
