--- a/link/link.go
+++ b/link/link.go
@@ -1,18 +1,20 @@
-// Package link keeps what is promised on the links between data centres.
+// Package link schedules the transfers on the links between data centres.
 //
 // # Model
 //
-// A Link carries one transfer at a time at its whole rate. Each transfer has a
-// Window, its slot in time. Imports come first: a caller waits for them. Exports
-// take what time imports leave and are moved back when a new import needs their
-// slot. Within a class the organisation that was given the
-// fewest bytes for its share goes first. A transfer that has begun keeps its
-// slot until it is done, so long ones are cut into chunks by ReserveChunks.
+// A Link carries one transfer at a time at its full rate. Each transfer reserves
+// a Window, its time slot. Imports go first, because callers wait for them.
+// Exports use the time that imports leave and are postponed when a new import
+// needs their slot. Within a class and rank the link is shared by start-time
+// fair queueing: the organisation with the fewest bytes reserved in proportion
+// to its share goes first. A transfer that has started keeps its slot until it
+// is done, so ReserveChunks splits long transfers.
 //
-// Estimates are wrong: a transfer that ends early frees the rest of its slot,
-// and one that lasts longer pushes the others back, until it is given up as
-// lost. The rate is measured on each transfer that is done; what was measured
-// counts less as it ages, so that a link which was slow is tried again. Whoever holds a window asks Window for where it stands now.
+// Slots are estimates. A transfer that ends early releases the rest of its slot,
+// and one that takes longer delays the others until it is regarded as lost. The
+// rate is measured with each transfer that is done. The weight of a measurement
+// decays with its age, so that a link that was slow is used again. The slot of a
+// window can thus change at any time; Link.Window returns the current one.
 //
 //	l := link.New(link.Config{BytesPerSecond: 1.25e9})
 //	w, ok := l.Reserve(now, link.Request{Bytes: 200 << 20, Class: link.Import, Organisation: "a"})
@@ -25,12 +27,12 @@
 	"time"
 )
 
-// Class orders transfers on a link. The zero Class is Import.
+// Class is the priority class of a transfer. The zero Class is Import.
 type Class uint8
 
-// The classes, the most pressing first.
+// The classes, the most urgent first.
 const (
-	// Import brings a context to an engine while its caller waits.
+	// Import copies a context to an engine while the caller waits.
 	Import Class = iota
 	// Export copies a context from an engine before it is evicted.
 	Export
@@ -43,117 +45,121 @@
 
 // Config describes a Link. Zero fields take their defaults.
 type Config struct {
-	// BytesPerSecond is the rate of the link at its best; 1.25 GB/s when zero.
+	// BytesPerSecond is the maximum rate of the link; 1.25 GB/s when zero.
 	BytesPerSecond float64
-	// Latency is added to each transfer.
+	// Latency is added to the time of each transfer.
 	Latency time.Duration
-	// MaxWindows bounds the transfers promised at once; 256 when zero.
+	// MaxWindows bounds the windows reserved at the same time; 256 when zero.
 	MaxWindows int
-	// ChunkBytes is the most that ReserveChunks puts into one window; 1 GiB when zero.
+	// ChunkBytes is the maximum size of a chunk of ReserveChunks; 1 GiB when zero.
 	ChunkBytes int64
-	// Measurable is the least transfer from which the rate is learned; 8 MiB when zero.
+	// Measurable is the minimum size of a transfer by which the rate is measured,
+	// in bytes; 8 MiB when zero.
 	Measurable int64
-	// Overrun is how long after its usual length a transfer that was not reported
-	// done keeps its slot, as a part of that length; 2 when zero.
+	// Overrun is how much longer than expected a transfer may take before it is
+	// regarded as lost, as a multiple of the expected time; 2 when zero.
 	Overrun float64
 }
 
-// The defaults of Config.
+// The default values of Config.
 const (
-	defaultRate    = 1.25e9
-	defaultWindows = 256
-	defaultChunk   = 1 << 30
-	defaultOverrun = 2
-	defaultLeast   = 8 << 20
+	defaultRate       = 1.25e9
+	defaultMaxWindows = 256
+	defaultChunkBytes = 1 << 30
+	defaultOverrun    = 2
+	defaultMeasurable = 8 << 20
 )
 
-// Request asks for a window.
+// Request describes a transfer for which to reserve a window.
 type Request struct {
-	// Bytes is the size of the transfer.
+	// Bytes is the size of the transfer in bytes.
 	Bytes int64
-	// Class orders it.
+	// Class is the priority class of the transfer.
 	Class Class
-	// Rank orders it within its class, the lower the sooner.
+	// Rank orders transfers within a class; lower ranks go first.
 	Rank int
-	// Organisation is whose context it is.
+	// Organisation is the organisation that the context belongs to.
 	Organisation string
-	// Share is the organisation's weight; 1 when zero.
+	// Share is the organisation's weight in fair queueing; 1 when zero.
 	Share float64
-	// Latest is the latest useful end, from now; zero means any.
-	Latest time.Duration
+	// MaxEnd is the maximum time from now to the end of the window; zero means no
+	// maximum.
+	MaxEnd time.Duration
 }
 
-// Window is the slot of one transfer.
+// Window is the reserved time slot of one transfer.
 type Window struct {
-	// ID identifies the window on its link; it starts at 1.
+	// ID identifies the window on its link; the first is 1.
 	ID uint64
-	// Class and Rank are those asked for.
+	// Class and Rank are those of the Request.
 	Class Class
 	Rank  int
-	// Organisation is whose context it is.
+	// Organisation is the organisation that the context belongs to.
 	Organisation string
-	// Bytes is the size of the transfer.
+	// Bytes is the size of the transfer in bytes.
 	Bytes int64
-	// Start and End bound the slot.
+	// Start and End are the bounds of the slot.
 	Start, End time.Time
 
-	// order is the virtual time by which windows of a class are ordered.
-	order float64
+	// virtualStart is the virtual time, in bytes per share, by which the windows
+	// of a class and rank are ordered.
+	virtualStart float64
 }
 
-// Length returns the length of the slot.
-func (w Window) Length() time.Duration { return w.End.Sub(w.Start) }
+// Duration returns the length of the slot.
+func (w Window) Duration() time.Duration { return w.End.Sub(w.Start) }
 
-// Link is one direction between two data centres. Use New. It is not safe for
-// concurrent use.
+// Link is the link from one data centre to another, in one direction. Use New.
+// It is not safe for concurrent use.
 type Link struct {
-	cfg        Config
-	windows    []Window // in order of Start, without overlaps
-	last       uint64
-	virtual    float64
-	rate       float64 // as of the last call
-	shortfall  float64 // how far below its best the rate was measured
-	measuredAt time.Time
-	given      map[string]float64 // the order of each organisation's last window
-	free       time.Time          // when the last import promised ends
+	cfg         Config
+	windows     []Window // in order of Start, without overlaps
+	lastID      uint64
+	virtualTime float64
+	rate        float64 // as of the last call of advance
+	rateDeficit float64 // the maximum rate less the measured rate, as of measuredAt
+	measuredAt  time.Time
+	virtualEnds map[string]float64 // the virtual end of each organisation's last window
+	importsEnd  time.Time          // when the running transfer and the last reserved import end
 }
 
-// New returns a Link with nothing promised.
+// New returns a Link without windows.
 func New(cfg Config) *Link {
 	if cfg.BytesPerSecond <= 0 {
 		cfg.BytesPerSecond = defaultRate
 	}
 
 	if cfg.MaxWindows <= 0 {
-		cfg.MaxWindows = defaultWindows
+		cfg.MaxWindows = defaultMaxWindows
 	}
 
 	if cfg.ChunkBytes <= 0 {
-		cfg.ChunkBytes = defaultChunk
+		cfg.ChunkBytes = defaultChunkBytes
 	}
 
 	if cfg.Measurable <= 0 {
-		cfg.Measurable = defaultLeast
+		cfg.Measurable = defaultMeasurable
 	}
 
 	if cfg.Overrun <= 0 {
 		cfg.Overrun = defaultOverrun
 	}
 
-	return &Link{cfg: cfg, rate: cfg.BytesPerSecond, given: map[string]float64{}}
+	return &Link{cfg: cfg, rate: cfg.BytesPerSecond, virtualEnds: map[string]float64{}}
 }
 
-// Len returns the number of windows promised.
+// Len returns the number of windows reserved.
 func (l *Link) Len() int { return len(l.windows) }
 
-// Windows appends the windows promised to dst in order of their start.
+// Windows appends the reserved windows to dst in order of their start.
 func (l *Link) Windows(dst []Window) []Window { return append(dst, l.windows...) }
 
-// Window returns where window id stands now, and whether it is still promised.
+// Window returns window id with its current slot, and whether it is still
+// reserved.
 func (l *Link) Window(now time.Time, id uint64) (Window, bool) {
-	l.settle(now)
+	l.advance(now)
 
-	i := l.find(id)
+	i := l.indexOf(id)
 	if i < 0 {
 		return Window{}, false
 	}
@@ -161,46 +167,46 @@
 	return l.windows[i], true
 }
 
-// Rate returns the rate of the link in bytes a second as it was measured; the
-// older the measurement, the nearer to the link's best.
+// Rate returns the estimated rate of the link in bytes per second. It is the
+// measured rate, and approaches the maximum rate as the measurement ages.
 func (l *Link) Rate(now time.Time) float64 {
-	if l.shortfall == 0 {
+	if l.rateDeficit == 0 {
 		return l.cfg.BytesPerSecond
 	}
 
 	age := max(now.Sub(l.measuredAt), 0)
 
-	return l.cfg.BytesPerSecond - l.shortfall*math.Exp2(-float64(age)/float64(rateHalfLife))
+	return l.cfg.BytesPerSecond - l.rateDeficit*math.Exp2(-float64(age)/float64(rateHalfLife))
 }
 
-// The way in which the rate is measured.
+// The parameters of the rate measurement.
 const (
-	// rateHalfLife is after how long a measurement counts half.
+	// rateHalfLife is the time after which the weight of a measurement halves.
 	rateHalfLife = 20 * time.Second
-	// rateWeight is the weight of one transfer against those before.
+	// rateWeight is the weight of the newest transfer against the earlier ones.
 	rateWeight = 0.5
 )
 
-// measure learns the rate from a transfer of bytes that took so long.
-func (l *Link) measure(now time.Time, bytes int64, took time.Duration) {
+// measureRate updates the rate with a transfer of this size and duration.
+func (l *Link) measureRate(now time.Time, bytes int64, took time.Duration) {
 	took -= l.cfg.Latency
 	if bytes < l.cfg.Measurable || took <= 0 {
 		return
 	}
 
-	before := l.Rate(now)
-	seen := min(float64(bytes)/took.Seconds(), l.cfg.BytesPerSecond)
-	l.shortfall = l.cfg.BytesPerSecond - (before + rateWeight*(seen-before))
+	previous := l.Rate(now)
+	measured := min(float64(bytes)/took.Seconds(), l.cfg.BytesPerSecond)
+	l.rateDeficit = l.cfg.BytesPerSecond - (previous + rateWeight*(measured-previous))
 	l.measuredAt = now
 }
 
-// Wait returns how long a new import would wait for the transfer that runs and
-// the imports that are promised.
+// Wait returns how long a new import would wait for the running transfer and the
+// reserved imports.
 func (l *Link) Wait(now time.Time) time.Duration {
-	return max(l.free.Sub(now), 0)
+	return max(l.importsEnd.Sub(now), 0)
 }
 
-// Backlog returns how long the transfers of all classes that are promised still take.
+// Backlog returns the time until the reserved transfers of all classes end.
 func (l *Link) Backlog(now time.Time) time.Duration {
 	if len(l.windows) == 0 {
 		return 0
@@ -209,43 +215,43 @@
 	return max(l.windows[len(l.windows)-1].End.Sub(now), 0)
 }
 
-// Estimate returns the time from now until an import of bytes would be over.
+// Estimate returns the time from now until a new import of this size would end.
 func (l *Link) Estimate(now time.Time, bytes int64) time.Duration {
-	return l.Wait(now) + l.length(bytes)
+	return l.Wait(now) + l.transferTime(bytes)
 }
 
-// Reserve promises a window, and reports false when the link has too many or
-// the window would end after q.Latest.
+// Reserve reserves a window. It reports false when the link has MaxWindows
+// already or the window would end after q.MaxEnd.
 func (l *Link) Reserve(now time.Time, q Request) (Window, bool) {
-	l.settle(now)
+	l.advance(now)
 
 	if len(l.windows) >= l.cfg.MaxWindows {
 		return Window{}, false
 	}
 
-	w := Window{ID: l.last + 1, Class: q.Class, Rank: q.Rank, Organisation: q.Organisation, Bytes: q.Bytes, Start: now}
-	w.End = now.Add(l.length(q.Bytes))
-	w.order = l.tag(q)
-	begun := l.begun(now)
+	w := Window{ID: l.lastID + 1, Class: q.Class, Rank: q.Rank, Organisation: q.Organisation, Bytes: q.Bytes, Start: now}
+	w.End = now.Add(l.transferTime(q.Bytes))
+	w.virtualStart = l.virtualStartOf(q)
+	started := l.startedCount(now)
 	l.windows = append(l.windows, w)
-	l.lay(now, begun)
+	l.schedule(now, started)
 
-	w = l.windows[l.find(w.ID)]
-	if q.Latest > 0 && w.End.Sub(now) > q.Latest {
-		l.drop(now, w.ID)
+	w = l.windows[l.indexOf(w.ID)]
+	if q.MaxEnd > 0 && w.End.Sub(now) > q.MaxEnd {
+		l.remove(now, w.ID)
 		return Window{}, false
 	}
 
-	l.last = w.ID
-	l.given[q.Organisation] = w.order + l.weighed(q)
+	l.lastID = w.ID
+	l.virtualEnds[q.Organisation] = w.virtualStart + l.virtualDuration(q)
 
 	return w, true
 }
 
-// ReserveChunks promises a window for each chunk of a transfer and appends their
-// ids to dst. A more pressing transfer goes between two chunks and so need not
-// wait for the whole of a long one. Chunks for which there is no window left are
-// sent when those before them are done.
+// ReserveChunks reserves a window for each chunk of a transfer and appends the
+// IDs to dst. A more urgent transfer can go between two chunks, so that it need
+// not wait for the end of a long one. It stops at the first chunk that gets no
+// window; the caller sends the rest once the earlier chunks are done.
 func (l *Link) ReserveChunks(now time.Time, q Request, dst []uint64) []uint64 {
 	for left := q.Bytes; left > 0; left -= l.cfg.ChunkBytes {
 		q.Bytes = min(left, l.cfg.ChunkBytes)
@@ -261,31 +267,33 @@
 	return dst
 }
 
-// Chunk returns the most that ReserveChunks puts into one window, in bytes.
+// Chunk returns the maximum size of a chunk of ReserveChunks, in bytes.
 func (l *Link) Chunk() int64 { return l.cfg.ChunkBytes }
 
-// Done ends window id after the given bytes came over; others move forward.
+// Done ends window id after a transfer of this size, by which it measures the
+// rate. Later windows move forward.
 func (l *Link) Done(now time.Time, id uint64, bytes int64) {
-	if i := l.find(id); i >= 0 {
-		l.measure(now, bytes, now.Sub(l.windows[i].Start))
+	if i := l.indexOf(id); i >= 0 {
+		l.measureRate(now, bytes, now.Sub(l.windows[i].Start))
 	}
 
 	l.Cancel(now, id)
 }
 
-// Cancel gives window id back, whether or not it has begun; others move forward.
+// Cancel releases window id, whether or not it has started. Later windows move
+// forward.
 func (l *Link) Cancel(now time.Time, id uint64) {
-	l.settle(now)
-	l.drop(now, id)
+	l.advance(now)
+	l.remove(now, id)
 }
 
-// tag returns the virtual time at which q is served: behind the organisation's
-// own last window, though not in the past.
-func (l *Link) tag(q Request) float64 {
-	return max(l.virtual, l.given[q.Organisation])
+// virtualStartOf returns the virtual start time of q: the virtual end of the
+// organisation's last window, but no earlier than the current virtual time.
+func (l *Link) virtualStartOf(q Request) float64 {
+	return max(l.virtualTime, l.virtualEnds[q.Organisation])
 }
 
-func (l *Link) weighed(q Request) float64 {
+func (l *Link) virtualDuration(q Request) float64 {
 	share := q.Share
 	if share <= 0 {
 		share = 1
@@ -294,33 +302,33 @@
 	return float64(q.Bytes) / share
 }
 
-func (l *Link) length(bytes int64) time.Duration {
+func (l *Link) transferTime(bytes int64) time.Duration {
 	seconds := float64(max(bytes, 0)) / l.rate
 
 	return l.cfg.Latency + time.Duration(math.Ceil(seconds*float64(time.Second)))
 }
 
-func (l *Link) find(id uint64) int {
+func (l *Link) indexOf(id uint64) int {
 	return slices.IndexFunc(l.windows, func(w Window) bool { return w.ID == id })
 }
 
-func (l *Link) drop(now time.Time, id uint64) {
-	i := l.find(id)
+func (l *Link) remove(now time.Time, id uint64) {
+	i := l.indexOf(id)
 	if i < 0 {
 		return
 	}
 
-	begun := l.begun(now)
+	started := l.startedCount(now)
 	if i == 0 {
-		begun = 0
+		started = 0
 	}
 
 	l.windows = slices.Delete(l.windows, i, i+1)
-	l.lay(now, begun)
+	l.schedule(now, started)
 }
 
-// begun returns how many windows have begun: the first one or none.
-func (l *Link) begun(now time.Time) int {
+// startedCount returns the number of windows that have started: one or none.
+func (l *Link) startedCount(now time.Time) int {
 	if len(l.windows) == 0 || l.windows[0].Start.After(now) {
 		return 0
 	}
@@ -328,87 +336,89 @@
 	return 1
 }
 
-// settle brings the windows up to now. The first one keeps its slot until it is
-// reported done, or until Overrun is over: it is then lost, because otherwise a
-// holder that died would block the link for ever.
-func (l *Link) settle(now time.Time) {
-	var free time.Time
+// advance updates the windows to time now. The first one keeps its slot until it
+// is done or cancelled, or until it exceeds Overrun. It is then regarded as lost
+// and removed; otherwise a crashed process would block the link for ever.
+func (l *Link) advance(now time.Time) {
+	var lastEnd time.Time
 
 	l.rate = l.Rate(now)
 
 	for len(l.windows) > 0 {
 		w := &l.windows[0]
-		w.Start = later(w.Start, free)
+		w.Start = later(w.Start, lastEnd)
 
 		if w.Start.After(now) {
 			break
 		}
 
-		l.virtual = max(l.virtual, w.order)
-		whole := l.length(w.Bytes)
-		lost := w.Start.Add(whole + time.Duration(l.cfg.Overrun*float64(whole)))
+		l.virtualTime = max(l.virtualTime, w.virtualStart)
+		expected := l.transferTime(w.Bytes)
+		lostAt := w.Start.Add(expected + time.Duration(l.cfg.Overrun*float64(expected)))
 
-		if !now.After(lost) {
-			l.extend(now, w)
+		if !now.After(lostAt) {
+			l.extendOverdue(now, w)
 			break
 		}
 
-		free = lost
+		lastEnd = lostAt
 		l.windows = slices.Delete(l.windows, 0, 1)
 	}
 
-	l.lay(now, l.begun(now))
+	l.schedule(now, l.startedCount(now))
 
 	if len(l.windows) == 0 {
-		clear(l.given)
+		clear(l.virtualEnds)
 
-		l.virtual = 0
+		l.virtualTime = 0
 	}
 }
 
-// extend gives a transfer that is late another part of its length.
-func (l *Link) extend(now time.Time, w *Window) {
-	const part = 4
+// extendOverdue extends the slot of w to its expected time, or, if that has
+// passed, to a quarter of the expected time from now.
+func (l *Link) extendOverdue(now time.Time, w *Window) {
+	const divisor = 4
 
-	whole := l.length(w.Bytes)
-	w.End = later(w.End, w.Start.Add(whole))
+	expected := l.transferTime(w.Bytes)
+	w.End = later(w.End, w.Start.Add(expected))
 
 	if !w.End.After(now) {
-		w.End = now.Add(whole/part + 1)
+		w.End = now.Add(expected/divisor + 1)
 	}
 }
 
-// lay places the windows behind the first begun ones anew, by class and order.
-func (l *Link) lay(now time.Time, begun int) {
-	free := now
-	for i := range begun {
-		free = later(free, l.windows[i].End)
+// schedule assigns new slots to the windows after the started ones, in the order
+// of compareWindows.
+func (l *Link) schedule(now time.Time, started int) {
+	nextStart := now
+	for i := range started {
+		nextStart = later(nextStart, l.windows[i].End)
 	}
 
-	l.free = free
-	rest := l.windows[begun:]
-	slices.SortStableFunc(rest, compare)
+	l.importsEnd = nextStart
+	rest := l.windows[started:]
+	slices.SortStableFunc(rest, compareWindows)
 
 	for i := range rest {
-		rest[i].Start = free
-		rest[i].End = free.Add(l.length(rest[i].Bytes))
-		free = rest[i].End
+		rest[i].Start = nextStart
+		rest[i].End = nextStart.Add(l.transferTime(rest[i].Bytes))
+		nextStart = rest[i].End
 
 		if rest[i].Class == Import {
-			l.free = free
+			l.importsEnd = nextStart
 		}
 	}
 }
 
-func compare(a, b Window) int {
+func compareWindows(a, b Window) int {
 	switch {
 	case a.Class != b.Class:
 		return int(a.Class) - int(b.Class)
 	case a.Rank != b.Rank:
 		return a.Rank - b.Rank
-	case a.order < b.order:
+	case a.virtualStart < b.virtualStart:
 		return -1
-	case a.order > b.order:
+	case a.virtualStart > b.virtualStart:
 		return 1
 	case a.ID < b.ID:
 		return -1
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -9,11 +9,11 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// rate is a byte a microsecond.
+// rate is one byte per microsecond.
 const rate = 1e6
 
-// If two windows overlapped, both transfers would be late and every estimate of
-// a time to first token that counted on them wrong.
+// Windows must not overlap. Otherwise both transfers would be late, and the
+// estimates of the time to first token that rely on them wrong.
 func TestPromisesNeverExceedTheLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Config{BytesPerSecond: rate, MaxWindows: 12})
@@ -27,21 +27,21 @@
 					Bytes:        rapid.Int64Range(0, 5e6).Draw(t, "bytes"),
 					Class:        Class(rapid.IntRange(0, 1).Draw(t, "class")),
 					Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
-					Latest:       time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "latest")),
+					MaxEnd:       time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "latest")),
 				}
 				n := l.Len()
 
 				w, ok := l.Reserve(now, q)
 				if !ok {
-					if q.Latest == 0 && n < 12 && l.Len() < n {
-						t.Fatal("refused with room")
+					if q.MaxEnd == 0 && n < 12 && l.Len() < n {
+						t.Fatal("refused although there is capacity for a window")
 					}
 
 					return
 				}
 
-				if q.Latest > 0 && w.End.Sub(now) > q.Latest {
-					t.Fatalf("end: got %v, want at most %v", w.End.Sub(now), q.Latest)
+				if q.MaxEnd > 0 && w.End.Sub(now) > q.MaxEnd {
+					t.Fatalf("end: got %v, want at most %v", w.End.Sub(now), q.MaxEnd)
 				}
 
 				live = append(live, w.ID)
@@ -54,18 +54,18 @@
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "wait")))
 			},
-			"": func(t *rapid.T) { checkWindows(t, l, now) },
+			"": func(t *rapid.T) { checkSchedule(t, l, now) },
 		})
 	})
 }
 
-func checkWindows(t *rapid.T, l *Link, now time.Time) {
-	l.settle(now)
+func checkSchedule(t *rapid.T, l *Link, now time.Time) {
+	l.advance(now)
 
 	all := l.Windows(nil)
 	for i, w := range all {
-		if w.Start.After(now) && w.Length() < time.Duration(w.Bytes)*time.Microsecond {
-			t.Fatalf("window %d: got %v for %d bytes, want it to hold them", w.ID, w.Length(), w.Bytes)
+		if w.Start.After(now) && w.Duration() < time.Duration(w.Bytes)*time.Microsecond {
+			t.Fatalf("window %d: got duration %v for %d bytes, want one that is long enough", w.ID, w.Duration(), w.Bytes)
 		}
 
 		if i == 0 {
@@ -78,7 +78,7 @@
 		}
 
 		if before.Start.After(now) && w.Class < before.Class {
-			t.Fatalf("window %d of class %v stands before %v", before.ID, before.Class, w.Class)
+			t.Fatalf("window %d of class %v is scheduled before class %v", before.ID, before.Class, w.Class)
 		}
 	}
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// A transfer ends early, or its holder dies and never says that it ended. The
-// others must move forward, or the link would stand idle while callers wait.
+// A transfer ends early, or its process crashes and never reports the end. The
+// other windows must move forward, or the link would be idle while callers wait.
 func TestWrongEstimates(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -136,8 +136,8 @@
 	}
 }
 
-// One organisation fills the link with imports. Another one's single import
-// must not wait for all of them.
+// One organisation fills the link with imports. A single import of another
+// organisation must not wait for all of them.
 func TestOrganisationsShare(t *testing.T) {
 	l := New(Config{BytesPerSecond: rate})
 	for range 20 {
@@ -150,8 +150,8 @@
 	}
 }
 
-// A case file of many gigabytes comes over the link just before a clerk's short
-// context is asked for. The clerk must wait for a chunk and not for the file.
+// An import of many gigabytes is reserved just before a short, more urgent one.
+// The short one must wait for one chunk and not for the whole transfer.
 func TestPressingImportGoesBetweenChunks(t *testing.T) {
 	l := New(Config{BytesPerSecond: rate, ChunkBytes: 1e6})
 	file := l.ReserveChunks(epoch, Request{Bytes: 5_500_000, Rank: 2}, nil)
@@ -162,7 +162,7 @@
 
 	w, _ := l.Reserve(epoch, Request{Bytes: 1e5})
 	if got, want := w.Start.Sub(epoch), time.Second; got != want {
-		t.Errorf("pressing: got start %v, want %v", got, want)
+		t.Errorf("urgent import: got start %v, want %v", got, want)
 	}
 
 	last, _ := l.Window(epoch, file[5])
@@ -171,9 +171,9 @@
 	}
 }
 
-// A link falls to a tenth of its rate. If nobody noticed, callers would wait for
-// imports that take ten times as long as recomputing; if it were remembered for
-// ever, the link would never be used again.
+// The rate of a link drops to a tenth. If the drop were not measured, callers
+// would wait for imports that take ten times as long as recomputing; if the
+// measurement did not decay, the link would never be used again.
 func TestRateIsMeasuredAndForgotten(t *testing.T) {
 	const best = 1e9
 
@@ -187,15 +187,15 @@
 	}
 
 	if got, want := l.Rate(now), 0.4*best; got > want {
-		t.Errorf("slow: got %v, want at most %v", got, want)
+		t.Errorf("rate after slow transfers: got %v, want at most %v", got, want)
 	}
 
 	if got, want := l.Rate(now.Add(3*time.Minute)), 0.99*best; got < want {
-		t.Errorf("later: got %v, want at least %v", got, want)
+		t.Errorf("rate three minutes later: got %v, want at least %v", got, want)
 	}
 
 	if got, want := l.Estimate(now, best), 2*time.Second; got < want {
-		t.Errorf("estimate: got %v, want at least %v", got, want)
+		t.Errorf("estimate after slow transfers: got %v, want at least %v", got, want)
 	}
 }
 
--- a/link/table.go
+++ b/link/table.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// route is one direction between two data centres.
-type route struct{ from, to string }
+// direction identifies the link from one data centre to another.
+type direction struct{ from, to string }
 
-// Table holds the links between data centres. Use NewTable. It is not safe for
-// concurrent use.
+// Table holds the links within and between data centres. Use NewTable. It is not
+// safe for concurrent use.
 type Table struct {
 	local  Config
 	remote Config
-	links  map[route]*Link
+	links  map[direction]*Link
 }
 
-// NewTable returns a Table whose links are made as they are first asked for:
-// local within a data centre, remote between two.
+// NewTable returns a Table that creates a link when it is first used: with local
+// within a data centre, with remote between two.
 func NewTable(local, remote Config) *Table {
-	return &Table{local: local, remote: remote, links: map[route]*Link{}}
+	return &Table{local: local, remote: remote, links: map[direction]*Link{}}
 }
 
-// Between returns the link from one data centre to another.
+// Between returns the link from one data centre to another, or within one when
+// both are the same.
 func (t *Table) Between(from, to string) *Link {
-	r := route{from, to}
+	d := direction{from, to}
 
-	l, ok := t.links[r]
+	l, ok := t.links[d]
 	if !ok {
 		cfg := t.remote
 		if from == to {
@@ -31,21 +32,22 @@
 		}
 
 		l = New(cfg)
-		t.links[r] = l
+		t.links[d] = l
 	}
 
 	return l
 }
 
-// Set describes the link between two data centres in both directions, and
-// forgets what was promised on it.
+// Set configures the links between two data centres in both directions and
+// discards the windows reserved on them.
 func (t *Table) Set(a, b string, cfg Config) {
-	t.links[route{a, b}] = New(cfg)
-	t.links[route{b, a}] = New(cfg)
+	t.links[direction{a, b}] = New(cfg)
+	t.links[direction{b, a}] = New(cfg)
 }
 
-// Way returns how long a new import from one data centre to another would wait
-// for what is promised, and the link's rate in bytes a second.
+// Way returns the latency of the link from one data centre to another plus the
+// time that a new import would wait for earlier transfers, and the link's rate
+// in bytes per second.
 func (t *Table) Way(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64) {
 	l := t.Between(from, to)
 
