--- a/parking/gaps.go
+++ b/parking/gaps.go
@@ -5,46 +5,50 @@
 	"time"
 )
 
-// Gaps is what was seen of the gaps after which the contexts of one workload
-// return. It starts from the workload's usual gap and learns from each visit.
-// Use NewGaps. It is not safe for concurrent use.
+// Gaps estimates the distribution of the gaps between the visits of the contexts
+// of one workload. It starts from a prior around the workload's usual gap and is
+// updated with each visit. Use NewGaps. It is not safe for concurrent use.
 type Gaps struct {
-	counts          [buckets]float64 // returns by length of their gap
+	counts          [bucketCount]float64 // returns, by bucket of their gap
 	returns, visits float64
-	stale           int
+	changes         int
 
-	// left is, for each bucket's start, the part of visits after which nobody
-	// has returned yet, and worth the index of a context that has been away so long.
-	left  [buckets + 1]float64
-	worth [buckets]float64
+	// survival is the fraction of visits that are not followed by a return before
+	// the start of the bucket; its last element is the fraction that is never
+	// followed by one. returnRates holds MaxReturnRate by bucket.
+	survival    [bucketCount + 1]float64
+	returnRates [bucketCount]float64
 }
 
 const (
-	// buckets of gaps, two an octave from one second on, reach over centuries.
-	buckets   = 64
-	perOctave = 2
-	// prior is the weight of the usual gap, in visits, against those seen.
-	prior = 20
-	// memory is after how many visits what was seen counts half.
-	memory = 8192
-	// refresh is after how many visits and returns the tables are made anew.
-	refresh = 64
+	// The buckets are logarithmic, two per octave from one second on; 64 of them
+	// cover more than a century.
+	bucketCount      = 64
+	bucketsPerOctave = 2
+	// priorVisits is the weight of the prior, in visits.
+	priorVisits = 20
+	// maxVisits is the number of visits after which the weight of all earlier
+	// visits and returns is halved.
+	maxVisits = 8192
+	// rebuildInterval is the number of visits and returns after which the tables
+	// survival and returnRates are rebuilt.
+	rebuildInterval = 64
 )
 
-// NewGaps returns Gaps that expect every second visit to be followed by another
-// one, a few octaves around usual; zero means an hour.
+// NewGaps returns Gaps with a prior: every second visit is followed by a return,
+// after a gap within a few octaves of usual. Zero means an hour.
 func NewGaps(usual time.Duration) *Gaps {
 	if usual <= 0 {
 		usual = time.Hour
 	}
 
-	g := &Gaps{visits: prior, returns: prior / 2}
-	middle := bucketOf(usual)
+	g := &Gaps{visits: priorVisits, returns: priorVisits / 2}
+	usualBucket := bucketOf(usual)
 	total := 0.0
 
 	for k := range g.counts {
-		far := math.Abs(float64(k-middle)) / perOctave
-		g.counts[k] = math.Exp(-far)
+		octaves := math.Abs(float64(k-usualBucket)) / bucketsPerOctave
+		g.counts[k] = math.Exp(-octaves)
 		total += g.counts[k]
 	}
 
@@ -52,50 +56,51 @@
 		g.counts[k] *= g.returns / total
 	}
 
-	g.tables()
+	g.rebuildTables()
 
 	return g
 }
 
-// Visited notes a visit of any context of the workload.
+// Visited records a visit of any context of the workload.
 func (g *Gaps) Visited() {
 	g.visits++
-	g.touch()
+	g.update()
 }
 
-// Returned notes that a context returned after gap.
+// Returned records that a context returned after gap.
 func (g *Gaps) Returned(gap time.Duration) {
 	g.counts[bucketOf(gap)]++
 	g.returns++
-	g.touch()
+	g.update()
 }
 
-// After returns the chance that a context which was just used returns, and not
-// before d.
-func (g *Gaps) After(d time.Duration) float64 {
-	return max(g.leftAt(d)-g.left[buckets], 0)
+// ReturnProbabilityAfter returns the probability that a context that was just
+// used returns, but no earlier than after d.
+func (g *Gaps) ReturnProbabilityAfter(d time.Duration) float64 {
+	return max(g.survivalAt(d)-g.survival[bucketCount], 0)
 }
 
-// Index returns the returns a second that keeping a context brings which has
-// been away for so long: the best ratio, over all times to give up, of the
-// chance that it returns before to the time for which it is kept until then.
-func (g *Gaps) Index(away time.Duration) float64 {
-	return g.worth[bucketOf(away)]
+// MaxReturnRate returns the expected number of returns per second of keeping a
+// context that has been away for this long. It is the maximum, over all times at
+// which to stop keeping it, of the probability that the context returns before
+// then, divided by the expected time for which it is kept.
+func (g *Gaps) MaxReturnRate(away time.Duration) float64 {
+	return g.returnRates[bucketOf(away)]
 }
 
-func (g *Gaps) touch() {
-	g.stale++
+func (g *Gaps) update() {
+	g.changes++
 
-	if g.visits > memory {
-		g.halve()
+	if g.visits > maxVisits {
+		g.decay()
 	}
 
-	if g.stale >= refresh {
-		g.tables()
+	if g.changes >= rebuildInterval {
+		g.rebuildTables()
 	}
 }
 
-func (g *Gaps) halve() {
+func (g *Gaps) decay() {
 	const half = 0.5
 
 	g.visits *= half
@@ -106,46 +111,48 @@
 	}
 }
 
-func (g *Gaps) tables() {
-	g.stale = 0
-	gone := 0.0
-	chance := min(g.returns/g.visits, 1)
+func (g *Gaps) rebuildTables() {
+	g.changes = 0
+	returned := 0.0
+	returnProbability := min(g.returns/g.visits, 1)
 
 	for k := range g.counts {
-		g.left[k] = 1 - chance*gone/g.returns
-		gone += g.counts[k]
+		g.survival[k] = 1 - returnProbability*returned/g.returns
+		returned += g.counts[k]
 	}
 
-	g.left[buckets] = 1 - chance
+	g.survival[bucketCount] = 1 - returnProbability
 
-	for k := range g.worth {
-		g.worth[k] = g.best(k)
+	for k := range g.returnRates {
+		g.returnRates[k] = g.bucketReturnRate(k)
 	}
 }
 
-// best returns the index of a context that has been away up to bucket k.
-func (g *Gaps) best(k int) float64 {
-	kept, best := 0.0, 0.0
+// bucketReturnRate returns MaxReturnRate of a context that has been away until
+// the start of bucket k.
+func (g *Gaps) bucketReturnRate(k int) float64 {
+	keptSeconds, best := 0.0, 0.0
 
-	for m := k; m < buckets; m++ {
+	for m := k; m < bucketCount; m++ {
 		const half = 0.5
 
-		kept += half * (g.left[m] + g.left[m+1]) * (start(m+1) - start(m))
-		if kept > 0 {
-			best = max(best, (g.left[k]-g.left[m+1])/kept)
+		keptSeconds += half * (g.survival[m] + g.survival[m+1]) * (bucketStart(m+1) - bucketStart(m))
+		if keptSeconds > 0 {
+			best = max(best, (g.survival[k]-g.survival[m+1])/keptSeconds)
 		}
 	}
 
 	return best
 }
 
-// leftAt returns the part of visits after which nobody has returned before d.
-func (g *Gaps) leftAt(d time.Duration) float64 {
+// survivalAt returns the fraction of visits that were not followed by a return
+// before d, interpolated within the bucket.
+func (g *Gaps) survivalAt(d time.Duration) float64 {
 	k := bucketOf(d)
-	from, to := start(k), start(k+1)
-	part := min(max((d.Seconds()-from)/(to-from), 0), 1)
+	from, to := bucketStart(k), bucketStart(k+1)
+	fraction := min(max((d.Seconds()-from)/(to-from), 0), 1)
 
-	return g.left[k] + part*(g.left[k+1]-g.left[k])
+	return g.survival[k] + fraction*(g.survival[k+1]-g.survival[k])
 }
 
 // bucketOf returns the bucket of a gap.
@@ -154,14 +161,14 @@
 		return 0
 	}
 
-	return min(int(math.Log2(d.Seconds())*perOctave), buckets-1)
+	return min(int(math.Log2(d.Seconds())*bucketsPerOctave), bucketCount-1)
 }
 
-// start returns where bucket k begins, in seconds.
-func start(k int) float64 {
+// bucketStart returns the lower bound of bucket k in seconds.
+func bucketStart(k int) float64 {
 	if k == 0 {
 		return 0
 	}
 
-	return math.Exp2(float64(k) / perOctave)
+	return math.Exp2(float64(k) / bucketsPerOctave)
 }
--- a/parking/parking.go
+++ b/parking/parking.go
@@ -1,14 +1,15 @@
-// Package parking decides what becomes of a context between its visits: whether
-// it is copied to a store, to which, what a full store drops, and whether it is
-// brought back to an engine before its return is seen.
+// Package parking decides whether the KV cache of a context is copied to a store
+// between its visits, and to which store. It also gives the value of a stored
+// copy, by which a full store chooses what to evict.
 //
 // # Model
 //
-// A context returns after a gap, or not at all. Gaps learns for each workload
-// how long its gaps are and how many visits are the last. A copy saves the prefill of its tokens when the
-// context returns after the engine evicted it and before the store does. It
-// costs time on the link, which imports need first, and room in the store. All
-// is weighed in seconds, so that one Config serves small and large models.
+// A context returns after a gap, or not at all. Gaps measures per workload how
+// long the gaps are and how many visits are followed by none. A copy saves the
+// prefill of its tokens when the context returns after the engine evicted it and
+// before the store does. It costs time on the link, where imports have priority,
+// and capacity in the store. Savings and costs are in seconds of prefill, so that
+// one Config fits small and large models.
 //
 // # Example
 //
@@ -20,20 +21,20 @@
 
 import "time"
 
-// Config weighs the decisions. Zero fields take their defaults.
+// Config holds the parameters of Decide. Zero fields take their defaults.
 type Config struct {
-	// MinTokens is the shortest context worth a copy; 256 when zero.
+	// MinTokens is the minimum length of a context to copy; 256 when zero.
 	MinTokens int
-	// LinkWeight is the cost of one second of link time, against one second of
-	// prefill saved; 0.2 when zero.
+	// LinkWeight is the cost of one second of link time, in seconds of prefill;
+	// 0.2 when zero.
 	LinkWeight float64
 }
 
-// worthwhile is the least expected saving, in seconds of prefill, that is worth
-// the trouble of a copy.
-const worthwhile = 0.001
+// minSavingSeconds is the minimum expected saving that justifies the effort of a
+// copy, in seconds of prefill.
+const minSavingSeconds = 0.001
 
-// The defaults of Config.
+// The default values of Config.
 const (
 	defaultMinTokens  = 256
 	defaultLinkWeight = 0.2
@@ -51,63 +52,66 @@
 	return c
 }
 
-// Context is what is to be kept or not.
+// Context describes the context that may be copied.
 type Context struct {
-	// Tokens is its length.
+	// Tokens is its length in tokens.
 	Tokens int
-	// Parked is how many of its leading tokens a store already has.
+	// Parked is the number of its leading tokens that a store already has.
 	Parked int
-	// Bytes is the size of a copy of what no store has yet.
+	// Bytes is the size of the copy to make, without what a store already has.
 	Bytes int64
-	// PrefillTokensPerSecond is the speed at which it would be recomputed.
+	// PrefillTokensPerSecond is the rate at which it would be recomputed.
 	PrefillTokensPerSecond float64
 	// Seen is when it was last used.
 	Seen time.Time
-	// Gaps is what is known of the gaps of its workload; it is needed.
+	// Gaps holds the gaps of its workload; it must not be nil.
 	Gaps *Gaps
 }
 
-// Room is a store as it is believed to be.
+// Room is the state of a store as last reported.
 type Room struct {
 	// Name is the store's VM name.
 	Name string
-	// Free and Total are its room in bytes.
+	// Free and Total are its free and total capacity in bytes.
 	Free, Total int64
-	// Transfer is the estimated time of the copy, behind what is promised.
+	// Transfer is the estimated time until the copy is done, after the transfers
+	// that are already reserved.
 	Transfer time.Duration
-	// Density is that of the least valuable copy in it, which is dropped to
-	// make room.
+	// Density is the Density of the least valuable copy in the store, which is
+	// evicted first.
 	Density float64
-	// Down says that it doesn't answer.
+	// Down says that the store is unreachable or leaving.
 	Down bool
 }
 
-// View is what is known around a context.
+// View is the state of the engine and the stores on which a decision is based.
 type View struct {
-	// Stays is how long the engine is expected to keep the context.
+	// Stays is how long the engine is expected to keep the context before it
+	// evicts it.
 	Stays time.Duration
-	// Stores are the stores; at most MaxStores are looked at.
+	// Stores are the stores; only the first MaxStores are considered.
 	Stores []Room
 }
 
-// MaxStores is how many stores a decision weighs.
+// MaxStores is the maximum number of stores that a decision considers.
 const MaxStores = 16
 
-// Reason says why a context gets a copy or none. The zero Reason is Worth.
+// Reason says why a context is copied or not. The zero Reason is Worthwhile.
 type Reason uint8
 
 // The reasons.
 const (
-	// Worth means that the copy is expected to save more than it costs.
-	Worth Reason = iota
-	// TooShort means that the context is not worth the trouble.
+	// Worthwhile means that the copy is expected to save more than it costs.
+	Worthwhile Reason = iota
+	// TooShort means that the context has fewer tokens than Config.MinTokens.
 	TooShort
-	// StaysWarm means that it will most likely return before it is evicted.
+	// StaysWarm means that a copy would save almost nothing, because the context
+	// most likely returns before the engine evicts it or is already stored.
 	StaysWarm
-	// TooDear means that the link's time and what a full store would have to
-	// drop cost more than the copy saves.
-	TooDear
-	// NoRoom means that every store is down or too small.
+	// TooCostly means that the link time and what a full store would have to evict
+	// cost more than the copy saves.
+	TooCostly
+	// NoRoom means that there is no store, or each one is down or too small.
 	NoRoom
 )
 
@@ -124,18 +128,20 @@
 }
 
 // Export reports whether the context is to be copied.
-func (d Decision) Export() bool { return d.reason == Worth }
+func (d Decision) Export() bool { return d.reason == Worthwhile }
 
-// Reason returns why.
+// Reason returns the reason of the decision.
 func (d Decision) Reason() Reason { return d.reason }
 
-// First returns the index of the store for the copy, -1 for none.
+// First returns the index in View.Stores of the store for the copy; -1 if there
+// is to be no copy.
 func (d Decision) First() int { return d.store }
 
-// Saving returns the expected seconds of prefill saved.
+// Saving returns the expected saving of the copy in seconds of prefill; zero for
+// a context that is too short.
 func (d Decision) Saving() float64 { return d.saving }
 
-// Fields returns the decision as keys and values of one log line.
+// Fields returns the keys and values that describe the decision in a log line.
 func (d Decision) Fields(v View) []any {
 	fields := []any{"reason", d.reason.String(), "saving_s", d.saving, "cost_s", d.cost}
 	if d.store >= 0 {
@@ -145,7 +151,7 @@
 	return fields
 }
 
-// Decide returns whether a context is copied to a store, and to which.
+// Decide decides whether a context is copied to a store, and to which.
 func Decide(now time.Time, cfg Config, c Context, v View) Decision {
 	cfg = cfg.withDefaults()
 	d := Decision{store: -1}
@@ -156,19 +162,20 @@
 	}
 
 	d.saving = Saving(c, v.Stays)
-	if d.saving < worthwhile {
+	if d.saving < minSavingSeconds {
 		d.reason = StaysWarm
 		return d
 	}
 
-	d.place(now, cfg, c, v)
+	d.chooseStore(now, cfg, c, v)
 
 	return d
 }
 
-// place chooses the store where a copy costs least.
-func (d *Decision) place(now time.Time, cfg Config, c Context, v View) {
-	p := placing{cfg: cfg, c: c, saving: d.saving, density: Density(now, c)}
+// chooseStore chooses the store where a copy costs least, and decides against the
+// copy if it costs at least as much as it saves.
+func (d *Decision) chooseStore(now time.Time, cfg Config, c Context, v View) {
+	p := storeCost{cfg: cfg, c: c, saving: d.saving, density: Density(now, c)}
 	d.reason = NoRoom
 
 	for i := range min(len(v.Stores), MaxStores) {
@@ -182,49 +189,53 @@
 		return
 	}
 
-	d.reason = Worth
+	d.reason = Worthwhile
 
 	if d.cost >= d.saving {
-		d.store, d.reason = -1, TooDear
+		d.store, d.reason = -1, TooCostly
 	}
 }
 
-// placing holds what the costs of all stores have in common.
-type placing struct {
+// storeCost holds the inputs of the cost that are the same for all stores.
+type storeCost struct {
 	cfg             Config
 	c               Context
 	saving, density float64
 }
 
-// cost returns the cost of a copy in s in seconds of prefill: its time on the
-// link and, in a full store, what has to be dropped for it.
-func (p *placing) cost(s *Room) (float64, bool) {
+// cost returns the cost of a copy in s in seconds of prefill: its link time and,
+// in a full store, the value of what is evicted for it. It returns false when s
+// can't take the copy.
+func (p *storeCost) cost(s *Room) (float64, bool) {
 	if s.Down || p.c.Bytes > s.Total {
 		return 0, false
 	}
 
 	cost := p.cfg.LinkWeight * s.Transfer.Seconds()
 	if p.c.Bytes > s.Free && p.density > 0 {
-		// Room is exchanged byte for byte, so values compare as densities do.
+		// The copy replaces as many bytes as it needs, so the ratio of the values
+		// is that of the densities.
 		cost += p.saving * s.Density / p.density
 	}
 
 	return cost, true
 }
 
-// Saving returns the expected seconds of prefill that a copy of c saves: its
-// tokens times the chance that it returns only after the engine evicted it.
+// Saving returns the expected saving of a copy of c in seconds of prefill: the
+// prefill time of its tokens that no store has, times the probability that it
+// returns after the engine evicted it. The engine keeps it for stays.
 func Saving(c Context, stays time.Duration) float64 {
 	if c.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
 
-	return float64(c.Tokens-c.Parked) / c.PrefillTokensPerSecond * c.Gaps.After(stays)
+	return float64(c.Tokens-c.Parked) / c.PrefillTokensPerSecond * c.Gaps.ReturnProbabilityAfter(stays)
 }
 
-// Density returns the value of a stored copy a byte and a second: what a store
-// that is full drops the least of first. The time until the return counts, since
-// the same room can serve several contexts that return soon in place of one.
+// Density returns the value of a stored copy per byte and second; a full store
+// evicts the copy with the lowest Density first. The time until the return counts,
+// because the same capacity can serve several contexts that return soon, one
+// after another, instead of one that returns late.
 func Density(now time.Time, c Context) float64 {
 	if c.PrefillTokensPerSecond <= 0 {
 		return 0
@@ -233,5 +244,5 @@
 	prefill := float64(c.Tokens-c.Parked) / c.PrefillTokensPerSecond
 	away := max(now.Sub(c.Seen), 0)
 
-	return prefill * c.Gaps.Index(away) / float64(max(c.Bytes, 1))
+	return prefill * c.Gaps.MaxReturnRate(away) / float64(max(c.Bytes, 1))
 }
--- a/parking/parking_test.go
+++ b/parking/parking_test.go
@@ -9,7 +9,7 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-func caseFile() Context {
+func longContext() Context {
 	return Context{
 		Tokens: 16_000, Bytes: 16_000 << 17, PrefillTokensPerSecond: 8000,
 		Seen: epoch, Gaps: NewGaps(10 * time.Minute),
@@ -17,9 +17,9 @@
 }
 
 func TestDecide(t *testing.T) {
-	room := Room{Name: "s", Free: 1 << 40, Total: 1 << 40, Transfer: time.Second}
-	with := func(change func(*Room)) Room {
-		r := room
+	emptyStore := Room{Name: "s", Free: 1 << 40, Total: 1 << 40, Transfer: time.Second}
+	withChange := func(change func(*Room)) Room {
+		r := emptyStore
 		change(&r)
 
 		return r
@@ -31,16 +31,16 @@
 		stores []Room
 		want   Reason
 	}{
-		{"worth a copy", caseFile(), time.Minute, []Room{room}, Worth},
-		{"short", Context{Tokens: 100, PrefillTokensPerSecond: 1}, 0, []Room{room}, TooShort},
-		{"already parked", Context{Tokens: 5000, Parked: 5000, PrefillTokensPerSecond: 1, Gaps: NewGaps(0)}, 0, []Room{room}, StaysWarm},
-		{"returns before it is evicted", caseFile(), 1000 * time.Hour, []Room{room}, StaysWarm},
-		{"no store", caseFile(), time.Minute, nil, NoRoom},
-		{"store down", caseFile(), time.Minute, []Room{with(func(r *Room) { r.Down = true })}, NoRoom},
-		{"store full of better", caseFile(), time.Minute, []Room{with(func(r *Room) { r.Free, r.Density = 0, 1 })}, TooDear},
-		{"store full of worse", caseFile(), time.Minute, []Room{with(func(r *Room) { r.Free = 0 })}, Worth},
-		{"no room at all", caseFile(), time.Minute, []Room{with(func(r *Room) { r.Total = 1 })}, NoRoom},
-		{"link crowded", caseFile(), time.Minute, []Room{with(func(r *Room) { r.Transfer = time.Minute })}, TooDear},
+		{"worth a copy", longContext(), time.Minute, []Room{emptyStore}, Worthwhile},
+		{"short", Context{Tokens: 100, PrefillTokensPerSecond: 1}, 0, []Room{emptyStore}, TooShort},
+		{"already stored", Context{Tokens: 5000, Parked: 5000, PrefillTokensPerSecond: 1, Gaps: NewGaps(0)}, 0, []Room{emptyStore}, StaysWarm},
+		{"returns before it is evicted", longContext(), 1000 * time.Hour, []Room{emptyStore}, StaysWarm},
+		{"no store", longContext(), time.Minute, nil, NoRoom},
+		{"store down", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Down = true })}, NoRoom},
+		{"store full of more valuable copies", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Free, r.Density = 0, 1 })}, TooCostly},
+		{"store full of less valuable copies", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Free = 0 })}, Worthwhile},
+		{"store too small", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Total = 1 })}, NoRoom},
+		{"link busy for long", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Transfer = time.Minute })}, TooCostly},
 	}
 
 	for _, c := range cases {
@@ -50,16 +50,16 @@
 				t.Fatalf("reason: got %v, want %v", got, c.want)
 			}
 
-			if got, want := d.First() >= 0, c.want == Worth; got != want {
+			if got, want := d.First() >= 0, c.want == Worthwhile; got != want {
 				t.Errorf("first: got %d, want a store %v", d.First(), want)
 			}
 		})
 	}
 }
 
-// A store that is full drops what is worth least a byte. If a context that has
-// been away for much longer than its workload's gaps kept its worth, the store
-// would fill with contexts that never return.
+// A full store evicts the copies with the lowest value per byte. If the value of
+// a context did not fall once it is away for much longer than the gaps of its
+// workload, the store would fill with contexts that never return.
 func TestGaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGaps(time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "usual")))
@@ -73,26 +73,27 @@
 
 		last := 1.0
 		for d := time.Second; d < 100*time.Hour; d *= 2 {
-			after := g.After(d)
+			after := g.ReturnProbabilityAfter(d)
 			if after < 0 || after > last {
-				t.Fatalf("after %v: got %v after %v before, want it to fall", d, after, last)
+				t.Fatalf("probability after %v: got %v, previous %v, want it to fall", d, after, last)
 			}
 
 			last = after
 		}
 
-		if soon, late := g.Index(gap/2), g.Index(64*gap); late > soon {
-			t.Fatalf("got %v long after the gap and %v before, want it to fall", late, soon)
+		if soon, late := g.MaxReturnRate(gap/2), g.MaxReturnRate(64*gap); late > soon {
+			t.Fatalf("return rate: got %v long after the gap and %v before, want it to fall", late, soon)
 		}
 	})
 }
 
-// Two stores are as near as each other and full. The copy has to go where what is
-// dropped for it is worth least, or one store would drop what the other lacks.
+// Two stores with the same transfer time are full. The copy must go to the one
+// whose evicted copies are worth less. Otherwise one store would evict copies
+// that are more valuable than those that the other keeps.
 func TestStoresAreFilledAlike(t *testing.T) {
 	stores := []Room{{Total: 1 << 50, Density: 1e-15}, {Total: 1 << 50, Density: 1e-16}}
 
-	d := Decide(epoch, Config{}, caseFile(), View{Stays: time.Minute, Stores: stores})
+	d := Decide(epoch, Config{}, longContext(), View{Stays: time.Minute, Stores: stores})
 	if got, want := d.First(), 1; got != want {
 		t.Errorf("store: got %d, want %d", got, want)
 	}
@@ -111,8 +112,8 @@
 		atLeast float64
 		atMost  float64
 	}{
-		{"returns at all", g.After(0), 0.98, 1},
-		{"returns after two minutes", g.After(2 * time.Minute), 0, 0.02},
+		{"returns at all", g.ReturnProbabilityAfter(0), 0.98, 1},
+		{"returns after two minutes", g.ReturnProbabilityAfter(2 * time.Minute), 0, 0.02},
 	}
 
 	for _, c := range cases {
@@ -131,7 +132,7 @@
 	}
 
 	v := View{Stays: time.Minute, Stores: stores}
-	c := caseFile()
+	c := longContext()
 
 	b.ReportAllocs()
 
