--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -12,8 +12,8 @@
 	"boragehub/message"
 )
 
-// BenchmarkAsk is one question and its answer over a connection that stands: what
-// a conversation between own processes costs at the least.
+// BenchmarkAsk measures one request and its response over an open connection: the
+// minimum cost of a call between two boragehub processes.
 func BenchmarkAsk(b *testing.B) {
 	dir := b.TempDir()
 
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	go func() { _ = s.Serve(ctx, answerAck) }()
+	go func() { _ = s.Serve(ctx, respondAck) }()
 
 	d := NewDialer(Config{TLS: k.TLS()}, logr.Discard())
 	defer d.Close()
--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -13,34 +13,34 @@
 	"boragehub/message"
 )
 
-// Dialer opens conversations, over one connection for each peer.
+// Dialer opens streams to peers, over one connection per peer.
 type Dialer struct {
 	cfg Config
 	log logr.Logger
 
 	mu    sync.Mutex
-	slots map[Address]*slot
+	slots map[Address]*peerSlot
 }
 
-// slot is the place of one peer's connection.
-type slot struct {
-	mu   sync.Mutex // held while dialling, so that a peer is dialled once
+// peerSlot holds the connection to one peer; conn is nil while there is none.
+type peerSlot struct {
+	mu   sync.Mutex // held while dialling, so that a peer has one dial at a time
 	conn *connection
 }
 
 // connection is a QUIC connection with a UDP socket of its own.
 type connection struct {
-	q      *quic.Conn
-	socket *quic.Transport
+	conn      *quic.Conn
+	transport *quic.Transport
 }
 
-// NewDialer returns a Dialer that has no connections yet.
+// NewDialer returns a Dialer without connections.
 func NewDialer(cfg Config, log logr.Logger) *Dialer {
-	return &Dialer{cfg: cfg.withDefaults(), log: log, slots: map[Address]*slot{}}
+	return &Dialer{cfg: cfg.withDefaults(), log: log, slots: map[Address]*peerSlot{}}
 }
 
-// Open starts a conversation with the peer at a, dialling if needed. Nothing was sent
-// when it fails, with failure.TargetLost.
+// Open opens a stream to the peer at a, dialling if needed. It fails with
+// failure.TargetLost; nothing was sent to the peer then.
 func (d *Dialer) Open(ctx context.Context, a Address) (*Stream, error) {
 	s := d.slot(a)
 
@@ -49,17 +49,18 @@
 		return nil, err
 	}
 
-	q, err := c.q.OpenStreamSync(ctx)
+	q, err := c.conn.OpenStreamSync(ctx)
 	if err != nil {
-		d.abandon(s, a, c, err)
+		d.dropConn(s, a, c, err)
 
-		return nil, failure.Wrap(failure.TargetLost, err, "no conversation with %s could be opened", a.VM)
+		return nil, failure.Wrap(failure.TargetLost, err, "no stream to %s could be opened", a.VM)
 	}
 
-	return newStream(q, d.cfg, func(err error) { d.abandon(s, a, c, err) }), nil
+	return newStream(q, d.cfg, func(err error) { d.dropConn(s, a, c, err) }), nil
 }
 
-// Ask opens a conversation, sends m and returns the one answer.
+// Ask opens a stream, sends m and returns the single response. When ctx ends first,
+// the stream is cancelled.
 func (d *Dialer) Ask(ctx context.Context, a Address, m message.Message) (message.Message, error) {
 	s, err := d.Open(ctx, a)
 	if err != nil {
@@ -78,7 +79,8 @@
 	return s.Receive()
 }
 
-// Forget closes the connection to a, as when its VM is gone.
+// Forget closes the connection to a and drops its slot, for example when the VM
+// was removed.
 func (d *Dialer) Forget(a Address) {
 	d.mu.Lock()
 	s := d.slots[a]
@@ -112,24 +114,24 @@
 	}
 }
 
-func (d *Dialer) slot(a Address) *slot {
+func (d *Dialer) slot(a Address) *peerSlot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	s := d.slots[a]
 	if s == nil {
-		s = &slot{}
+		s = &peerSlot{}
 		d.slots[a] = s
 	}
 
 	return s
 }
 
-func (d *Dialer) connect(ctx context.Context, s *slot, a Address) (*connection, error) {
+func (d *Dialer) connect(ctx context.Context, s *peerSlot, a Address) (*connection, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.conn != nil && s.conn.q.Context().Err() == nil {
+	if s.conn != nil && s.conn.conn.Context().Err() == nil {
 		return s.conn, nil
 	}
 
@@ -140,7 +142,7 @@
 	if err != nil {
 		event.Fail(d.log, err, event.PeerLost, "vm", a.VM, "addr", a.Addr)
 
-		return nil, failure.Wrap(failure.TargetLost, err, "%s can't be reached", a.VM)
+		return nil, failure.Wrap(failure.TargetLost, err, "%s is unreachable", a.VM)
 	}
 
 	event.Log(d.log, event.PeerConnected, "vm", a.VM, "addr", a.Addr)
@@ -150,9 +152,8 @@
 	return c, nil
 }
 
-// dial takes a new UDP socket for every connection: a machine on the way that
-// has lost track of the old flow would lose a new connection from the same port
-// as well.
+// dial uses a new UDP socket for every connection: a middlebox that has lost the
+// state of the old flow would drop a new connection from the same port too.
 func (d *Dialer) dial(ctx context.Context, a Address) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.cfg.DialTimeout)
 	defer cancel()
@@ -177,11 +178,11 @@
 		return nil, err
 	}
 
-	return &connection{q: q, socket: tr}, nil
+	return &connection{conn: q, transport: tr}, nil
 }
 
-// abandon gives c up unless it was replaced already.
-func (d *Dialer) abandon(s *slot, a Address, c *connection, cause error) {
+// dropConn closes c and clears its slot, unless c was replaced already.
+func (d *Dialer) dropConn(s *peerSlot, a Address, c *connection, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -191,7 +192,7 @@
 
 	s.conn = nil
 
-	c.close(codeSilent)
+	c.close(codeUnresponsive)
 	event.Fail(d.log, cause, event.PeerLost, "vm", a.VM, "addr", a.Addr)
 }
 
@@ -200,7 +201,7 @@
 		return
 	}
 
-	_ = c.q.CloseWithError(code, "")
-	_ = c.socket.Close()
-	_ = c.socket.Conn.Close()
+	_ = c.conn.CloseWithError(code, "")
+	_ = c.transport.Close()
+	_ = c.transport.Conn.Close()
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,20 +1,20 @@
-// Package peer carries conversations between boragehub's own processes over
-// QUIC with mutual TLS.
+// Package peer carries messages between boragehub's own processes over QUIC with
+// mutual TLS.
 //
 // # Model
 //
-// A Server listens; a Dialer opens. Each conversation is a Stream that carries
-// frames of package message. Both ends beat on every open stream, from a
-// goroutine of its own, so that a peer that thinks for long is told apart from
-// one that is gone.
+// A Server accepts streams and a Dialer opens them. Each Stream carries one
+// exchange, as frames of package message. Both ends send heartbeats on every open
+// stream, from a separate goroutine, so that a peer that is busy for long can be
+// told from one that is gone.
 //
-// # Silence
+// # Unresponsive connections
 //
-// An open connection can go silent for good while new ones work, since a
-// machine between the ends has lost track of it. Nothing fails then: reads just
-// wait. A Stream that hears neither message nor beat for Silence therefore gives
-// its connection up, and the next conversation dials a new one from a new UDP
-// port, which whatever lies between sees as a new flow.
+// An open connection can stop delivering packets while new ones work, when a
+// middlebox between the ends has lost the state of its flow. No error is reported
+// then: reads just block. A Stream that receives neither a message nor a heartbeat
+// for Config.StreamTimeout therefore closes its connection, and the next stream
+// dials a new one from a new UDP port, which a middlebox treats as a new flow.
 //
 //	s, err := dialer.Open(ctx, peer.Address{VM: "e1", Addr: "127.0.0.1:7001"})
 //	err = s.Send(message.Ask{})
@@ -31,44 +31,49 @@
 
 // Defaults of Config.
 const (
-	DefaultBeat        = 500 * time.Millisecond
-	DefaultSilence     = 2 * time.Second
-	DefaultDialTimeout = 2 * time.Second
-	DefaultMaxStreams  = 4096
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	DefaultStreamTimeout     = 2 * time.Second
+	DefaultDialTimeout       = 2 * time.Second
+	DefaultMaxStreams        = 4096
 )
 
-// An idle connection is kept by a packet a minute. Faster ones would notice its
-// silence sooner, but conversations notice that by their beats, and 280
-// connections with a packet each 4 seconds would spend 8 KB a second.
+// An idle connection sends one keep-alive packet a minute. More frequent packets
+// would detect a dead connection sooner, but streams detect that by their
+// heartbeats, and 280 connections with a packet each 4 s would use 8 KB/s.
 const (
-	keepAlive   = time.Minute
-	idleTimeout = 3 * time.Minute
+	keepAlivePeriod = time.Minute
+	idleTimeout     = 3 * time.Minute
 )
 
-// Protocol is the ALPN name; it changes with message.Version.
+// Protocol is the ALPN protocol name; it changes with message.Version.
 const Protocol = "boragehub/1"
 
-// Config says how connections behave. Its zero value uses the defaults.
+// Config configures a Dialer or a Server. Zero values other than TLS use the
+// defaults.
 type Config struct {
-	// TLS has this process's certificate and the CA that peers must be signed by.
+	// TLS holds this process's certificate and the CA that signs peers' certificates.
 	TLS *tls.Config
-	// Beat is the time between two heartbeats; zero is DefaultBeat.
-	Beat time.Duration
-	// Silence is how long nothing may be heard; zero is DefaultSilence.
-	Silence time.Duration
-	// DialTimeout bounds a handshake; zero is DefaultDialTimeout.
+	// HeartbeatInterval is the time between two heartbeats on a stream; zero is
+	// DefaultHeartbeatInterval.
+	HeartbeatInterval time.Duration
+	// StreamTimeout is how long a stream waits for the next message or heartbeat, for
+	// the peer to accept a message, and at its end for the peer to read the response;
+	// zero is DefaultStreamTimeout.
+	StreamTimeout time.Duration
+	// DialTimeout bounds dialling, handshake included; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
-	// MaxStreams bounds what one peer may have open; zero is DefaultMaxStreams.
+	// MaxStreams is the maximum of streams that a peer may have open on one
+	// connection; zero is DefaultMaxStreams.
 	MaxStreams int64
 }
 
 func (c Config) withDefaults() Config {
-	if c.Beat <= 0 {
-		c.Beat = DefaultBeat
+	if c.HeartbeatInterval <= 0 {
+		c.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 
-	if c.Silence <= 0 {
-		c.Silence = DefaultSilence
+	if c.StreamTimeout <= 0 {
+		c.StreamTimeout = DefaultStreamTimeout
 	}
 
 	if c.DialTimeout <= 0 {
@@ -86,29 +91,29 @@
 	return &quic.Config{
 		HandshakeIdleTimeout:  c.DialTimeout,
 		MaxIdleTimeout:        idleTimeout,
-		KeepAlivePeriod:       keepAlive,
+		KeepAlivePeriod:       keepAlivePeriod,
 		MaxIncomingStreams:    c.MaxStreams,
 		MaxIncomingUniStreams: -1,
 	}
 }
 
-// Address is where a peer listens and which VM it has to be.
+// Address is where a peer listens and the VM that it must prove to be.
 type Address struct {
-	// VM is the name that the peer's certificate must bear.
+	// VM is the DNS name that the peer's certificate must hold.
 	VM string
-	// Addr is its IP and UDP port.
+	// Addr is the peer's IP address and UDP port.
 	Addr string
 }
 
-// Identity is who a peer is, from its certificate.
+// Identity identifies a peer by its verified certificate.
 type Identity struct {
-	// VM is the name of its VM.
+	// VM is the name of the peer's VM; empty if the certificate has no DNS name.
 	VM string
-	// Role is its role, such as "entry".
+	// Role is the peer's role, such as "entry"; empty if the certificate has none.
 	Role string
 }
 
-// identify reads the certificate of a peer that TLS has already verified.
+// identify returns the Identity in a certificate chain that TLS has verified.
 func identify(certs []*x509.Certificate) Identity {
 	if len(certs) == 0 {
 		return Identity{}
@@ -127,7 +132,7 @@
 	return id
 }
 
-// clientTLS returns the TLS settings to dial vm with.
+// clientTLS returns the TLS configuration for dialling vm.
 func clientTLS(base *tls.Config, vm string) *tls.Config {
 	c := base.Clone()
 	c.ServerName = vm
@@ -137,7 +142,8 @@
 	return c
 }
 
-// serverTLS returns the TLS settings to listen with.
+// serverTLS returns the TLS configuration for listening; clients must present a
+// certificate.
 func serverTLS(base *tls.Config) *tls.Config {
 	c := base.Clone()
 	c.NextProtos = []string{Protocol}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,13 +16,13 @@
 	"boragehub/message"
 )
 
-// quick are the timings of the tests; no assertion depends on how long one takes.
-func quick(t *tls.Config) Config {
-	return Config{TLS: t, Beat: 20 * time.Millisecond, Silence: 200 * time.Millisecond, DialTimeout: 2 * time.Second}
+// testConfig returns a Config with short times; no assertion depends on their length.
+func testConfig(t *tls.Config) Config {
+	return Config{TLS: t, HeartbeatInterval: 20 * time.Millisecond, StreamTimeout: 200 * time.Millisecond, DialTimeout: 2 * time.Second}
 }
 
-// keysOf returns the TLS settings of a process whose certificate a signed.
-func keysOf(t *testing.T, a *certificate.Authority, vm, role string) *tls.Config {
+// tlsConfigFor returns the TLS configuration of a process whose certificate a signed.
+func tlsConfigFor(t *testing.T, a *certificate.Authority, vm, role string) *tls.Config {
 	t.Helper()
 
 	dir := t.TempDir()
@@ -53,7 +53,7 @@
 	return k.TLS()
 }
 
-func authority(t *testing.T) *certificate.Authority {
+func newAuthority(t *testing.T) *certificate.Authority {
 	t.Helper()
 
 	a, err := certificate.NewAuthority(time.Now())
@@ -64,7 +64,7 @@
 	return a
 }
 
-// serve starts a server that answers by h until the test ends.
+// serve starts a server with handler h that runs until the test ends.
 func serve(t *testing.T, cfg Config, h Handler) *Server {
 	t.Helper()
 
@@ -87,13 +87,13 @@
 	return s
 }
 
-func answerAck(_ context.Context, _ Identity, s *Stream) {
+func respondAck(_ context.Context, _ Identity, s *Stream) {
 	if _, err := s.Receive(); err == nil {
 		_ = s.Send(message.Ack{})
 	}
 }
 
-func dialer(t *testing.T, cfg Config) *Dialer {
+func newTestDialer(t *testing.T, cfg Config) *Dialer {
 	t.Helper()
 
 	d := NewDialer(cfg, logr.Discard())
@@ -117,14 +117,14 @@
 }
 
 func TestPeersKnowEachOther(t *testing.T) {
-	a := authority(t)
+	a := newAuthority(t)
 	seen := make(chan Identity, 1)
-	s := serve(t, quick(keysOf(t, a, "engine-1", "side")), func(ctx context.Context, from Identity, st *Stream) {
+	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(ctx context.Context, from Identity, st *Stream) {
 		seen <- from
 
-		answerAck(ctx, from, st)
+		respondAck(ctx, from, st)
 	})
-	d := dialer(t, quick(keysOf(t, a, "entry-1", "entry")))
+	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
 
 	if err := ask(d, Address{VM: "engine-1", Addr: s.Addr()}); err != nil {
 		t.Fatal(err)
@@ -135,12 +135,12 @@
 	}
 }
 
-// Somebody with a certificate of another authority, or a process that listens on
-// an address that used to be another VM's, would read callers' prompts.
+// A client with a certificate of another authority, or a process that listens on an
+// address that used to be another VM's, could otherwise read callers' prompts.
 func TestStrangersGetNothing(t *testing.T) {
-	a, other := authority(t), authority(t)
-	s := serve(t, quick(keysOf(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, _ *Stream) {
-		t.Error("got a conversation with a stranger, want none")
+	a, other := newAuthority(t), newAuthority(t)
+	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, _ *Stream) {
+		t.Error("got a stream from an untrusted peer, want none")
 	})
 
 	cases := []struct {
@@ -148,13 +148,13 @@
 		keys *tls.Config
 		vm   string
 	}{
-		{"another authority", keysOf(t, other, "entry-1", "entry"), "engine-1"},
-		{"another VM's name", keysOf(t, a, "entry-1", "entry"), "engine-2"},
+		{"another authority", tlsConfigFor(t, other, "entry-1", "entry"), "engine-1"},
+		{"another VM's name", tlsConfigFor(t, a, "entry-1", "entry"), "engine-2"},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := ask(dialer(t, quick(c.keys)), Address{VM: c.vm, Addr: s.Addr()})
+			err := ask(newTestDialer(t, testConfig(c.keys)), Address{VM: c.vm, Addr: s.Addr()})
 			if got, want := failure.KindOf(err), failure.TargetLost; err == nil || got != want {
 				t.Errorf("got %v (%v), want %v", got, err, want)
 			}
@@ -162,26 +162,26 @@
 	}
 }
 
-// A peer thinks for longer than the time of silence. Its beats say that it
-// lives; without them a long prefill would be taken for a dead engine.
+// A peer takes longer than StreamTimeout to respond. Its heartbeats keep the stream
+// open; without them a long prefill would be taken for a dead engine.
 func TestBusyPeerIsNotSilent(t *testing.T) {
-	a := authority(t)
+	a := newAuthority(t)
 
-	// Slower than in other tests, beats and silence alike: on a busy machine a process may
-	// not come to run for a fifth of a second.
-	slowly := func(cfg Config) Config {
-		cfg.Silence *= 10
-		cfg.Beat *= 10
+	// Ten times the interval and timeout of the other tests: on a busy machine a process
+	// may not be scheduled for 200 ms.
+	slowConfig := func(cfg Config) Config {
+		cfg.StreamTimeout *= 10
+		cfg.HeartbeatInterval *= 10
 
 		return cfg
 	}
-	cfg := slowly(quick(keysOf(t, a, "engine-1", "side")))
+	cfg := slowConfig(testConfig(tlsConfigFor(t, a, "engine-1", "side")))
 	s := serve(t, cfg, func(ctx context.Context, from Identity, st *Stream) {
 		if _, err := st.Receive(); err != nil {
 			return
 		}
 
-		busy := time.NewTimer(3 * cfg.Silence)
+		busy := time.NewTimer(3 * cfg.StreamTimeout)
 		defer busy.Stop()
 
 		<-busy.C
@@ -189,28 +189,28 @@
 		_ = st.Send(message.Ack{})
 	})
 
-	d := dialer(t, slowly(quick(keysOf(t, a, "entry-1", "entry"))))
+	d := newTestDialer(t, slowConfig(testConfig(tlsConfigFor(t, a, "entry-1", "entry"))))
 	if err := ask(d, Address{VM: "engine-1", Addr: s.Addr()}); err != nil {
 		t.Errorf("got %v, want no error", err)
 	}
 }
 
-// flows passes datagrams between a dialer and a server, as a machine on the way
-// does that keeps track of flows, and can lose track of those that it has. It can
-// also drop what the server sends.
-type flows struct {
-	t      *testing.T
-	front  *net.UDPConn
-	server *net.UDPAddr
+// natProxy forwards datagrams between a dialer and a server like a NAT, which keeps
+// state per flow. It can expire the state of its flows, and drop the datagrams that
+// the server sends.
+type natProxy struct {
+	t       *testing.T
+	front   *net.UDPConn
+	backend *net.UDPAddr
 
 	mu       sync.Mutex
-	known    map[string]*net.UDPConn
-	lost     map[string]bool
+	flows    map[string]*net.UDPConn
+	expired  map[string]bool
 	dropping bool
 	dropped  int
 }
 
-func newFlows(t *testing.T, server string) *flows {
+func newNATProxy(t *testing.T, server string) *natProxy {
 	t.Helper()
 
 	to, err := net.ResolveUDPAddr("udp", server)
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 
-	f := &flows{t: t, front: front, server: to, known: map[string]*net.UDPConn{}, lost: map[string]bool{}}
+	f := &natProxy{t: t, front: front, backend: to, flows: map[string]*net.UDPConn{}, expired: map[string]bool{}}
 
 	go f.forward()
 	t.Cleanup(f.close)
@@ -231,44 +231,44 @@
 	return f
 }
 
-func (f *flows) close() {
+func (f *natProxy) close() {
 	_ = f.front.Close()
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	for _, c := range f.known {
+	for _, c := range f.flows {
 		_ = c.Close()
 	}
 }
 
-// forget loses track of all flows that are open now.
-func (f *flows) forget() {
+// expireFlows drops the state of all flows that are open now.
+func (f *natProxy) expireFlows() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	for from := range f.known {
-		f.lost[from] = true
+	for from := range f.flows {
+		f.expired[from] = true
 	}
 }
 
-// drop begins or ends dropping what the server sends.
-func (f *flows) drop(dropping bool) {
+// setDropping begins or ends dropping the datagrams that the server sends.
+func (f *natProxy) setDropping(dropping bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.dropping = dropping
 }
 
-// drops returns how many datagrams of the server were dropped.
-func (f *flows) drops() int {
+// droppedCount returns how many datagrams from the server were dropped.
+func (f *natProxy) droppedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	return f.dropped
 }
 
-func (f *flows) forward() {
+func (f *natProxy) forward() {
 	buf := make([]byte, 64<<10)
 
 	for {
@@ -283,32 +283,32 @@
 	}
 }
 
-func (f *flows) flow(from *net.UDPAddr) *net.UDPConn {
+func (f *natProxy) flow(from *net.UDPAddr) *net.UDPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.lost[from.String()] {
+	if f.expired[from.String()] {
 		return nil
 	}
 
-	c := f.known[from.String()]
+	c := f.flows[from.String()]
 	if c == nil {
 		var err error
 
-		c, err = net.DialUDP("udp", nil, f.server)
+		c, err = net.DialUDP("udp", nil, f.backend)
 		if err != nil {
 			return nil
 		}
 
-		f.known[from.String()] = c
+		f.flows[from.String()] = c
 
-		go f.back(c, from)
+		go f.forwardReplies(c, from)
 	}
 
 	return c
 }
 
-func (f *flows) back(c *net.UDPConn, to *net.UDPAddr) {
+func (f *natProxy) forwardReplies(c *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 
 	for {
@@ -317,14 +317,14 @@
 			return
 		}
 
-		if f.passes(to.String()) {
+		if f.allowsReply(to.String()) {
 			_, _ = f.front.WriteToUDP(buf[:n], to)
 		}
 	}
 }
 
-// passes reports whether a datagram of the server reaches a dialer.
-func (f *flows) passes(to string) bool {
+// allowsReply reports whether a datagram of the server reaches a dialer.
+func (f *natProxy) allowsReply(to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -332,40 +332,40 @@
 		f.dropped++
 	}
 
-	return !f.dropping && !f.lost[to]
+	return !f.dropping && !f.expired[to]
 }
 
-// A machine between the ends loses track of an open connection: nothing fails,
-// nothing arrives any more, and new connections work. A caller would wait until
-// its deadline, and so would the next one on the same connection.
+// A middlebox loses the state of an open connection: no error is reported, nothing
+// arrives any more, and new connections work. Without the timeout a caller would wait
+// until its deadline, and so would the next one on the same connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	a := authority(t)
-	s := serve(t, quick(keysOf(t, a, "engine-1", "side")), answerAck)
-	between := newFlows(t, s.Addr())
-	d := dialer(t, quick(keysOf(t, a, "entry-1", "entry")))
-	to := Address{VM: "engine-1", Addr: between.front.LocalAddr().String()}
+	a := newAuthority(t)
+	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), respondAck)
+	proxy := newNATProxy(t, s.Addr())
+	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
+	to := Address{VM: "engine-1", Addr: proxy.front.LocalAddr().String()}
 
 	if err := ask(d, to); err != nil {
 		t.Fatalf("before: %v", err)
 	}
 
-	between.forget()
+	proxy.expireFlows()
 
 	err := ask(d, to)
 	if got, want := failure.KindOf(err), failure.TargetLost; err == nil || got != want {
-		t.Errorf("on the silent connection: got %v (%v), want %v", got, err, want)
+		t.Errorf("on the unresponsive connection: got %v (%v), want %v", got, err, want)
 	}
 
 	if err := ask(d, to); err != nil {
-		t.Errorf("after: got %v, want an answer on a new connection", err)
+		t.Errorf("after: got %v, want a response on a new connection", err)
 	}
 }
 
-// A process dies and another takes its address. The dialer still holds the old
-// connection, and its next conversation must not be lost to it.
+// A process dies and another listens on its address. The dialer still holds the old
+// connection and must replace it.
 func TestRestartedPeerIsReached(t *testing.T) {
-	a := authority(t)
-	keys := quick(keysOf(t, a, "engine-1", "side"))
+	a := newAuthority(t)
+	keys := testConfig(tlsConfigFor(t, a, "engine-1", "side"))
 
 	first, err := Listen(keys, "127.0.0.1:0", logr.Discard())
 	if err != nil {
@@ -375,9 +375,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	go func() { _ = first.Serve(ctx, answerAck) }()
+	go func() { _ = first.Serve(ctx, respondAck) }()
 
-	d := dialer(t, quick(keysOf(t, a, "entry-1", "entry")))
+	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
 	to := Address{VM: "engine-1", Addr: first.Addr()}
 
 	if err := ask(d, to); err != nil {
@@ -393,21 +393,21 @@
 
 	defer second.Close()
 
-	go func() { _ = second.Serve(ctx, answerAck) }()
+	go func() { _ = second.Serve(ctx, respondAck) }()
 
-	_ = ask(d, to) // may still meet the old connection
+	_ = ask(d, to) // may still use the old connection
 
 	if err := ask(d, to); err != nil {
-		t.Errorf("after: got %v, want an answer", err)
+		t.Errorf("after: got %v, want a response", err)
 	}
 }
 
-// A caller goes away. The run must end at the engine, or its place would stay
-// taken for nobody.
+// A caller disconnects. The run must end at the engine, or its batch slot would stay
+// in use.
 func TestCancelReachesThePeer(t *testing.T) {
-	a := authority(t)
+	a := newAuthority(t)
 	begun, ended := make(chan struct{}), make(chan struct{})
-	s := serve(t, quick(keysOf(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, st *Stream) {
+	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, st *Stream) {
 		if _, err := st.Receive(); err != nil {
 			return
 		}
@@ -416,7 +416,7 @@
 		<-st.Context().Done()
 		close(ended)
 	})
-	d := dialer(t, quick(keysOf(t, a, "entry-1", "entry")))
+	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
 
 	st, err := d.Open(context.Background(), Address{VM: "engine-1", Addr: s.Addr()})
 	if err != nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -13,25 +13,25 @@
 	"boragehub/message"
 )
 
-// Handler answers one conversation. The Stream is closed when it returns.
+// Handler serves one stream. The Stream is closed when it returns.
 type Handler func(ctx context.Context, from Identity, s *Stream)
 
-// Server accepts conversations.
+// Server accepts connections from peers and serves their streams. Use Listen.
 type Server struct {
-	cfg      Config
-	log      logr.Logger
-	socket   *net.UDPConn
-	tr       *quic.Transport
-	listener *quic.Listener
-	serving  sync.WaitGroup
+	cfg        Config
+	log        logr.Logger
+	socket     *net.UDPConn
+	transport  *quic.Transport
+	listener   *quic.Listener
+	serveCalls sync.WaitGroup
 
 	mu       sync.Mutex
 	stopping bool
 	sessions map[*session]struct{}
 }
 
-// Listen binds addr, an IP and UDP port. No other process can bind it while
-// this one lives, frozen or not.
+// Listen binds addr, an IP address and UDP port. No other process can bind it while
+// this one lives, even while it is paused. Errors are failure.BadSettings.
 func Listen(cfg Config, addr string, log logr.Logger) (*Server, error) {
 	cfg = cfg.withDefaults()
 
@@ -54,38 +54,39 @@
 		return nil, failure.Wrap(failure.BadSettings, err, "QUIC on %q", addr)
 	}
 
-	return &Server{cfg: cfg, log: log, socket: socket, tr: tr, listener: l, sessions: map[*session]struct{}{}}, nil
+	return &Server{cfg: cfg, log: log, socket: socket, transport: tr, listener: l, sessions: map[*session]struct{}{}}, nil
 }
 
 // Addr returns the bound address.
 func (s *Server) Addr() string { return s.socket.LocalAddr().String() }
 
-// Serve accepts until ctx ends, or Shutdown or Close is called.
+// Serve accepts connections until ctx ends, or Shutdown or Close is called. It
+// returns an error only when accepting fails for another reason.
 func (s *Server) Serve(ctx context.Context, h Handler) error {
-	if !s.begin() {
+	if !s.beginServe() {
 		return nil
 	}
 
-	defer s.serving.Done()
+	defer s.serveCalls.Done()
 
 	for {
 		q, err := s.listener.Accept(ctx)
 		if err != nil {
-			if ctx.Err() != nil || s.stops() {
+			if ctx.Err() != nil || s.isStopping() {
 				return nil
 			}
 
 			return err
 		}
 
-		if c, ok := s.admit(q); ok { //nolint:contextcheck // the connection has a context of its own
-			go s.serve(ctx, c, h)
+		if c, ok := s.addSession(q); ok { //nolint:contextcheck // the connection has a context of its own
+			go s.acceptStreams(ctx, c, h)
 		}
 	}
 }
 
-// begin notes that Serve runs, unless the server stops.
-func (s *Server) begin() bool {
+// beginServe registers a running Serve call; it returns false after Shutdown began.
+func (s *Server) beginServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -93,13 +94,14 @@
 		return false
 	}
 
-	s.serving.Add(1)
+	s.serveCalls.Add(1)
 
 	return true
 }
 
-// admit takes a new connection in, unless the server stops.
-func (s *Server) admit(q *quic.Conn) (*session, bool) {
+// addSession registers a new connection; after Shutdown began it closes the
+// connection instead and returns false.
+func (s *Server) addSession(q *quic.Conn) (*session, bool) {
 	c := newSession(q)
 
 	s.mu.Lock()
@@ -112,57 +114,59 @@
 	s.mu.Unlock()
 
 	if stopping {
-		_ = q.CloseWithError(codeUnserved, "")
+		_ = q.CloseWithError(codeNotProcessed, "")
 
 		return nil, false
 	}
 
-	context.AfterFunc(q.Context(), func() { s.forget(c) })
+	context.AfterFunc(q.Context(), func() { s.removeSession(c) })
 
 	return c, true
 }
 
-func (s *Server) forget(c *session) {
+func (s *Server) removeSession(c *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	delete(s.sessions, c)
 }
 
-// stops reports whether Shutdown was called.
-func (s *Server) stops() bool {
+// isStopping reports whether Shutdown has begun.
+func (s *Server) isStopping() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	return s.stopping
 }
 
-func (s *Server) serve(ctx context.Context, c *session, h Handler) {
-	from := identify(c.q.ConnectionState().TLS.PeerCertificates)
+func (s *Server) acceptStreams(ctx context.Context, c *session, h Handler) {
+	from := identify(c.conn.ConnectionState().TLS.PeerCertificates)
 	if from.VM == "" {
-		event.Log(s.log, event.PeerRefused, "addr", c.q.RemoteAddr().String(), "reason", "no VM name in its certificate")
+		event.Log(s.log, event.PeerRefused, "addr", c.conn.RemoteAddr().String(), "reason", "the certificate has no VM name")
 
-		_ = c.q.CloseWithError(codeStopped, "no VM name")
+		_ = c.conn.CloseWithError(codeStopped, "no VM name")
 
 		return
 	}
 
 	for {
-		stream, err := c.q.AcceptStream(ctx)
-		if err != nil || !c.begin() {
+		stream, err := c.conn.AcceptStream(ctx)
+		if err != nil || !c.admit() {
 			return
 		}
 
-		t := newStream(stream, s.cfg, func(error) { _ = c.q.CloseWithError(codeSilent, "silent") })
+		t := newStream(stream, s.cfg, func(error) { _ = c.conn.CloseWithError(codeUnresponsive, "silent") })
 
-		go c.converse(func() { h(ctx, from, t) }, t)
+		go c.handle(func() { h(ctx, from, t) }, t)
 	}
 }
 
-// Shutdown stops the server without leaving a peer in doubt: it looks at no further
-// conversation, waits until the peers have the answers of those that it looked at, and
-// then closes each connection with word that nothing else was looked at. What it
-// waits for when ctx ends is cut off. Serve returns.
+// Shutdown stops the server so that peers know which requests were processed: it
+// accepts no further stream, waits until the peers have received the responses on
+// those accepted, and then closes each connection with codeNotProcessed, which says
+// that no other stream was processed. A connection on which the peer may lack a
+// response, since ctx ended or the peer was slow to read, is closed with codeStopped.
+// Serve returns.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
@@ -174,9 +178,9 @@
 
 	s.mu.Unlock()
 
-	// Serve takes what is left in the listener's queue and turns it away.
+	// Serve accepts the connections left in the listener's queue and closes them.
 	_ = s.listener.Close()
-	s.serving.Wait()
+	s.serveCalls.Wait()
 
 	var closed sync.WaitGroup
 
@@ -188,14 +192,14 @@
 	s.Close()
 }
 
-// Close ends all connections at once, as the death of the process would.
+// Close ends all connections at once, without waiting for streams in flight.
 func (s *Server) Close() {
 	_ = s.listener.Close()
-	_ = s.tr.Close()
+	_ = s.transport.Close()
 	_ = s.socket.Close()
 }
 
-// Refuse ends a conversation with the answer for err.
+// Refuse sends err to the peer as the response on s.
 func Refuse(s *Stream, err error) {
 	_ = s.Send(message.Refusal(err))
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -8,108 +8,113 @@
 	"github.com/quic-go/quic-go"
 )
 
-// session is a peer's connection to a Server, with the conversations on it that the
-// Server looked at and whose answers the peer may not have yet.
+// session is a peer's connection to a Server, with counts of the accepted streams
+// whose responses the peer may not have received.
 //
-// A connection that is closed takes with it what has arrived on it and was not
-// accepted, and what was answered and has not arrived. The peer can't tell one
-// from the other, nor either from a process that died, and has to take each request for
-// one that may have run. So a session that ends first stops accepting, then waits
-// until the peer has all answers; whatever has no answer then was never looked at, and
-// codeUnserved says so.
+// Closing a connection discards both the requests that arrived and were not
+// accepted, and the responses that were sent and not delivered. The peer can't tell
+// one from the other, nor either from a crashed process, and has to assume for each
+// request that it may have run. A closing session therefore first stops accepting,
+// then waits until the peer has all responses; a request without a response then was
+// never processed, and codeNotProcessed says so.
 type session struct {
-	q *quic.Conn
+	conn *quic.Conn
 
-	mu      sync.Mutex
-	ending  bool
-	running int
-	unread  int           // answered, and the peer is slow to read the answer
-	drained chan struct{} // closed once ending and nothing is running
+	mu             sync.Mutex
+	closing        bool
+	inFlight       int
+	unacknowledged int           // streams whose response the peer did not read within StreamTimeout
+	drained        chan struct{} // closed once closing is set and inFlight is zero
 }
 
 func newSession(q *quic.Conn) *session {
-	return &session{q: q, drained: make(chan struct{})}
+	return &session{conn: q, drained: make(chan struct{})}
 }
 
-// begin takes a conversation in, unless the session is ending.
-func (c *session) begin() bool {
+// admit counts a new stream as in flight; it returns false if the session is closing.
+func (c *session) admit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if c.ending {
+	if c.closing {
 		return false
 	}
 
-	c.running++
+	c.inFlight++
 
 	return true
 }
 
-// converse answers a conversation that was taken in.
-func (c *session) converse(answer func(), t *Stream) {
-	answer()
+// handle runs the handler of an admitted stream and waits until the peer has
+// received the response.
+func (c *session) handle(respond func(), t *Stream) {
+	respond()
 
-	received := t.finish()
-	c.answered(received)
+	received := t.awaitReceipt()
+	c.release(received)
 
 	if !received {
-		t.awaitEnd(time.Time{})
-		c.caughtUp()
+		t.awaitPeerClose(time.Time{})
+		c.acknowledge()
 	}
 }
 
-// answered ends a conversation; received says that the peer has the answer.
-func (c *session) answered(received bool) {
+// release counts a stream as no longer in flight; received reports whether the peer
+// has the response.
+func (c *session) release(received bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.running--
+	c.inFlight--
 
 	if !received {
-		c.unread++
+		c.unacknowledged++
 	}
 
-	c.settle()
+	c.closeIfDrained()
 }
 
-// caughtUp notes that a slow peer has an answer after all.
-func (c *session) caughtUp() {
+// acknowledge records that a slow peer has received a response late, or that its
+// connection is gone.
+func (c *session) acknowledge() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.unread--
+	c.unacknowledged--
 }
 
-func (c *session) settle() {
-	if c.ending && c.running == 0 {
+func (c *session) closeIfDrained() {
+	if c.closing && c.inFlight == 0 {
 		close(c.drained)
 	}
 }
 
-// shutdown ends the session, at the latest when ctx ends.
+// shutdown stops admission, waits until the session is drained or ctx ends, and closes
+// the connection.
 func (c *session) shutdown(ctx context.Context) {
 	c.mu.Lock()
-	c.ending = true
-	c.settle()
+	c.closing = true
+	c.closeIfDrained()
 	c.mu.Unlock()
 
 	select {
 	case <-c.drained:
-	case <-c.q.Context().Done():
+	case <-c.conn.Context().Done():
 	case <-ctx.Done():
 	}
 
-	_ = c.q.CloseWithError(c.code(), "")
+	_ = c.conn.CloseWithError(c.closeCode(), "")
 }
 
-// code says how the session ends.
-func (c *session) code() quic.ApplicationErrorCode {
+// closeCode returns the code to close the connection with: codeNotProcessed only if
+// the peer has every response.
+func (c *session) closeCode() quic.ApplicationErrorCode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if c.running > 0 || c.unread > 0 {
+	if c.inFlight > 0 || c.unacknowledged > 0 {
 		return codeStopped
 	}
 
-	return codeUnserved
+	return codeNotProcessed
 }
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -13,18 +13,18 @@
 	"boragehub/message"
 )
 
-// stopWait bounds how long a stopping server waits for conversations.
-const stopWait = 10 * time.Second
+// shutdownTimeout bounds how long a stopping server waits for streams in flight.
+const shutdownTimeout = 10 * time.Second
 
-// stoppable is a server that stops as a process does that got SIGTERM.
-type stoppable struct {
+// stoppableServer is a server that stops like a process that got SIGTERM.
+type stoppableServer struct {
 	*Server
 
 	cancel context.CancelFunc
-	ended  chan struct{}
+	served chan struct{}
 }
 
-func serveUntilStopped(t *testing.T, cfg Config, h Handler) *stoppable {
+func serveUntilStopped(t *testing.T, cfg Config, h Handler) *stoppableServer {
 	t.Helper()
 
 	s, err := Listen(cfg, "127.0.0.1:0", logr.Discard())
@@ -33,10 +33,10 @@
 	}
 
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &stoppable{s, cancel, make(chan struct{})}
+	p := &stoppableServer{s, cancel, make(chan struct{})}
 
 	go func() {
-		defer close(p.ended)
+		defer close(p.served)
 
 		if err := s.Serve(ctx, h); err != nil {
 			t.Errorf("got %v, want no error", err)
@@ -45,52 +45,53 @@
 	t.Cleanup(func() {
 		cancel()
 		s.Close()
-		<-p.ended
+		<-p.served
 	})
 
 	return p
 }
 
-// stop stops the server, and is done when the process would be gone.
-func (p *stoppable) stop() (done <-chan struct{}) {
+// stop shuts the server down; done is closed when the process would have ended.
+func (p *stoppableServer) stop() (done <-chan struct{}) {
 	gone := make(chan struct{})
 
 	go func() {
 		defer close(gone)
 
-		ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 
 		p.Shutdown(ctx)
 		p.cancel()
-		<-p.ended
+		<-p.served
 	}()
 
 	return gone
 }
 
-// names keeps the names of what a handler was asked for.
-type names struct {
+// nameSet holds the names of the views that a handler received requests for.
+type nameSet struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-func (n *names) add(name string) {
+func (n *nameSet) add(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	n.seen[name] = true
 }
 
-func (n *names) has(name string) bool {
+func (n *nameSet) has(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	return n.seen[name]
 }
 
-// viewed answers message.View by its name, and notes the name before.
-func viewed(n *names) Handler {
+// viewHandler returns a Handler that records the name in a message.View in n and then
+// responds with it.
+func viewHandler(n *nameSet) Handler {
 	return func(_ context.Context, _ Identity, s *Stream) {
 		m, err := s.Receive()
 		if err != nil {
@@ -108,9 +109,9 @@
 	}
 }
 
-// converse asks for a view by name; opened is false when no conversation could be
-// opened, so that nothing was sent.
-func converse(d *Dialer, a Address, name string) (opened bool, err error) {
+// requestView requests a view by name; opened is false if no stream could be opened,
+// so that nothing was sent.
+func requestView(d *Dialer, a Address, name string) (opened bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
@@ -132,36 +133,36 @@
 
 	v, err := message.Expect[message.Viewed](m)
 	if err == nil && string(v.JSON) != name {
-		err = failure.New(failure.Internal, "got the answer to %q", v.JSON)
+		err = failure.New(failure.Internal, "got the response to %q", v.JSON)
 	}
 
 	return true, err
 }
 
-// A side process is stopped while entries go on with their conversations on the
-// connections that they keep. What it has not looked at any more was not run, but the
-// entry only hears nothing, for two seconds; then it has to tell its caller that
-// the booking may have been made.
+// A side process stops while entries keep sending requests on their open connections.
+// The requests that it did not process were not run, but without a refusal an entry
+// times out after two seconds and has to tell its caller that the booking may have
+// been made.
 func TestStoppingServerLeavesNoConversationInDoubt(t *testing.T) {
-	const entries, lanes = 4, 4
+	const entries, workers = 4, 4
 
-	a := authority(t)
-	ran := &names{seen: map[string]bool{}}
-	s := serveUntilStopped(t, quick(keysOf(t, a, "engine-1", "side")), viewed(ran))
+	a := newAuthority(t)
+	ran := &nameSet{seen: map[string]bool{}}
+	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), viewHandler(ran))
 	to := Address{VM: "engine-1", Addr: s.Addr()}
 
 	var warm, all sync.WaitGroup
 
 	for i := range entries {
-		d := dialer(t, quick(keysOf(t, a, fmt.Sprintf("entry-%d", i), "entry")))
+		d := newTestDialer(t, testConfig(tlsConfigFor(t, a, fmt.Sprintf("entry-%d", i), "entry")))
 
-		for j := range lanes {
+		for j := range workers {
 			warm.Add(1)
 			all.Go(func() {
 				for n := 0; ; n++ {
-					name := fmt.Sprintf("booking %d of lane %d of entry %d", n, j, i)
+					name := fmt.Sprintf("booking %d of worker %d of entry %d", n, j, i)
 
-					opened, err := converse(d, to, name)
+					opened, err := requestView(d, to, name)
 					if n == 0 {
 						warm.Done()
 					}
@@ -171,7 +172,7 @@
 					}
 
 					if opened && failure.KindOf(err).Answer().Ran != failure.NotRun {
-						t.Errorf("%s: got %v, want an answer or a refusal", name, err)
+						t.Errorf("%s: got %v, want a response or a refusal", name, err)
 					}
 
 					if ran.has(name) {
@@ -189,28 +190,28 @@
 	all.Wait()
 }
 
-// Between the end of its last conversation and its own end a stopping process still
-// has things to put away. A conversation that is begun in between reaches a
-// process that looks at nothing any more.
+// Between its last stream and its exit a stopping process still releases resources. A
+// stream opened in that time reaches a process that accepts no streams any more.
 func TestConversationAfterTheLastOneIsRefused(t *testing.T) {
-	a := authority(t)
-	ran := &names{seen: map[string]bool{}}
-	s := serveUntilStopped(t, quick(keysOf(t, a, "engine-1", "side")), viewed(ran))
+	a := newAuthority(t)
+	ran := &nameSet{seen: map[string]bool{}}
+	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), viewHandler(ran))
 	to := Address{VM: "engine-1", Addr: s.Addr()}
-	d := dialer(t, quick(keysOf(t, a, "entry-1", "entry")))
+	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
 
-	if _, err := converse(d, to, "first"); err != nil {
+	if _, err := requestView(d, to, "first"); err != nil {
 		t.Fatal(err)
 	}
 
-	// Sent before the process ends and looked at by nobody, since nothing is accepted.
+	// The second request is sent before the process ends and never processed, since
+	// Serve has returned and accepts no stream.
 	s.cancel()
-	<-s.ended
+	<-s.served
 
 	refused := make(chan error, 1)
 
 	go func() {
-		opened, err := converse(d, to, "second")
+		opened, err := requestView(d, to, "second")
 		if opened && err != nil && failure.KindOf(err).Answer().Ran != failure.NotRun {
 			refused <- err
 
@@ -227,71 +228,71 @@
 	}
 }
 
-// The datagrams with the last answer are lost on their way, as on a full link, and
-// the process that would send them again has gone: the caller of a booking that
-// was made hears nothing of it.
+// The datagrams with the last response are lost, as on a congested link. If the process
+// exits before it retransmits them, the caller of a booking that was made gets no
+// response.
 func TestLastAnswerIsSentAgain(t *testing.T) {
-	a := authority(t)
-	asked, release, answered := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	cfg := quick(keysOf(t, a, "engine-1", "side"))
-	cfg.Silence = stopWait
+	a := newAuthority(t)
+	requested, release, responded := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	cfg := testConfig(tlsConfigFor(t, a, "engine-1", "side"))
+	cfg.StreamTimeout = shutdownTimeout
 	s := serveUntilStopped(t, cfg, func(_ context.Context, _ Identity, st *Stream) {
 		if _, err := st.Receive(); err != nil {
 			return
 		}
 
-		close(asked)
+		close(requested)
 		<-release
 
 		_ = st.Send(message.Viewed{JSON: []byte("the booking")})
 
-		close(answered)
+		close(responded)
 	})
-	between := newFlows(t, s.Addr())
-	own := quick(keysOf(t, a, "entry-1", "entry"))
-	own.Silence = stopWait
-	d := dialer(t, own)
-	heard := make(chan error, 1)
+	proxy := newNATProxy(t, s.Addr())
+	clientCfg := testConfig(tlsConfigFor(t, a, "entry-1", "entry"))
+	clientCfg.StreamTimeout = shutdownTimeout
+	d := newTestDialer(t, clientCfg)
+	result := make(chan error, 1)
 
 	go func() {
-		_, err := converse(d, Address{VM: "engine-1", Addr: between.front.LocalAddr().String()}, "the booking")
-		heard <- err
+		_, err := requestView(d, Address{VM: "engine-1", Addr: proxy.front.LocalAddr().String()}, "the booking")
+		result <- err
 	}()
 
-	<-asked
-	between.drop(true)
+	<-requested
+	proxy.setDropping(true)
 	close(release)
-	<-answered
+	<-responded
 
 	gone := s.stop()
 
-	awaitEither(gone, func() bool { return between.drops() >= 4 })
-	between.drop(false)
+	waitUntil(gone, func() bool { return proxy.droppedCount() >= 4 })
+	proxy.setDropping(false)
 
-	if err := <-heard; err != nil {
-		t.Errorf("got %v, want the answer", err)
+	if err := <-result; err != nil {
+		t.Errorf("got %v, want the response", err)
 	}
 
 	<-gone
 }
 
-// An entry is held up for a moment and has not read the last answer, which lies in its
-// machine's memory, when the process that gave it goes. Word that the connection is
-// closed must not overtake the answer.
+// An entry is delayed and has not read the last response from its receive buffer when
+// the process that sent it exits. The close of the connection must not discard the
+// response.
 func TestSlowReaderGetsTheLastAnswer(t *testing.T) {
-	a := authority(t)
-	answered := make(chan struct{})
-	s := serveUntilStopped(t, quick(keysOf(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, st *Stream) {
+	a := newAuthority(t)
+	responded := make(chan struct{})
+	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, st *Stream) {
 		if _, err := st.Receive(); err != nil {
 			return
 		}
 
 		_ = st.Send(message.Viewed{JSON: []byte("the booking")})
 
-		close(answered)
+		close(responded)
 	})
 
-	st, err := dialer(t, quick(keysOf(t, a, "entry-1", "entry"))).Open(t.Context(), Address{VM: "engine-1", Addr: s.Addr()})
+	st, err := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry"))).Open(t.Context(), Address{VM: "engine-1", Addr: s.Addr()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,14 +301,14 @@
 		t.Fatal(err)
 	}
 
-	<-answered
+	<-responded
 
 	gone := s.stop()
-	held := time.After(s.cfg.Silence / 4)
+	delay := time.After(s.cfg.StreamTimeout / 4)
 
-	awaitEither(gone, func() bool {
+	waitUntil(gone, func() bool {
 		select {
-		case <-held:
+		case <-delay:
 			return true
 		default:
 			return false
@@ -315,15 +316,15 @@
 	})
 
 	if _, err := st.Receive(); err != nil {
-		t.Errorf("got %v, want the answer", err)
+		t.Errorf("got %v, want the response", err)
 	}
 
 	st.Close()
 	<-gone
 }
 
-// awaitEither waits until done is closed or ok holds.
-func awaitEither(done <-chan struct{}, ok func() bool) {
+// waitUntil waits until done is closed or ok returns true.
+func waitUntil(done <-chan struct{}, ok func() bool) {
 	for !ok() {
 		select {
 		case <-done:
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -15,79 +15,82 @@
 	"boragehub/message"
 )
 
-// Codes with which a stream or connection is ended.
+// Error codes with which a stream or connection is closed. They are sent to the peer.
 const (
-	codeCancelled quic.StreamErrorCode      = 1
-	codeSilent    quic.ApplicationErrorCode = 2
-	codeStopped   quic.ApplicationErrorCode = 3
-	// codeUnserved says that what has no answer on this connection was not looked at.
-	codeUnserved quic.ApplicationErrorCode = 4
+	codeCancelled    quic.StreamErrorCode      = 1
+	codeUnresponsive quic.ApplicationErrorCode = 2
+	codeStopped      quic.ApplicationErrorCode = 3
+	// codeNotProcessed says that requests without a response on this connection were
+	// not processed.
+	codeNotProcessed quic.ApplicationErrorCode = 4
 )
 
-const streamBuffer = 4 << 10
+const readBufferBytes = 4 << 10
 
-// Stream is one conversation. Send may be called from several goroutines,
-// Receive from one.
+// Stream carries one exchange of messages with a peer. Send may be called from
+// several goroutines, Receive from one.
 type Stream struct {
-	s       *quic.Stream
-	r       *bufio.Reader
-	cfg     Config
-	abandon func(error)
-	stop    chan struct{}
-	once    sync.Once
-
-	mu sync.Mutex // orders frames
+	s             *quic.Stream
+	r             *bufio.Reader
+	cfg           Config
+	closeConn     func(error)
+	heartbeatStop chan struct{}
+	stopOnce      sync.Once
+
+	writeMu sync.Mutex // serialises frames
 }
 
 func newStream(s *quic.Stream, cfg Config, abandon func(error)) *Stream {
 	t := &Stream{
-		s:       s,
-		r:       bufio.NewReaderSize(s, streamBuffer),
-		cfg:     cfg,
-		abandon: abandon,
-		stop:    make(chan struct{}),
+		s:             s,
+		r:             bufio.NewReaderSize(s, readBufferBytes),
+		cfg:           cfg,
+		closeConn:     abandon,
+		heartbeatStop: make(chan struct{}),
 	}
 
-	go t.beat()
+	go t.sendHeartbeats()
 
 	return t
 }
 
-// Context ends when the peer has cancelled the conversation or its connection is gone.
+// Context returns a context that ends when the peer has cancelled the stream or the
+// connection is closed.
 func (t *Stream) Context() context.Context { return t.s.Context() }
 
-// Send writes one message. A peer that takes nothing for the time of silence
-// loses this conversation alone: it may only be slow to read this one, and its
-// connection carries others.
+// Send writes one message. If the peer does not accept it within StreamTimeout, only
+// this stream is cancelled and the error is failure.TargetLost: the peer may just be
+// slow to read this stream, and the connection carries others.
 func (t *Stream) Send(m message.Message) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	t.writeMu.Lock()
+	defer t.writeMu.Unlock()
 
-	if err := t.s.SetWriteDeadline(time.Now().Add(t.cfg.Silence)); err != nil {
-		return t.explain(err)
+	if err := t.s.SetWriteDeadline(time.Now().Add(t.cfg.StreamTimeout)); err != nil {
+		return t.classifyError(err)
 	}
 
 	err := message.Write(t.s, m)
 	if isTimeout(err) {
 		t.Cancel()
 
-		return failure.Wrap(failure.TargetLost, err, "the peer takes nothing in")
+		return failure.Wrap(failure.TargetLost, err, "timed out sending to the peer")
 	}
 
-	return t.explain(err)
+	return t.classifyError(err)
 }
 
-// Receive returns the next message other than Beat. A peer that falls silent
-// gives failure.TargetLost, and its connection is abandoned.
+// Receive returns the next message other than message.Beat. If neither a message nor a
+// heartbeat arrives within StreamTimeout, it returns failure.TargetLost and closes
+// the connection.
 func (t *Stream) Receive() (message.Message, error) {
 	for {
-		if err := t.s.SetReadDeadline(time.Now().Add(t.cfg.Silence)); err != nil {
-			return nil, t.explain(err)
+		if err := t.s.SetReadDeadline(time.Now().Add(t.cfg.StreamTimeout)); err != nil {
+			return nil, t.classifyError(err)
 		}
 
 		m, err := message.Read(t.r)
 		if err != nil {
-			return nil, t.explain(err)
+			return nil, t.classifyError(err)
 		}
 
 		if _, ok := m.(message.Beat); !ok {
@@ -96,34 +99,35 @@
 	}
 }
 
-// Close ends this end's part of the conversation in order.
+// Close closes the sending side and stops reading.
 func (t *Stream) Close() {
-	t.halt()
+	t.stopHeartbeats()
 
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	t.writeMu.Lock()
+	defer t.writeMu.Unlock()
 
 	_ = t.s.Close()
 
 	t.s.CancelRead(codeCancelled)
 }
 
-// finish ends the answering end and waits for a while until the peer has the whole
-// answer, or has given the conversation up: it closes its own end only then. An answer
-// that was written may still be on its way, or lost there, or unread in the peer's memory.
-func (t *Stream) finish() (received bool) {
-	t.halt()
+// awaitReceipt closes the sending side and waits up to StreamTimeout until the peer
+// closes its side, which it does only once it has the complete response or has
+// cancelled the stream. A response that was written may still be in transit, lost, or
+// unread in the peer's receive buffer.
+func (t *Stream) awaitReceipt() (received bool) {
+	t.stopHeartbeats()
 
-	t.mu.Lock()
+	t.writeMu.Lock()
 	_ = t.s.Close()
-	t.mu.Unlock()
+	t.writeMu.Unlock()
 
-	return t.awaitEnd(time.Now().Add(t.cfg.Silence))
+	return t.awaitPeerClose(time.Now().Add(t.cfg.StreamTimeout))
 }
 
-// awaitEnd waits until the peer has closed its end or the connection is gone; it returns
-// false when the deadline comes first. The zero deadline never comes.
-func (t *Stream) awaitEnd(deadline time.Time) bool {
+// awaitPeerClose waits until the peer has closed its side or the connection is closed;
+// it returns false if the deadline passes first. A zero deadline means no deadline.
+func (t *Stream) awaitPeerClose(deadline time.Time) bool {
 	if t.s.SetReadDeadline(deadline) != nil {
 		return true
 	}
@@ -138,21 +142,22 @@
 	return true
 }
 
-// Cancel breaks the conversation off; the peer's Context ends.
+// Cancel aborts the stream in both directions; the peer's Context ends.
 func (t *Stream) Cancel() {
-	t.halt()
+	t.stopHeartbeats()
 	t.s.CancelRead(codeCancelled)
 	t.s.CancelWrite(codeCancelled)
 }
 
-func (t *Stream) halt() {
-	t.once.Do(func() { close(t.stop) })
+func (t *Stream) stopHeartbeats() {
+	t.stopOnce.Do(func() { close(t.heartbeatStop) })
 }
 
-// beat keeps telling the peer that this process lives, also while the answer
-// takes long; without it a busy peer could not be told from a dead one.
-func (t *Stream) beat() {
-	tick := time.NewTicker(t.cfg.Beat)
+// sendHeartbeats sends a heartbeat every HeartbeatInterval until the stream ends.
+// Without heartbeats, a peer could not tell a process that takes long to respond from
+// a dead one.
+func (t *Stream) sendHeartbeats() {
+	tick := time.NewTicker(t.cfg.HeartbeatInterval)
 	defer tick.Stop()
 
 	for {
@@ -161,7 +166,7 @@
 			if t.Send(message.Beat{}) != nil {
 				return
 			}
-		case <-t.stop:
+		case <-t.heartbeatStop:
 			return
 		case <-t.s.Context().Done():
 			return
@@ -169,16 +174,16 @@
 	}
 }
 
-// explain gives an error of the transport its kind. Silence ends the whole
-// connection: its other streams are as dead, and waiting on them one after the
-// other would keep callers waiting longer.
-func (t *Stream) explain(err error) error {
+// classifyError gives an error of the transport its failure kind. A timeout closes
+// the whole connection: its other streams receive nothing either, and letting each
+// of them time out in turn would delay their callers further.
+func (t *Stream) classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
 
-	if unserved(err) {
-		return failure.Wrap(failure.Draining, err, "the peer has stopped and not looked at this conversation")
+	if isNotProcessed(err) {
+		return failure.Wrap(failure.Draining, err, "the peer has stopped without processing this request")
 	}
 
 	var known *failure.Error
@@ -187,30 +192,29 @@
 	}
 
 	if isTimeout(err) {
-		t.abandon(err)
+		t.closeConn(err)
 
-		return failure.Wrap(failure.TargetLost, err, "the peer fell silent")
+		return failure.Wrap(failure.TargetLost, err, "the peer is unresponsive")
 	}
 
 	var cancelled *quic.StreamError
 	if errors.As(err, &cancelled) {
-		return failure.Wrap(failure.Cancelled, err, "the peer cancelled the conversation")
+		return failure.Wrap(failure.Cancelled, err, "the peer cancelled the stream")
 	}
 
 	if errors.Is(err, io.EOF) {
-		return failure.Wrap(failure.TargetLost, err, "the peer ended the conversation early")
+		return failure.Wrap(failure.TargetLost, err, "the peer closed the stream early")
 	}
 
-	return failure.Wrap(failure.TargetLost, err, "the connection to the peer is gone")
+	return failure.Wrap(failure.TargetLost, err, "the connection to the peer is closed")
 }
 
-// unserved reports whether a connection was closed by a Server that never looked at
-// what has no answer on it: one that stopped in order, or one that did not accept the
-// connection.
-func unserved(err error) bool {
+// isNotProcessed reports whether err says that the Server did not process a request
+// without a response: it shut down gracefully, or did not accept the connection.
+func isNotProcessed(err error) bool {
 	var closed *quic.ApplicationError
 	if errors.As(err, &closed) {
-		return closed.Remote && closed.ErrorCode == codeUnserved
+		return closed.Remote && closed.ErrorCode == codeNotProcessed
 	}
 
 	var refused *quic.TransportError
