--- a/event/event_test.go
+++ b/event/event_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-const page = "../docs/EVENTS.md"
+const pagePath = "../docs/EVENTS.md"
 
-var update = flag.Bool("update", false, "write "+page+" anew")
+var update = flag.Bool("update", false, "rewrite "+pagePath+" from the catalogue")
 
-// document renders the catalogue as the page for operators.
-func document() string {
+// renderPage renders the catalogue as the page for operators.
+func renderPage() string {
 	var b strings.Builder
 
-	b.WriteString("# Events\n\nEvery log line carries one of these numbers in its field `event`. Written from the catalogue by `go test ./event -update`; a test keeps both the same.\n\n| event | name | meaning |\n| --- | --- | --- |\n")
+	b.WriteString("# Events\n\nEvery log line has one of these numbers in its field `event`. Generated from the catalogue by `go test ./event -update`; a test checks that both are the same.\n\n| event | name | meaning |\n| --- | --- | --- |\n")
 
 	for _, e := range All() {
 		fmt.Fprintf(&b, "| %d | `%s` | %s |\n", e.Number, e.Name, e.Text)
@@ -28,18 +28,18 @@
 
 func TestPageListsTheCatalogue(t *testing.T) {
 	if *update {
-		if err := os.WriteFile(page, []byte(document()), 0o644); err != nil {
+		if err := os.WriteFile(pagePath, []byte(renderPage()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 
-	b, err := os.ReadFile(page)
+	b, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	if got, want := string(b), document(); got != want {
-		t.Errorf("%s differs from the catalogue; run go test ./event -update", page)
+	if got, want := string(b), renderPage(); got != want {
+		t.Errorf("%s differs from the catalogue; run go test ./event -update", pagePath)
 	}
 }
 
--- a/event/output/output.go
+++ b/event/output/output.go
@@ -1,12 +1,12 @@
-// Package output writes log lines without ever holding up whoever logs.
+// Package output writes log lines without blocking the caller.
 //
 // # Model
 //
-// A Writer takes each line into a bounded ring, and one goroutine writes them out
-// in batches. A reader of standard output that stops reading fills the ring;
-// further lines are then left out and counted. So are lines over the budget of a
-// second, so that a fault that makes every request log more doesn't take the
-// processor from the requests. What was left out is told once a second.
+// A Writer puts each line into a bounded ring, and one goroutine writes the lines in
+// batches. If the reader of standard output stops reading, the ring fills up and
+// further lines are dropped and counted. So are lines over a limit per second, so
+// that a fault that makes every request log more does not take CPU time from the
+// requests. The number of dropped lines is logged at most once a second.
 //
 //	w := output.New(output.Config{To: os.Stdout})
 //	go w.Run(ctx)
@@ -24,84 +24,86 @@
 	"boragehub/ring"
 )
 
-// Config configures a Writer. Zero values get a default.
+// Config configures a Writer. Zero limits use a default.
 type Config struct {
-	// To is where lines go.
+	// To is the destination of the lines.
 	To io.Writer
-	// Lines is how many wait at most: 4096 when zero, some 1.5 MB.
-	Lines int
-	// PerSecond is how many are taken a second: 3000 when zero. A request writes
-	// two or three lines, and an entry serves some hundred requests a second.
-	PerSecond int
+	// MaxLines is the capacity of the ring in lines; zero is 4096, about 1.5 MB.
+	MaxLines int
+	// MaxLinesPerSecond is the limit of lines accepted per second; zero is 3000. A
+	// request writes two or three lines, and an entry serves some hundred requests a
+	// second.
+	MaxLinesPerSecond int
 }
 
-// batchEvery is the pause between two writes.
-const batchEvery = 20 * time.Millisecond
+// flushInterval is the time between two batches.
+const flushInterval = 20 * time.Millisecond
 
-// Writer is an io.Writer for whole lines. Use New.
+// Writer is an io.Writer for complete lines. Use New.
 type Writer struct {
-	cfg    Config
-	lines  *ring.Ring[[]byte]
-	second atomic.Int64 // the present second …
-	taken  atomic.Int64 // … and the lines taken in it
-	left   atomic.Int64 // lines left out since it was last told
-	total  atomic.Int64
+	cfg          Config
+	lines        *ring.Ring[[]byte]
+	budgetSecond atomic.Int64 // the second that budgetUsed counts, in Unix seconds
+	budgetUsed   atomic.Int64 // lines written in that second, dropped ones included
+	unreported   atomic.Int64 // lines dropped since the last report
+	dropped      atomic.Int64 // lines dropped since the start
 }
 
-// New returns a Writer that Run writes out.
+// New returns a Writer; lines reach cfg.To only while Run runs.
 func New(cfg Config) *Writer {
-	if cfg.Lines <= 0 {
-		cfg.Lines = 4096
+	if cfg.MaxLines <= 0 {
+		cfg.MaxLines = 4096
 	}
 
-	if cfg.PerSecond <= 0 {
-		cfg.PerSecond = 3000
+	if cfg.MaxLinesPerSecond <= 0 {
+		cfg.MaxLinesPerSecond = 3000
 	}
 
-	return &Writer{cfg: cfg, lines: ring.New[[]byte](cfg.Lines)}
+	return &Writer{cfg: cfg, lines: ring.New[[]byte](cfg.MaxLines)}
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write accepts or drops one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	if !w.within(time.Now()) || !w.lines.Offer(bytes.Clone(line)) {
-		w.left.Add(1)
-		w.total.Add(1)
+	if !w.withinBudget(time.Now()) || !w.lines.Offer(bytes.Clone(line)) {
+		w.unreported.Add(1)
+		w.dropped.Add(1)
 	}
 
 	return len(line), nil
 }
 
-// LeftOut returns how many lines were left out since the start.
-func (w *Writer) LeftOut() int64 { return w.total.Load() }
+// LeftOut returns the number of lines dropped since the start.
+func (w *Writer) LeftOut() int64 { return w.dropped.Load() }
 
-// within reports whether the budget of the second of now has room.
-func (w *Writer) within(now time.Time) bool {
+// withinBudget counts a line and reports whether it is within the limit of the current
+// second.
+func (w *Writer) withinBudget(now time.Time) bool {
 	s := now.Unix()
-	if old := w.second.Load(); old != s && w.second.CompareAndSwap(old, s) {
-		w.taken.Store(0)
+	if old := w.budgetSecond.Load(); old != s && w.budgetSecond.CompareAndSwap(old, s) {
+		w.budgetUsed.Store(0)
 	}
 
-	return w.taken.Add(1) <= int64(w.cfg.PerSecond)
+	return w.budgetUsed.Add(1) <= int64(w.cfg.MaxLinesPerSecond)
 }
 
-// Run writes lines out until ctx ends, then what is left.
+// Run writes lines in batches until ctx ends, and then the remaining ones.
 func (w *Writer) Run(ctx context.Context) {
-	var told time.Time
+	var lastReport time.Time
 
-	for pause.For(ctx, batchEvery) {
+	for pause.For(ctx, flushInterval) {
 		w.flush()
 
-		if now := time.Now(); now.Sub(told) >= time.Second {
-			told = now
-			w.tell(now)
+		if now := time.Now(); now.Sub(lastReport) >= time.Second {
+			lastReport = now
+			w.reportDropped(now)
 		}
 	}
 
 	w.flush()
 }
 
-// flush writes the lines that wait in one go. An error of standard output can be
-// told nowhere, and must not stop the process.
+// flush writes the lines in the ring as one batch. An error of standard output can't be
+// reported anywhere and must not stop the process.
 func (w *Writer) flush() {
 	var batch []byte
 
@@ -115,9 +117,9 @@
 	}
 }
 
-// tell says how many lines were left out.
-func (w *Writer) tell(now time.Time) {
-	n := w.left.Swap(0)
+// reportDropped queues an event with the number of lines dropped since the last one.
+func (w *Writer) reportDropped(now time.Time) {
+	n := w.unreported.Swap(0)
 	if n == 0 {
 		return
 	}
--- a/event/output/output_test.go
+++ b/event/output/output_test.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// stuck is a reader of standard output that stopped reading.
-type stuck struct{ gate chan struct{} }
+// blockedWriter blocks each Write until gate is closed, like standard output whose
+// reader has stopped.
+type blockedWriter struct{ gate chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.gate
 
 	return len(b), nil
 }
 
-// Whoever reads standard output stops reading. Requests must go on; what can't be
-// written is left out and counted.
+// The reader of standard output stops reading. Logging must not block requests; lines
+// that can't be written are dropped and counted.
 func TestReaderThatStopsReadingHoldsNobodyUp(t *testing.T) {
 	gate := make(chan struct{})
-	w := New(Config{To: stuck{gate}, Lines: 10, PerSecond: 1 << 20})
+	w := New(Config{To: blockedWriter{gate}, MaxLines: 10, MaxLinesPerSecond: 1 << 20})
 	ctx, cancel := context.WithCancel(context.Background())
 
 	var running sync.WaitGroup
@@ -36,7 +37,7 @@
 	}
 
 	if w.LeftOut() == 0 {
-		t.Error("got no line left out, want most of them")
+		t.Error("got no line dropped, want most of them")
 	}
 
 	close(gate)
@@ -47,12 +48,12 @@
 func TestLinesOverTheBudgetAreLeftOutAndTold(t *testing.T) {
 	var out bytes.Buffer
 
-	w := New(Config{To: &out, PerSecond: 3})
+	w := New(Config{To: &out, MaxLinesPerSecond: 3})
 	now := time.Unix(100, 0)
 	passed := 0
 
 	for range 10 {
-		if w.within(now) {
+		if w.withinBudget(now) {
 			passed++
 		}
 	}
@@ -61,16 +62,16 @@
 		t.Errorf("got %d lines in a second, want 3", passed)
 	}
 
-	if !w.within(now.Add(time.Second)) {
-		t.Error("got the next second closed, want it open")
+	if !w.withinBudget(now.Add(time.Second)) {
+		t.Error("got a line dropped in the next second, want it accepted")
 	}
 
-	w.left.Store(7)
-	w.tell(now)
+	w.unreported.Store(7)
+	w.reportDropped(now)
 	w.flush()
 
 	if got := out.String(); !strings.Contains(got, `"lines":7`) || !strings.Contains(got, `"event":2320`) {
-		t.Errorf("got %q, want 7 lines told", got)
+		t.Errorf("got %q, want 7 dropped lines reported", got)
 	}
 }
 
--- a/event/recorder/recorder.go
+++ b/event/recorder/recorder.go
@@ -1,10 +1,11 @@
-// Package recorder remembers the last lines that a process logged about each
-// request, so that an operator can ask why a request went where it went without
-// searching the logs of every VM.
+// Package recorder keeps the log lines of recent requests in memory, so that an
+// operator can look up why a request was routed to a target without searching the
+// logs of every VM.
 //
-// A Sink stands between logr and the real sink: it passes every line on and
-// keeps a copy of those that name a request. Memory is bounded by the number of
-// requests and of lines each.
+// The sink that Sink returns sits between logr and the real sink: it passes every
+// line on and records those with a request ID. Memory is bounded by a maximum of
+// requests and of lines per request; the requests logged about least recently are
+// evicted.
 //
 //	r := recorder.New(4096)
 //	log := logr.New(r.Sink(zerologr.NewLogSink(&z)))
@@ -19,11 +20,12 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// requestKey is the key of a line that names its request.
+// requestKey is the key of the request ID in a line.
 const requestKey = "request_id"
 
-// maxLines bounds the lines kept of one request.
-const maxLines = 64
+// maxLinesPerRequest is the maximum of lines recorded for one request; later lines are
+// dropped.
+const maxLinesPerRequest = 64
 
 // Line is one line about a request.
 type Line struct {
@@ -35,36 +37,38 @@
 	Name string `json:"name"`
 	// Error is the error of the line, if any.
 	Error string `json:"error,omitempty"`
-	// Fields are the line's keys and values.
+	// Fields are the line's other keys and values.
 	Fields map[string]any `json:"fields"`
 }
 
-// Recorder holds lines by request. Use New.
+// Recorder holds lines by request ID. It is safe for concurrent use. Use New.
 type Recorder struct {
 	self string
 
 	mu       sync.Mutex
-	requests *lru.LRU[string, []kept]
+	requests *lru.LRU[string, []recordedLine]
 }
 
-// kept is a line as it was logged; what operators read is made when they ask,
-// since most lines are never read.
-type kept struct {
-	at    time.Time
-	name  string
-	err   string
-	pairs []any
+// recordedLine is a line as it was logged. It is converted to a Line only when it is
+// requested, since most lines are never read.
+type recordedLine struct {
+	at            time.Time
+	name          string
+	err           string
+	keysAndValues []any
 }
 
-// New returns a Recorder for the VM self that remembers so many requests.
+// New returns a Recorder for the VM self that holds the lines of at most requests
+// requests, and of one if requests is less than 1.
 func New(self string, requests int) *Recorder {
 	// NewLRU fails only for a size under one.
-	l, _ := lru.NewLRU[string, []kept](max(requests, 1), nil)
+	l, _ := lru.NewLRU[string, []recordedLine](max(requests, 1), nil)
 
 	return &Recorder{self: self, requests: l}
 }
 
-// Lines returns what was logged about a request, in order.
+// Lines returns the recorded lines of a request in the order in which they were
+// logged; none for an unknown request.
 func (r *Recorder) Lines(request string) []Line {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,13 +77,13 @@
 	lines := make([]Line, len(all))
 
 	for i, k := range all {
-		lines[i] = Line{At: k.at, Self: r.self, Name: k.name, Error: k.err, Fields: fields(k.pairs)}
+		lines[i] = Line{At: k.at, Self: r.self, Name: k.name, Error: k.err, Fields: fields(k.keysAndValues)}
 	}
 
 	return lines
 }
 
-// Len returns the number of requests remembered.
+// Len returns the number of requests with recorded lines.
 func (r *Recorder) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,28 +91,28 @@
 	return r.requests.Len()
 }
 
-func (r *Recorder) keep(name, failed string, pairs []any) {
-	request := requestOf(pairs)
+func (r *Recorder) record(name, errText string, keysAndValues []any) {
+	request := requestID(keysAndValues)
 	if request == "" {
 		return
 	}
 
-	line := kept{at: time.Now(), name: name, err: failed, pairs: pairs}
+	line := recordedLine{at: time.Now(), name: name, err: errText, keysAndValues: keysAndValues}
 
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	lines, _ := r.requests.Get(request)
-	if len(lines) < maxLines {
+	if len(lines) < maxLinesPerRequest {
 		r.requests.Add(request, append(lines, line))
 	}
 }
 
-// requestOf returns the request that a line names, empty for none.
-func requestOf(pairs []any) string {
-	for i := 0; i+1 < len(pairs); i += 2 {
-		if pairs[i] == requestKey {
-			request, _ := pairs[i+1].(string)
+// requestID returns the request ID in a line, empty if there is none.
+func requestID(keysAndValues []any) string {
+	for i := 0; i+1 < len(keysAndValues); i += 2 {
+		if keysAndValues[i] == requestKey {
+			request, _ := keysAndValues[i+1].(string)
 
 			return request
 		}
@@ -117,62 +121,63 @@
 	return ""
 }
 
-// fields returns a line's other keys and values.
-func fields(pairs []any) map[string]any {
-	m := make(map[string]any, len(pairs)/2)
+// fields returns a line's keys and values other than the request ID.
+func fields(keysAndValues []any) map[string]any {
+	m := make(map[string]any, len(keysAndValues)/2)
 
-	for i := 0; i+1 < len(pairs); i += 2 {
-		if key, ok := pairs[i].(string); ok && key != requestKey {
-			m[key] = pairs[i+1]
+	for i := 0; i+1 < len(keysAndValues); i += 2 {
+		if key, ok := keysAndValues[i].(string); ok && key != requestKey {
+			m[key] = keysAndValues[i+1]
 		}
 	}
 
 	return m
 }
 
-// Sink returns a sink that records and passes every line on to next.
+// Sink returns a sink that records the lines with a request ID and passes every line
+// on to next.
 func (r *Recorder) Sink(next logr.LogSink) logr.LogSink {
-	return sink{recorder: r, next: next}
+	return recordingSink{recorder: r, next: next}
 }
 
-type sink struct {
+type recordingSink struct {
 	recorder *Recorder
 	next     logr.LogSink
 }
 
 // Init implements logr.LogSink.
-func (s sink) Init(info logr.RuntimeInfo) { s.next.Init(info) }
+func (s recordingSink) Init(info logr.RuntimeInfo) { s.next.Init(info) }
 
-// Enabled implements logr.LogSink: lines for debugging are recorded though the
-// real sink drops them.
-func (s sink) Enabled(int) bool { return true }
+// Enabled implements logr.LogSink. It returns true for every level, since debug lines
+// are recorded even if the real sink drops them.
+func (s recordingSink) Enabled(int) bool { return true }
 
 // Info implements logr.LogSink.
-func (s sink) Info(level int, msg string, pairs ...any) {
-	s.recorder.keep(msg, "", pairs)
+func (s recordingSink) Info(level int, msg string, keysAndValues ...any) {
+	s.recorder.record(msg, "", keysAndValues)
 
 	if s.next.Enabled(level) {
-		s.next.Info(level, msg, pairs...)
+		s.next.Info(level, msg, keysAndValues...)
 	}
 }
 
 // Error implements logr.LogSink.
-func (s sink) Error(err error, msg string, pairs ...any) {
+func (s recordingSink) Error(err error, msg string, keysAndValues ...any) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
 
-	s.recorder.keep(msg, text, pairs)
-	s.next.Error(err, msg, pairs...)
+	s.recorder.record(msg, text, keysAndValues)
+	s.next.Error(err, msg, keysAndValues...)
 }
 
 // WithValues implements logr.LogSink.
-func (s sink) WithValues(pairs ...any) logr.LogSink {
-	return sink{recorder: s.recorder, next: s.next.WithValues(pairs...)}
+func (s recordingSink) WithValues(keysAndValues ...any) logr.LogSink {
+	return recordingSink{recorder: s.recorder, next: s.next.WithValues(keysAndValues...)}
 }
 
 // WithName implements logr.LogSink.
-func (s sink) WithName(name string) logr.LogSink {
-	return sink{recorder: s.recorder, next: s.next.WithName(name)}
+func (s recordingSink) WithName(name string) logr.LogSink {
+	return recordingSink{recorder: s.recorder, next: s.next.WithName(name)}
 }
--- a/event/recorder/recorder_test.go
+++ b/event/recorder/recorder_test.go
@@ -41,7 +41,7 @@
 	log := logr.New(r.Sink(funcr.New(func(string, string) {}, funcr.Options{}).GetSink()))
 
 	for _, id := range []string{"a", "b", "c"} {
-		for range 2 * maxLines {
+		for range 2 * maxLinesPerRequest {
 			log.Info("line", "request_id", id)
 		}
 	}
@@ -50,7 +50,7 @@
 		t.Errorf("requests: got %d, want %d", got, want)
 	}
 
-	if got, want := len(r.Lines("c")), maxLines; got != want {
+	if got, want := len(r.Lines("c")), maxLinesPerRequest; got != want {
 		t.Errorf("lines: got %d, want %d", got, want)
 	}
 
