--- a/failure/error.go
+++ b/failure/error.go
@@ -9,11 +9,11 @@
 	"github.com/zeebo/errs"
 )
 
-// class marks every error of this package in traces.
-var class = errs.Class("boragehub")
+// errorClass prefixes the cause of every wrapped error with the project's name.
+var errorClass = errs.Class("boragehub")
 
-// Error is an error with a Kind and, where it helps, the time after which the
-// caller should come again.
+// Error is an error with a Kind, a message for the caller and, if known, the time
+// after which the caller should retry.
 type Error struct {
 	kind       Kind
 	message    string
@@ -26,16 +26,16 @@
 	return &Error{kind: k, message: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error of kind k whose cause is err; the cause shows in logs
-// and not in answers.
+// Wrap returns an Error of kind k whose cause is err; the cause appears in logs
+// and not in responses.
 func Wrap(k Kind, err error, format string, args ...any) *Error {
 	e := New(k, format, args...)
-	e.cause = class.Wrap(err)
+	e.cause = errorClass.Wrap(err)
 
 	return e
 }
 
-// After returns a copy of e that tells the caller to come again after d.
+// After returns a copy of e that tells the caller to retry after d.
 func (e *Error) After(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
@@ -43,7 +43,7 @@
 	return &c
 }
 
-// Error returns the kind, the message and the cause.
+// Error returns the kind, the message and, if there is one, the cause.
 func (e *Error) Error() string {
 	if e.cause == nil {
 		return e.kind.String() + ": " + e.message
@@ -58,14 +58,16 @@
 // Message returns the text for the caller.
 func (e *Error) Message() string { return e.message }
 
-// RetryAfter returns the time after which to come again; zero when none is known.
+// RetryAfter returns the time after which the caller should retry; zero if none is
+// known.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// As returns err as an *Error. An error of another type becomes Internal, a
-// cancelled or expired context Cancelled or Timeout. A nil err returns nil.
+// As returns err, or the first *Error that it wraps, as an *Error. Otherwise it wraps
+// err: as Cancelled or Timeout for a cancelled or expired context, as Internal for
+// any other error. A nil err returns nil.
 func As(err error) *Error {
 	if err == nil {
 		return nil
@@ -86,7 +88,7 @@
 	}
 }
 
-// KindOf returns the kind of err; Internal for a foreign error.
+// KindOf returns the kind of err as defined by As; Internal for nil.
 func KindOf(err error) Kind {
 	if err == nil {
 		return Internal
--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -35,11 +35,11 @@
 		err  error
 		want Kind
 	}{
-		{"own", New(QueueFull, "full"), QueueFull},
+		{"Error", New(QueueFull, "full"), QueueFull},
 		{"wrapped", fmt.Errorf("outer: %w", New(Draining, "leaving")), Draining},
 		{"cancelled", context.Canceled, Cancelled},
 		{"expired", context.DeadlineExceeded, Timeout},
-		{"foreign", io.EOF, Internal},
+		{"other error", io.EOF, Internal},
 	}
 
 	for _, c := range cases {
--- a/failure/kind.go
+++ b/failure/kind.go
@@ -1,14 +1,12 @@
-// Package failure is the closed list of ways in which boragehub declines or
-// loses a request, and the one table from each of them to the answer that a
-// caller gets.
+// Package failure is the closed list of reasons for which boragehub refuses or
+// fails a request, with one table that maps each of them to the error response.
 //
 // # Model
 //
-// A Kind names what happened. Table gives, for each Kind, the HTTP status, the
-// error type and code of the OpenAI error shape, and what the answer says about
-// the request having been run: a refusal that says NotRun has to be true, so a
-// piece of code may use a NotRun kind only while nothing has been sent that
-// could still run.
+// A Kind names what happened. Kind.Answer returns, for each Kind, the HTTP status,
+// the type and code of an OpenAI error object, and whether the request may have
+// run. A response with NotRun promises that it did not and will not, so code may use
+// a NotRun kind only while nothing has been sent that could still run.
 //
 // # Example
 //
@@ -16,53 +14,54 @@
 //	kind := failure.KindOf(err) // failure.QueueFull
 package failure
 
-// Kind is one way in which a request fails. The zero Kind is Internal.
+// Kind is one reason for which a request fails. The zero Kind is Internal.
 type Kind uint8
 
-// The closed list of kinds. Table maps each of them to its answer.
+// The closed list of kinds. Kind.Answer maps each of them to its response.
 const (
-	// Internal is a fault of boragehub itself; whether the request ran is not known.
+	// Internal means an error within boragehub; whether the request ran is unknown.
 	Internal Kind = iota
-	// BadRequest is a body or header that can't be understood.
+	// BadRequest means that a body or header is malformed.
 	BadRequest
-	// TooLarge is a body or header over its limit.
+	// TooLarge means that a body or header exceeds its limit.
 	TooLarge
-	// Unauthenticated is a missing or wrong credential.
+	// Unauthenticated means that the credential is missing or wrong.
 	Unauthenticated
-	// Forbidden is a credential that doesn't cover what was asked for.
+	// Forbidden means that the credential does not permit the request.
 	Forbidden
-	// UnknownModel is a model that no service offers.
+	// UnknownModel means that no service offers the model.
 	UnknownModel
-	// UnknownService is a plain service that is not configured.
+	// UnknownService means that the plain service is not configured.
 	UnknownService
-	// UnknownPath is a path or method that doesn't exist.
+	// UnknownPath means that the path or method doesn't exist.
 	UnknownPath
-	// RateLimited is a request over its organisation's rate.
+	// RateLimited means that the organisation exceeds its request rate.
 	RateLimited
-	// ShareExceeded is a request refused because its organisation has more than its fair share.
+	// ShareExceeded means that the organisation already uses more than its fair share.
 	ShareExceeded
-	// QueueFull is a request refused because no target has room.
+	// QueueFull means that no target or queue has free capacity.
 	QueueFull
-	// DeadlineHopeless is a request refused because its deadline can't be met.
+	// DeadlineHopeless means that the deadline can't be met.
 	DeadlineHopeless
 	// Unavailable means that no usable target is known.
 	Unavailable
-	// NotReady means that this process has no configuration yet, or is stopping.
+	// NotReady means that this process, or the target, can't take the request yet or
+	// any more, for example because it has no configuration yet or is stopping.
 	NotReady
 	// Draining means that a target takes no new work.
 	Draining
-	// StaleFence means that an order bears an old fencing number.
+	// StaleFence means that an order has a stale fencing number.
 	StaleFence
-	// WrongVersion means that a target does not hold the weight version asked for.
+	// WrongVersion means that a target has not loaded the requested weight version.
 	WrongVersion
-	// Quarantined means that this request crashed targets before.
+	// Quarantined means that targets crashed while this request was running before.
 	Quarantined
 	// KeyRequired means that a non-idempotent call came without an Idempotency-Key.
 	KeyRequired
-	// KeyExpired means that an Idempotency-Key is older than keys are remembered; an
+	// KeyExpired means that an Idempotency-Key is older than the retention of keys; an
 	// earlier call with it may have run.
 	KeyExpired
-	// KeyReused means that an Idempotency-Key came again with another content.
+	// KeyReused means that an Idempotency-Key was used before with other content.
 	KeyReused
 	// KeyBusy means that the request with this Idempotency-Key is still running.
 	KeyBusy
@@ -70,29 +69,31 @@
 	LogUnavailable
 	// OutcomeUnknown means that a non-idempotent request may have run and will not be run again.
 	OutcomeUnknown
-	// TargetLost means that a target died or fell silent and retries are used up.
+	// TargetLost means that a target died, was unreachable or became unresponsive, and
+	// no retry succeeded.
 	TargetLost
 	// Timeout means that the deadline passed while the request was running.
 	Timeout
-	// Cancelled means that the caller went away.
+	// Cancelled means that the caller cancelled the request or disconnected.
 	Cancelled
-	// ProtocolMismatch means that a peer speaks another message version.
+	// ProtocolMismatch means that a peer uses another message version.
 	ProtocolMismatch
-	// BadMessage means that a peer sent a message that can't be understood.
+	// BadMessage means that a peer sent a malformed or unexpected message.
 	BadMessage
-	// BadSettings means that a settings file or published tree is wrong.
+	// BadSettings means that a settings file or published tree is invalid.
 	BadSettings
 	// Conflict means that a change was based on a version that is no longer the newest.
 	Conflict
-	// TornCopy means that a stored copy is cut, altered or foreign.
+	// TornCopy means that a stored copy is truncated, altered, missing or of another
+	// context.
 	TornCopy
-	// StoreFull means that a store VM has no room.
+	// StoreFull means that a store VM has no free space.
 	StoreFull
 
 	kinds int = iota
 )
 
-// Kinds returns all kinds in order.
+// Kinds returns all kinds in the order of their declaration.
 func Kinds() []Kind {
 	all := make([]Kind, kinds)
 	for i := range all {
@@ -102,7 +103,7 @@
 	return all
 }
 
-// String returns the snake-case code of k, as it stands in answers and logs.
+// String returns the snake-case code of k, as used in responses and logs.
 func (k Kind) String() string {
 	return k.Answer().Code
 }
--- a/failure/table.go
+++ b/failure/table.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// Ran tells what an answer says about the request having been run.
+// Ran says whether a request that failed may have run.
 type Ran uint8
 
 // The values of Ran.
 const (
-	// MayHaveRun promises nothing.
+	// MayHaveRun means that it is unknown whether the request ran.
 	MayHaveRun Ran = iota
-	// NotRun promises that the request was not run and will not be.
+	// NotRun guarantees that the request was not run and will not be.
 	NotRun
 )
 
@@ -22,27 +22,27 @@
 	return "may_have_run"
 }
 
-// Answer is what a caller gets for a Kind.
+// Answer is the response that a caller gets for a Kind.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
-	// Type is the "type" of the OpenAI error shape.
+	// Type is the "type" in the OpenAI error object.
 	Type string
-	// Code is the "code" of the OpenAI error shape, in snake case.
+	// Code is the "code" in the OpenAI error object, in snake case.
 	Code string
-	// Ran is what the answer says about the request having been run.
+	// Ran says whether the request may have run.
 	Ran Ran
-	// Retryable says that the same request may succeed later. Such an answer
-	// carries Retry-After.
+	// Retryable reports whether the same request may succeed later. Such a response
+	// may carry Retry-After.
 	Retryable bool
 }
 
 const (
-	typeServer    = "server_error"
-	typeRequest   = "invalid_request_error"
-	typeAuth      = "authentication_error"
-	typePermitted = "permission_error"
-	typeRate      = "rate_limit_error"
+	typeServer     = "server_error"
+	typeRequest    = "invalid_request_error"
+	typeAuth       = "authentication_error"
+	typePermission = "permission_error"
+	typeRate       = "rate_limit_error"
 )
 
 // table is indexed by Kind.
@@ -51,7 +51,7 @@
 	BadRequest:       {http.StatusBadRequest, typeRequest, "bad_request", NotRun, false},
 	TooLarge:         {http.StatusRequestEntityTooLarge, typeRequest, "too_large", NotRun, false},
 	Unauthenticated:  {http.StatusUnauthorized, typeAuth, "invalid_api_key", NotRun, false},
-	Forbidden:        {http.StatusForbidden, typePermitted, "forbidden", NotRun, false},
+	Forbidden:        {http.StatusForbidden, typePermission, "forbidden", NotRun, false},
 	UnknownModel:     {http.StatusNotFound, typeRequest, "model_not_found", NotRun, false},
 	UnknownService:   {http.StatusNotFound, typeRequest, "service_not_found", NotRun, false},
 	UnknownPath:      {http.StatusNotFound, typeRequest, "path_not_found", NotRun, false},
@@ -82,10 +82,11 @@
 	StoreFull:        {http.StatusInsufficientStorage, typeServer, "store_full", NotRun, true},
 }
 
-// statusClientClosed is the customary status for a caller that went away.
+// statusClientClosed is the non-standard status, introduced by nginx, for a client
+// that closed the connection.
 const statusClientClosed = 499
 
-// Answer returns the answer for k; an unlisted k answers as Internal.
+// Answer returns the response for k; the one for Internal if k is not in the table.
 func (k Kind) Answer() Answer {
 	if int(k) >= len(table) {
 		return table[Internal]
--- a/operator/responder.go
+++ b/operator/responder.go
@@ -10,31 +10,33 @@
 	"boragehub/setting/exchange"
 )
 
-// Responder answers what every process is asked over the connections between own
-// processes: for the settings, by its peers, and for views, by operators.
+// Responder handles the requests that every process serves over peer connections: for
+// the settings, from peers, and for views, from operators.
 type Responder struct {
-	// Settings are passed on.
+	// Settings provides the settings and takes those that peers pass on.
 	Settings exchange.Keeper
-	// Views are the documents that may be asked for.
+	// Views are the documents that may be requested.
 	Views []View
 }
 
-// Answer returns the answer to m; a message that is for no responder is refused.
+// Answer returns the response to m from a peer. A message of any other type gets a
+// refusal with failure.BadMessage.
 func (r Responder) Answer(now time.Time, from peer.Identity, m message.Message) message.Message {
 	if answer, ok := exchange.Answer(now, r.Settings, from, m); ok {
 		return answer
 	}
 
 	if q, ok := m.(message.View); ok {
-		return r.view(q)
+		return r.respondView(q)
 	}
 
-	return message.Refusal(failure.New(failure.BadMessage, "message type %d begins no conversation here", m.Type()))
+	return message.Refusal(failure.New(failure.BadMessage, "message type %d does not start an exchange with this process", m.Type()))
 }
 
-// view returns a document. Operators ask this way from a shell, with a
-// certificate of their own, since the operators' ports of all VMs are on no list.
-func (r Responder) view(q message.View) message.Message {
+// respondView returns the requested document. The operator command requests views over
+// peer connections, with its own certificate, because no list holds the addresses of
+// the VMs' operator ports.
+func (r Responder) respondView(q message.View) message.Message {
 	for _, v := range r.Views {
 		if v.Name != q.Name {
 			continue
@@ -48,5 +50,5 @@
 		return message.Viewed{JSON: b}
 	}
 
-	return message.Refusal(failure.New(failure.UnknownPath, "there is no view %q here", q.Name))
+	return message.Refusal(failure.New(failure.UnknownPath, "this process has no view %q", q.Name))
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -1,11 +1,11 @@
-// Package operator serves what the people on call ask of a process: its health,
-// whether it is ready for work, and its metrics, on a port apart from callers'.
+// Package operator serves the health, readiness, metrics and debug documents of a
+// process to operators, on a separate port from callers.
 //
 // # Health and readiness
 //
-// /healthz answers 200 while the process runs. /readyz answers 200 when every
-// Check passes and 503 with the names of those that don't; the platform's
-// balancer takes an entry out by it, which is how a planned stop begins.
+// /healthz responds 200 while the process runs. /readyz responds 200 if every Check
+// passes, and 503 with the names of the failing ones otherwise; the platform's load
+// balancer uses it to remove an entry, which is how a planned shutdown begins.
 package operator
 
 import (
@@ -23,17 +23,17 @@
 	"boragehub/failure"
 )
 
-// Limits of the operators' server.
+// Timeouts of the operators' server.
 const (
-	headerTimeout = 5 * time.Second
-	stopTimeout   = 2 * time.Second
+	readHeaderTimeout = 5 * time.Second
+	shutdownTimeout   = 2 * time.Second
 )
 
-// Check is one condition of being ready.
+// Check is one condition for readiness.
 type Check struct {
-	// Name is shown when the check fails.
+	// Name is listed in the response to /readyz if the check fails.
 	Name string
-	// Ready reports whether it passes.
+	// Ready reports whether the check passes.
 	Ready func() bool
 }
 
@@ -42,29 +42,29 @@
 type View struct {
 	// Name is the last part of the path.
 	Name string
-	// Get returns the document; query is the value of ?q=.
+	// Get returns the document to encode as JSON; query is the value of ?q=.
 	Get func(query string) any
 }
 
-// SettingsDocument is the view "settings" of every process.
+// SettingsDocument is the document of the view "settings" of every process.
 type SettingsDocument struct {
-	// Version is the version in force; zero before any.
+	// Version is the version of the settings in force; zero if none is.
 	Version uint64 `json:"version"`
 }
 
-// Config says what to serve.
+// Config configures a Server.
 type Config struct {
 	// Addr is the IP and TCP port to listen on.
 	Addr string
-	// Checks are the conditions of being ready.
+	// Checks are the conditions for readiness.
 	Checks []Check
 	// Views are the documents under /debug/.
 	Views []View
-	// Registry has the metrics.
+	// Registry holds the metrics; nil serves none.
 	Registry *prometheus.Registry
 }
 
-// NewRegistry returns a registry with the metrics of every process.
+// NewRegistry returns a registry with the metrics of the Go runtime and the process.
 func NewRegistry() *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -72,36 +72,37 @@
 	return r
 }
 
-// Server answers operators.
+// Server serves the operators' port. Use Listen.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// Listen binds the operators' port.
+// Listen binds the operators' port. Its errors are failure.BadSettings.
 func Listen(cfg Config) (*Server, error) {
 	l, err := net.Listen("tcp", cfg.Addr) //nolint:noctx // bound once, at start
 	if err != nil {
 		return nil, failure.Wrap(failure.BadSettings, err, "operators' address %q can't be bound", cfg.Addr)
 	}
 
-	return &Server{listener: l, server: &http.Server{Handler: Handler(cfg), ReadHeaderTimeout: headerTimeout}}, nil
+	return &Server{listener: l, server: &http.Server{Handler: Handler(cfg), ReadHeaderTimeout: readHeaderTimeout}}, nil
 }
 
 // Addr returns the bound address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, and then finishes what it serves: Serve returns as Shutdown
-// begins, and the process may end as soon as Run has returned.
+// Run serves until ctx ends, then waits up to shutdownTimeout for requests in flight.
+// It has to wait itself, since Serve returns as soon as Shutdown begins, and the process
+// may end once Run has returned.
 func (s *Server) Run(ctx context.Context) {
 	stopped := make(chan struct{})
 
 	stop := context.AfterFunc(ctx, func() {
-		late, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 		defer close(stopped)
 
-		_ = s.server.Shutdown(late)
+		_ = s.server.Shutdown(shutdownCtx)
 	})
 
 	_ = s.server.Serve(s.listener)
@@ -111,7 +112,7 @@
 	}
 }
 
-// Handler returns the operators' pages.
+// Handler returns the handler of the operators' port.
 func Handler(cfg Config) http.Handler {
 	mux := http.NewServeMux()
 
@@ -124,7 +125,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 
-		write(w, struct {
+		writeJSON(w, struct {
 			Ready   bool     `json:"ready"`
 			Failing []string `json:"failing"`
 		}{len(failing) == 0, failing})
@@ -140,14 +141,14 @@
 	for _, v := range cfg.Views {
 		mux.HandleFunc("GET /debug/"+v.Name, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
-			write(w, v.Get(r.URL.Query().Get("q")))
+			writeJSON(w, v.Get(r.URL.Query().Get("q")))
 		})
 	}
 
 	return mux
 }
 
-// Failing returns the names of the checks that don't pass.
+// Failing returns the names of the failing checks; empty and not nil if all pass.
 func Failing(checks []Check) []string {
 	failing := []string{}
 
@@ -160,6 +161,6 @@
 	return failing
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// An operator reads a profile of a process that is told to stop. The process ends as soon as
-// its duties have; one that doesn't wait for what it serves cuts the operator off.
+// A process is stopped while an operator reads a profile from it. It exits as soon as its
+// tasks have returned, so that Run must wait for the requests in flight.
 func TestRunFinishesWhatItServes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 
 	var answered atomic.Bool
 
 	s := &Server{listener: l, server: &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(begun)
-		<-goOn
+		close(started)
+		<-release
 
 		_, _ = io.WriteString(w, "done")
 
 		answered.Store(true)
 	})}}
 	ctx, cancel := context.WithCancel(t.Context())
-	ran := make(chan struct{})
+	done := make(chan struct{})
 
 	go func() {
 		s.Run(ctx)
-		close(ran)
+		close(done)
 	}()
 
 	got := make(chan error, 1)
@@ -49,10 +49,10 @@
 		got <- err
 	}()
 
-	<-begun
+	<-started
 	cancel()
 
-	// What it serves goes on once the port is closed.
+	// The handler continues only once the port is closed.
 	for open := true; open; time.Sleep(time.Millisecond) {
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if open = err == nil; open {
@@ -60,14 +60,14 @@
 		}
 	}
 
-	close(goOn)
-	<-ran
+	close(release)
+	<-done
 
 	if !answered.Load() {
-		t.Error("got Run ended before the answer, want it after")
+		t.Error("got Run returned before the response, want it after")
 	}
 
 	if err := <-got; err != nil {
-		t.Errorf("got %v, want an answer", err)
+		t.Errorf("got %v, want a response", err)
 	}
 }
