--- a/once/client.go
+++ b/once/client.go
@@ -1,15 +1,17 @@
-// Package once has the HTTP client for calls that must not be repeated unasked.
+// Package once provides an HTTP client for requests that must not be sent twice
+// without the caller's knowledge.
 //
-// Go's transport sends a request again by itself when a kept connection breaks
-// under it and an Idempotency-Key makes it look safe, and a client follows
-// redirects; a plain service would then run a booking twice with nobody having
-// asked for it. On a fresh connection for each call neither can happen, and a server that
-// stops doesn't close it as unused while the call is on its way.
+// net/http's Transport retries a request by itself if a reused connection breaks and
+// the request has an Idempotency-Key, and its Client follows redirects; a plain
+// service could then run a booking twice although no one retried it. The client here
+// does not follow redirects and uses a new connection for each request, which is never
+// retried. A server that is shutting down also can't close such a connection as idle
+// while the request is in transit.
 package once
 
 import "net/http"
 
-// NewClient returns a client that sends each request once.
+// NewClient returns a client that sends each request once. It has no timeout.
 func NewClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{DisableKeepAlives: true},
--- a/organisation/register.go
+++ b/organisation/register.go
@@ -1,14 +1,14 @@
-// Package organisation tells which organisation a caller belongs to.
+// Package organisation authenticates callers by key and finds their organisation.
 //
 // # Model
 //
-// Callers bear a key; the settings hold its SHA-256, so that neither the log
-// nor a settings file gives a key away. An organisation may have several keys
-// at once: to rotate one, publish the hash of the new beside the old, hand the
-// new key out, and publish again without the old.
+// Callers present a key; the settings hold its SHA-256 hash, so that neither the log
+// nor a settings file reveals a key. An organisation may have several keys at once:
+// to rotate one, publish the hash of the new key in addition to the old one, hand out
+// the new key, and publish the settings again without the old hash.
 //
-// A Register belongs to one version of the settings and never changes, so a
-// request that is under way keeps the organisation that it came in with.
+// A Register is built from one version of the settings and is immutable, so that a
+// request in flight keeps the organisation that it was authenticated with.
 //
 //	r := organisation.NewRegister(tree)
 //	name, err := r.Authenticate(credential)
@@ -32,71 +32,72 @@
 	hashPrefix = "sha256:"
 	keyPrefix  = "bh-"
 	keyBytes   = 32
-	// maxCredential bounds what is hashed for a caller who is not known yet.
-	maxCredential = 512
+	// maxCredentialBytes bounds the hashing work for unauthenticated callers.
+	maxCredentialBytes = 512
 )
 
-// Register finds organisations by their callers' keys. It never changes and is
-// safe for concurrent use. Use NewRegister.
+// Register finds organisations by their callers' keys. It is immutable and safe for
+// concurrent use. Use NewRegister.
 type Register struct {
 	seed maphash.Seed
-	// keys are found by a hash with a secret seed: how long a look-up takes
-	// then tells nothing about the hashes that are kept.
-	keys   map[uint64][]holder
-	byName map[string]setting.Organisation
+	// keyHolders are indexed by a seeded hash of the key's hash. The seed is secret, so
+	// that the duration of a lookup reveals nothing about the stored hashes.
+	keyHolders map[uint64][]keyHolder
+	byName     map[string]setting.Organisation
 }
 
-// holder is who holds the key with a hash.
-type holder struct {
-	sum  [sha256.Size]byte
-	name string
+// keyHolder is the organisation that holds the key with the hash sum.
+type keyHolder struct {
+	sum          [sha256.Size]byte
+	organisation string
 }
 
-// NewRegister returns the Register of a tree.
+// NewRegister returns the Register for the organisations in t.
 func NewRegister(t *setting.Tree) *Register {
 	r := &Register{
-		seed:   maphash.MakeSeed(),
-		keys:   map[uint64][]holder{},
-		byName: map[string]setting.Organisation{},
+		seed:       maphash.MakeSeed(),
+		keyHolders: map[uint64][]keyHolder{},
+		byName:     map[string]setting.Organisation{},
 	}
 
 	for _, o := range t.Organisations() {
 		r.byName[o.Name] = o
 		for _, key := range o.Keys {
-			r.add(o.Name, key)
+			r.addKey(o.Name, key)
 		}
 	}
 
 	return r
 }
 
-// add notes the hash of a key, which the tree has checked.
-func (r *Register) add(name, key string) {
-	h := holder{name: name}
+// addKey adds the hash of a key. An invalid hash is ignored; the tree's validation has
+// excluded it.
+func (r *Register) addKey(name, key string) {
+	h := keyHolder{organisation: name}
 
 	b, err := hex.DecodeString(strings.TrimPrefix(key, hashPrefix))
 	if err != nil || copy(h.sum[:], b) != sha256.Size {
 		return
 	}
 
-	place := maphash.Bytes(r.seed, h.sum[:])
-	r.keys[place] = append(r.keys[place], h)
+	index := maphash.Bytes(r.seed, h.sum[:])
+	r.keyHolders[index] = append(r.keyHolders[index], h)
 }
 
-// Authenticate returns the organisation whose key the credential is. The error
-// is a failure.Unauthenticated, or Forbidden for an organisation that is
-// blocked; it never bears the credential.
+// Authenticate returns the name of the organisation that holds the key credential. The
+// error is failure.Unauthenticated, or failure.Forbidden if the organisation is
+// blocked; it never contains the credential.
 func (r *Register) Authenticate(credential string) (string, error) {
-	if credential == "" || len(credential) > maxCredential {
+	if credential == "" || len(credential) > maxCredentialBytes {
 		return "", failure.New(failure.Unauthenticated, "a key is required")
 	}
 
 	sum := sha256.Sum256([]byte(credential))
 	name := ""
 
-	for _, h := range r.keys[maphash.Bytes(r.seed, sum[:])] {
+	for _, h := range r.keyHolders[maphash.Bytes(r.seed, sum[:])] {
 		if subtle.ConstantTimeCompare(h.sum[:], sum[:]) == 1 {
-			name = h.name
+			name = h.organisation
 		}
 	}
 
@@ -111,8 +112,8 @@
 	return name, nil
 }
 
-// Permit returns nil when the organisation called name may use a service, and
-// a failure.Forbidden otherwise.
+// Permit returns nil if the named organisation may use service, and a
+// failure.Forbidden otherwise. An organisation without a list of services may use all.
 func (r *Register) Permit(name, service string) error {
 	o, ok := r.byName[name]
 	if !ok || o.Blocked {
@@ -126,21 +127,21 @@
 	return nil
 }
 
-// Len returns how many organisations there are.
+// Len returns the number of organisations.
 func (r *Register) Len() int { return len(r.byName) }
 
-// NewKey returns a new key for callers and the hash of it for the settings.
+// NewKey returns a new random key for callers and its hash for the settings.
 func NewKey() (key, hash string) {
 	var b [keyBytes]byte
 
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails
 
 	key = keyPrefix + base64.RawURLEncoding.EncodeToString(b[:])
 
 	return key, HashKey(key)
 }
 
-// HashKey returns the hash of a key as it stands in the settings.
+// HashKey returns the hash of a key in the form that the settings hold.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 
--- a/organisation/register_test.go
+++ b/organisation/register_test.go
@@ -14,7 +14,7 @@
 	"boragehub/setting"
 )
 
-func register(t testing.TB, text string) *Register {
+func newTestRegister(t testing.TB, text string) *Register {
 	t.Helper()
 
 	tree, err := setting.Parse("test", []byte(text))
@@ -26,7 +26,7 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	r := register(t, fmt.Sprintf(`
+	r := newTestRegister(t, fmt.Sprintf(`
 [[service]]
 name = "llm"
 kind = "engine"
@@ -58,7 +58,7 @@
 		{"", "", failure.Unauthenticated},
 		{"ol", "", failure.Unauthenticated},
 		{HashKey("old"), "", failure.Unauthenticated},
-		{strings.Repeat("x", maxCredential+1), "", failure.Unauthenticated},
+		{strings.Repeat("x", maxCredentialBytes+1), "", failure.Unauthenticated},
 	}
 
 	for _, c := range cases {
@@ -82,9 +82,8 @@
 	}
 }
 
-// A key that stands in a log line is read by everyone who reads logs. The key
-// of a caller who mistypes it, or of an operator who pastes it where its hash
-// belongs, must not get there.
+// A key in a log line is visible to everyone who reads logs. A wrong key of a caller, or
+// a key that an operator puts in the settings instead of its hash, must not be logged.
 func TestNoSecretInALogLine(t *testing.T) {
 	const secret = "bh-very-secret"
 
@@ -93,7 +92,7 @@
 	z := zerolog.New(&out)
 
 	log := zerologr.New(&z)
-	r := register(t, "")
+	r := newTestRegister(t, "")
 	_, err := r.Authenticate(secret)
 	event.Fail(log, err, event.ProcessFailed, "error", err)
 
@@ -123,7 +122,7 @@
 
 func TestNewKeyIsAccepted(t *testing.T) {
 	key, hash := NewKey()
-	r := register(t, fmt.Sprintf("[[organisation]]\nname = \"o\"\nkeys = [%q]\n", hash))
+	r := newTestRegister(t, fmt.Sprintf("[[organisation]]\nname = \"o\"\nkeys = [%q]\n", hash))
 
 	if got, err := r.Authenticate(key); got != "o" || err != nil {
 		t.Errorf("got %q %v, want o", got, err)
@@ -137,7 +136,7 @@
 		fmt.Fprintf(&text, "[[organisation]]\nname = \"o%d\"\nkeys = [%q, %q]\n", i, HashKey(fmt.Sprint("a", i)), HashKey(fmt.Sprint("b", i)))
 	}
 
-	r := register(b, text.String())
+	r := newTestRegister(b, text.String())
 
 	b.ReportAllocs()
 
--- a/pause/patient.go
+++ b/pause/patient.go
@@ -7,80 +7,81 @@
 	"time"
 )
 
-// patientKey is the key of a context's patience.
-type patientKey struct{}
-
-// patience ends a context when what it is for stands still.
-type patience struct {
-	timer *time.Timer
-	each  time.Duration
-	last  time.Time // when it ends in any case
-	outer *patience
-
-	mu    sync.Mutex
-	ended bool
+// idleTimeoutKey is the context key of an idleTimeout.
+type idleTimeoutKey struct{}
+
+// idleTimeout cancels a context when no progress is reported for a time.
+type idleTimeout struct {
+	timer    *time.Timer
+	idle     time.Duration // maximum time without progress
+	deadline time.Time     // end of the context regardless of progress
+	parent   *idleTimeout  // of the enclosing context, nil for none
+
+	mu      sync.Mutex
+	stopped bool
 }
 
-// Patient returns a context that ends when what it is for has not moved on for d
-// (Moves), or has taken longer than most. Without any move it ends after d.
+// Patient returns a context that is cancelled when no progress was reported for idle
+// (see Moves), or after total in any case.
 //
-// A fixed time for a whole transfer has to be long enough for the largest message over
-// the slowest link, and is then too long to notice a connection that fell silent. One
-// that is too short is worse: a large message is begun anew each time, takes the link
-// for nothing and never arrives.
-func Patient(ctx context.Context, d, most time.Duration) (context.Context, context.CancelFunc) {
+// A fixed timeout for a whole transfer has to be long enough for the largest message
+// over the slowest link, and is then too long to detect an unresponsive connection. One
+// that is too short is worse: a large message is restarted on each retry, uses the
+// link's bandwidth and never arrives.
+func Patient(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	outer, _ := ctx.Value(patientKey{}).(*patience)
-	p := &patience{each: d, last: time.Now().Add(most), outer: outer}
-	p.timer = time.AfterFunc(min(d, most), cancel)
+	parent, _ := ctx.Value(idleTimeoutKey{}).(*idleTimeout)
+	t := &idleTimeout{idle: idle, deadline: time.Now().Add(total), parent: parent}
+	t.timer = time.AfterFunc(min(idle, total), cancel)
 
-	return context.WithValue(ctx, patientKey{}, p), func() {
-		p.end()
+	return context.WithValue(ctx, idleTimeoutKey{}, t), func() {
+		t.stop()
 		cancel()
 	}
 }
 
-// Moves tells the contexts by Patient, ctx and those around it, that what they are for
-// has moved on.
+// Moves reports progress to ctx and all enclosing contexts made by Patient: each gets
+// its full idle time again, up to its total limit. It does nothing for other contexts.
 func Moves(ctx context.Context) {
-	p, _ := ctx.Value(patientKey{}).(*patience)
+	t, _ := ctx.Value(idleTimeoutKey{}).(*idleTimeout)
 
-	for now := time.Now(); p != nil; p = p.outer {
-		p.moves(now)
+	for now := time.Now(); t != nil; t = t.parent {
+		t.extend(now)
 	}
 }
 
-func (p *patience) moves(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *idleTimeout) extend(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	// A timer that has fired has ended the context already.
-	if !p.ended && p.timer.Stop() {
-		p.timer.Reset(max(min(p.each, p.last.Sub(now)), 0))
+	// If the timer has fired, the context has already ended.
+	if !t.stopped && t.timer.Stop() {
+		t.timer.Reset(max(min(t.idle, t.deadline.Sub(now)), 0))
 	}
 }
 
-func (p *patience) end() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *idleTimeout) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	p.ended = true
-	p.timer.Stop()
+	t.stopped = true
+	t.timer.Stop()
 }
 
-// Reader returns a reader of r that tells ctx of each byte that comes.
-func Reader(ctx context.Context, r io.Reader) io.Reader { return movingReader{ctx, r} }
+// Reader returns a reader of r that reports progress to ctx (Moves) at each read that
+// yields data.
+func Reader(ctx context.Context, r io.Reader) io.Reader { return progressReader{ctx, r} }
 
-type movingReader struct {
-	ctx context.Context //nolint:containedctx // the reader is a part of one call
+type progressReader struct {
+	ctx context.Context //nolint:containedctx // the reader belongs to one call
 	r   io.Reader
 }
 
-// Read reads from the reader beneath.
-func (m movingReader) Read(b []byte) (int, error) {
-	n, err := m.r.Read(b)
+// Read implements io.Reader.
+func (t progressReader) Read(b []byte) (int, error) {
+	n, err := t.r.Read(b)
 	if n > 0 {
-		Moves(m.ctx)
+		Moves(t.ctx)
 	}
 
 	return n, err
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits in a way that can be broken off.
+// Package pause provides a cancellable sleep, and timeouts that progress extends.
 //
 //	for pause.For(ctx, time.Second) {
 //		… // once a second until ctx ends
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// For waits for d and reports whether it passed before ctx ended. A d of zero or
-// less does not wait.
+// For sleeps for d and reports whether it elapsed before ctx ended. If d is zero or
+// negative, it returns at once whether ctx is still active.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -17,10 +17,10 @@
 		d    time.Duration
 		want bool
 	}{
-		{"passes", context.Background(), time.Hour, true},
-		{"is broken off", ended, time.Hour, false},
-		{"nothing to wait for", context.Background(), 0, true},
-		{"nothing to wait for, ended", ended, -time.Second, false},
+		{"elapses", context.Background(), time.Hour, true},
+		{"cancelled", ended, time.Hour, false},
+		{"zero", context.Background(), 0, true},
+		{"negative and cancelled", ended, -time.Second, false},
 	}
 
 	for _, c := range cases {
