--- a/engine/client.go
+++ b/engine/client.go
@@ -1,11 +1,11 @@
-// Package engine speaks to one model engine by its published protocol.
+// Package engine is a client of the published protocol of a model engine.
 //
 // # Model
 //
-// A Client is used by the side process beside the engine and by nobody else.
-// Complete streams an answer; Info, Load, Events and Blocks tell what the engine
-// does and holds; Export and Import move blocks as the engine's own opaque
-// bytes; Order tells it to load weights or to change role. See docs/PLATFORM.md.
+// A Client is used by the engine's side process, or by an entry for an engine without
+// one. Complete streams a completion; Info, Load, Events and Blocks report the engine's
+// state, load and cache; Export and Import transfer cache blocks in the engine's own
+// opaque format; Order makes it load weights or change its role. See docs/PLATFORM.md.
 //
 //	c := engine.Client{Address: "127.0.0.1:8000", HTTP: &http.Client{}}
 //	err := c.Complete(ctx, engine.Completion{Prompt: text}, func(p engine.Piece) error { … })
@@ -24,129 +24,131 @@
 	"boragehub/prompt"
 )
 
-// Client speaks to one engine.
+// Client sends requests to one engine.
 type Client struct {
-	// Address is the engine's IP and port.
+	// Address is the engine's IP address and port.
 	Address string
-	// HTTP does the calls; nil uses http.DefaultClient. It must have no overall
-	// timeout, since answers stream for long.
+	// HTTP sends the requests; nil means http.DefaultClient. It must not have an overall
+	// timeout, since completions stream for long.
 	HTTP *http.Client
 }
 
 // Info describes an engine.
 type Info struct {
-	// Model, WeightVersion, Adapters and Role are what it serves.
+	// Model, WeightVersion, Adapters and Role describe what the engine serves.
 	Model         string   `json:"model"`
 	WeightVersion string   `json:"weight_version"`
 	Adapters      []string `json:"adapters"`
 	Role          string   `json:"role"`
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int `json:"block_tokens"`
-	// BytesPerToken is the size of a token's state in an export.
+	// BytesPerToken is the size in bytes of a token's KV cache in an export.
 	BytesPerToken int `json:"bytes_per_token"`
-	// PrefillRate and DecodeRate are in tokens a second.
+	// PrefillRate and DecodeRate are in tokens per second.
 	PrefillRate float64 `json:"prefill_tokens_per_second"`
 	DecodeRate  float64 `json:"decode_tokens_per_second"`
-	// MaxRunning is how many requests run at once.
+	// MaxRunning is the maximum of requests that run concurrently.
 	MaxRunning int `json:"max_running"`
-	// CacheBlocks is how many blocks the engine's memory holds.
+	// CacheBlocks is the capacity of the KV cache in blocks.
 	CacheBlocks int `json:"cache_blocks"`
-	// HonoursFence says that the engine refuses orders with an old fencing number.
+	// HonoursFence reports whether the engine refuses orders with a stale fencing number.
 	HonoursFence bool `json:"honours_fence"`
 	// State is "ready" or "loading".
 	State string `json:"state"`
-	// BootID is new at each start.
+	// BootID is different after each start.
 	BootID string `json:"boot_id"`
 }
 
-// Ready says that the engine takes work.
+// Ready reports whether the engine takes requests.
 func (i Info) Ready() bool { return i.State == "ready" }
 
-// Load is an engine's report of its load, which lags.
+// Load is an engine's load report. It may be stale when it arrives; see AtMS.
 type Load struct {
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// WaitingTokens is the prefill that waits, in tokens.
+	// WaitingTokens is the number of prefill tokens of the waiting requests.
 	WaitingTokens int `json:"waiting_prefill_tokens"`
-	// UsedBlocks and TotalBlocks are the cache's.
+	// UsedBlocks and TotalBlocks are the usage and capacity of the KV cache in blocks.
 	UsedBlocks  int `json:"used_blocks"`
 	TotalBlocks int `json:"total_blocks"`
-	// AtMS is when the report was true, in Unix milliseconds.
+	// AtMS is the time that the report describes, in Unix milliseconds.
 	AtMS int64 `json:"at_ms"`
 }
 
-// Event is one change of an engine's cache.
+// Event is one change of an engine's KV cache.
 type Event struct {
-	// Seq counts the events; a jump is a gap.
+	// Seq is the sequence number; a skipped number means that events were lost.
 	Seq uint64 `json:"seq"`
 	// Type is "stored", "removed" or "cleared".
 	Type string `json:"type"`
-	// Hashes are the blocks.
+	// Hashes identify the blocks.
 	Hashes []prompt.Hash `json:"hashes"`
-	// WeightVersion is what computed them.
+	// WeightVersion is the version with which the blocks were computed.
 	WeightVersion string `json:"weight_version"`
 }
 
-// Events is one answer of the stream of cache events.
+// Events is the response to one poll for cache events.
 type Events struct {
-	// BootID is the engine's boot.
+	// BootID is the engine's boot ID.
 	BootID string `json:"boot_id"`
-	// FirstSeq is the oldest event kept, NextSeq the next to come.
+	// FirstSeq is the oldest retained sequence number, NextSeq the next to be assigned.
 	FirstSeq uint64 `json:"first_seq"`
 	NextSeq  uint64 `json:"next_seq"`
-	// Events are those after the one asked for.
+	// Events are the events after the requested sequence number.
 	Events []Event `json:"events"`
 }
 
-// Blocks is everything that an engine's cache holds.
+// Blocks is the complete content of an engine's KV cache.
 type Blocks struct {
-	// BootID is the engine's boot.
+	// BootID is the engine's boot ID.
 	BootID string `json:"boot_id"`
-	// Seq is the last event that the list contains.
+	// Seq is the sequence number of the last event that the list includes.
 	Seq uint64 `json:"seq"`
-	// WeightVersion is the version loaded.
+	// WeightVersion is the loaded version.
 	WeightVersion string `json:"weight_version"`
-	// Hashes are the blocks held.
+	// Hashes identify the blocks.
 	Hashes []prompt.Hash `json:"hashes"`
 }
 
-// Order tells an engine to change.
+// Order instructs an engine to load weights or an adapter, or to change its role.
 type Order struct {
-	// Fence is the fencing number of who orders.
+	// Fence is the fencing number of the sender.
 	Fence uint64 `json:"fence"`
 	// Kind is "load_weights", "load_adapter" or "set_role".
 	Kind string `json:"kind"`
-	// WeightVersion, Adapter and Role are what to change to.
+	// WeightVersion, Adapter and Role are the values to change to; Kind says which applies.
 	WeightVersion string `json:"weight_version,omitempty"`
 	Adapter       string `json:"adapter,omitempty"`
 	Role          string `json:"role,omitempty"`
 }
 
-// Info asks for the engine's description.
+// Info returns the engine's description.
 func (c Client) Info(ctx context.Context) (Info, error) {
-	return get[Info](ctx, c, "/info")
+	return getJSON[Info](ctx, c, "/info")
 }
 
-// Load asks for the engine's load.
+// Load returns the engine's load report.
 func (c Client) Load(ctx context.Context) (Load, error) {
-	return get[Load](ctx, c, "/load")
+	return getJSON[Load](ctx, c, "/load")
 }
 
-// Events waits for cache events after seq.
+// Events returns the cache events after the sequence number after, for which the engine
+// waits up to wait if there are none yet.
 func (c Client) Events(ctx context.Context, after uint64, wait time.Duration) (Events, error) {
 	q := "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 
-	return get[Events](ctx, c, "/events"+q)
+	return getJSON[Events](ctx, c, "/events"+q)
 }
 
-// Blocks asks for everything that the cache holds.
+// Blocks returns the complete content of the KV cache.
 func (c Client) Blocks(ctx context.Context) (Blocks, error) {
-	return get[Blocks](ctx, c, "/cache/blocks")
+	return getJSON[Blocks](ctx, c, "/cache/blocks")
 }
 
-// Export returns the longest leading run of chain that is held, as the engine's
-// own bytes, and its number of blocks.
+// Export returns the longest prefix of chain in the engine's KV cache, as bytes in the
+// engine's own format, with its number of blocks, at least 1, and the weight version
+// that the engine reports for it.
 func (c Client) Export(ctx context.Context, chain prompt.Chain) (body []byte, blocks int, version string, err error) {
 	b, err := json.Marshal(struct {
 		Hashes prompt.Chain `json:"hashes"`
@@ -155,116 +157,118 @@
 		return nil, 0, "", failure.Wrap(failure.Internal, err, "an export could not be encoded")
 	}
 
-	a, err := c.do(ctx, http.MethodPost, "/cache/export", "application/json", b)
+	resp, err := c.call(ctx, http.MethodPost, "/cache/export", "application/json", b)
 	if err != nil {
 		return nil, 0, "", err
 	}
 
-	if a.status != http.StatusOK {
-		return nil, 0, "", a.unexpected()
+	if resp.status != http.StatusOK {
+		return nil, 0, "", resp.statusError()
 	}
 
-	blocks, err = strconv.Atoi(a.header.Get("X-Block-Count"))
+	blocks, err = strconv.Atoi(resp.header.Get("X-Block-Count"))
 	if err != nil || blocks < 1 || blocks > len(chain) {
-		return nil, 0, "", failure.New(failure.TargetLost, "the engine exported %q blocks of %d", a.header.Get("X-Block-Count"), len(chain))
+		return nil, 0, "", failure.New(failure.TargetLost, "the engine exported %q blocks of %d", resp.header.Get("X-Block-Count"), len(chain))
 	}
 
-	return a.body, blocks, a.header.Get("X-Weight-Version"), nil
+	return resp.body, blocks, resp.header.Get("X-Weight-Version"), nil
 }
 
-// Import gives the engine blocks that were exported; failure.WrongVersion when
-// they were computed by other weights than it has loaded.
+// Import passes exported blocks to the engine and returns how many it imported. The
+// error is failure.WrongVersion if they were computed with other weights than those
+// loaded.
 func (c Client) Import(ctx context.Context, body []byte) (blocks int, err error) {
-	a, err := c.do(ctx, http.MethodPost, "/cache/import", "application/octet-stream", body)
+	resp, err := c.call(ctx, http.MethodPost, "/cache/import", "application/octet-stream", body)
 	if err != nil {
 		return 0, err
 	}
 
-	if a.status != http.StatusOK {
-		return 0, a.unexpected()
+	if resp.status != http.StatusOK {
+		return 0, resp.statusError()
 	}
 
-	var got struct {
+	var result struct {
 		ImportedBlocks int `json:"imported_blocks"`
 	}
 
-	if err := json.Unmarshal(a.body, &got); err != nil {
-		return 0, failure.Wrap(failure.TargetLost, err, "the engine's answer to an import could not be read")
+	if err := json.Unmarshal(resp.body, &result); err != nil {
+		return 0, failure.Wrap(failure.TargetLost, err, "the engine's response to an import could not be decoded")
 	}
 
-	return got.ImportedBlocks, nil
+	return result.ImportedBlocks, nil
 }
 
-// Order gives an order; failure.StaleFence when the engine knows a newer one.
+// Order sends an order. The error is failure.StaleFence if the engine has received one
+// with a newer fencing number.
 func (c Client) Order(ctx context.Context, o Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "an order could not be encoded")
 	}
 
-	a, err := c.do(ctx, http.MethodPost, "/orders", "application/json", b)
+	resp, err := c.call(ctx, http.MethodPost, "/orders", "application/json", b)
 	if err != nil {
 		return err
 	}
 
-	switch a.status {
+	switch resp.status {
 	case http.StatusOK, http.StatusAccepted:
 		return nil
 	case http.StatusConflict:
-		return failure.New(failure.StaleFence, "the engine knows a newer order than %d", o.Fence)
+		return failure.New(failure.StaleFence, "the engine has a newer fencing number than %d", o.Fence)
 	default:
-		return a.unexpected()
+		return resp.statusError()
 	}
 }
 
-// answer is an engine's whole answer.
-type answer struct {
+// response is an engine's complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a answer) unexpected() error {
-	if a.status == http.StatusConflict {
+func (r response) statusError() error {
+	if r.status == http.StatusConflict {
 		return failure.New(failure.WrongVersion, "the engine has other weights loaded")
 	}
 
-	return failure.New(failure.TargetLost, "the engine answered %d", a.status)
+	return failure.New(failure.TargetLost, "the engine responded with status %d", r.status)
 }
 
-func get[T any](ctx context.Context, c Client, path string) (T, error) {
-	var got T
+func getJSON[T any](ctx context.Context, c Client, path string) (T, error) {
+	var result T
 
-	a, err := c.do(ctx, http.MethodGet, path, "", nil)
+	resp, err := c.call(ctx, http.MethodGet, path, "", nil)
 	if err != nil {
-		return got, err
+		return result, err
 	}
 
-	if a.status != http.StatusOK {
-		return got, a.unexpected()
+	if resp.status != http.StatusOK {
+		return result, resp.statusError()
 	}
 
-	if err := json.Unmarshal(a.body, &got); err != nil {
-		return got, failure.Wrap(failure.TargetLost, err, "the engine's answer to %s could not be read", path)
+	if err := json.Unmarshal(resp.body, &result); err != nil {
+		return result, failure.Wrap(failure.TargetLost, err, "the engine's response to %s could not be decoded", path)
 	}
 
-	return got, nil
+	return result, nil
 }
 
-func (c Client) do(ctx context.Context, method, path, contentType string, body []byte) (answer, error) {
+func (c Client) call(ctx context.Context, method, path, contentType string, body []byte) (response, error) {
 	resp, err := c.send(ctx, method, path, contentType, body)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
-	got, err := io.ReadAll(resp.Body)
+	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{}, failure.Wrap(failure.TargetLost, err, "the engine's answer to %s was cut", path)
+		return response{}, failure.Wrap(failure.TargetLost, err, "the engine's response to %s was incomplete", path)
 	}
 
-	return answer{status: resp.StatusCode, header: resp.Header, body: got}, nil
+	return response{status: resp.StatusCode, header: resp.Header, body: data}, nil
 }
 
 func (c Client) send(ctx context.Context, method, path, contentType string, body []byte) (*http.Response, error) {
@@ -284,7 +288,7 @@
 
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, failure.Wrap(failure.TargetLost, err, "the engine does not answer")
+		return nil, failure.Wrap(failure.TargetLost, err, "the engine is unreachable")
 	}
 
 	return resp, nil
--- a/engine/complete.go
+++ b/engine/complete.go
@@ -13,28 +13,29 @@
 	"boragehub/failure"
 )
 
-// Sampling holds the caller's wishes that only the engine reads.
+// Sampling holds the caller's sampling parameters, which only the engine evaluates.
 type Sampling struct {
-	// Temperature and TopP shape the draw of tokens; nil leaves it to the engine.
+	// Temperature and TopP control the sampling of tokens; nil means the engine's default.
 	Temperature *float64 `json:"temperature,omitempty"`
 	TopP        *float64 `json:"top_p,omitempty"`
-	// PresencePenalty and FrequencyPenalty discourage repetition.
+	// PresencePenalty and FrequencyPenalty reduce repetition; nil as above.
 	PresencePenalty  *float64 `json:"presence_penalty,omitempty"`
 	FrequencyPenalty *float64 `json:"frequency_penalty,omitempty"`
-	// Seed makes the draw repeatable.
+	// Seed makes the sampling reproducible.
 	Seed *int64 `json:"seed,omitempty"`
-	// Stop are texts that end the answer.
-	Stop Stops `json:"stop,omitempty"`
+	// Stop are texts that end the completion.
+	Stop StopSequences `json:"stop,omitempty"`
 }
 
-// Stops are texts that end an answer. In JSON it may be one text or a list.
-type Stops []string
+// StopSequences are texts that end a completion. In JSON they may be one string or a
+// list of strings.
+type StopSequences []string
 
-// UnmarshalJSON reads one text or a list.
-func (s *Stops) UnmarshalJSON(b []byte) error {
+// UnmarshalJSON reads one string or a list of strings.
+func (s *StopSequences) UnmarshalJSON(b []byte) error {
 	var one string
 	if json.Unmarshal(b, &one) == nil {
-		*s = Stops{one}
+		*s = StopSequences{one}
 
 		return nil
 	}
@@ -49,47 +50,48 @@
 	return nil
 }
 
-// Completion is a prompt to run.
+// Completion is a completion request.
 type Completion struct {
 	Sampling
 	// Model is the model's name.
 	Model string `json:"model"`
 	// Prompt is the rendered text.
 	Prompt string `json:"prompt"`
-	// MaxTokens bounds the whole answer, ResumeText included.
+	// MaxTokens is the maximum length of the completion, ResumeText included.
 	MaxTokens int `json:"max_tokens"`
 	// Stream is always set by Complete.
 	Stream bool `json:"stream"`
-	// Priority orders those that wait; lower is sooner.
+	// Priority orders the wait queue; a lower value runs sooner.
 	Priority int `json:"priority"`
-	// CacheSalt keeps organisations' blocks apart.
+	// CacheSalt separates the cache blocks of organisations.
 	CacheSalt string `json:"cache_salt"`
-	// WeightVersion is the version that must be loaded.
+	// WeightVersion is the version that must be loaded; empty means any.
 	WeightVersion string `json:"weight_version,omitempty"`
-	// Adapter is the adapter to use.
+	// Adapter is the adapter to use; empty means none.
 	Adapter string `json:"adapter,omitempty"`
-	// RequestID names the run in the engine's logs and in the answer's id, so it
-	// must be unique: callers may use one request id twice.
+	// RequestID identifies the run in the engine's logs and in the response's ID. It must
+	// be unique per run, since callers may use the same request ID twice.
 	RequestID string `json:"request_id"`
-	// ResumeText is the part of the answer that is there already.
+	// ResumeText is the part of the completion generated earlier, which the engine
+	// continues.
 	ResumeText string `json:"resume_text,omitempty"`
 }
 
-// Usage counts a run's tokens.
+// Usage is a run's token usage.
 type Usage struct {
-	// PromptTokens and CompletionTokens are the lengths of prompt and answer.
+	// PromptTokens and CompletionTokens are the lengths of prompt and completion.
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
-	// Details tells how much of the prompt came from the cache.
+	// Details says how much of the prompt was cached.
 	Details struct {
-		// CachedTokens were not computed.
+		// CachedTokens is the number of prompt tokens read from the KV cache.
 		CachedTokens int `json:"cached_tokens"`
 	} `json:"prompt_tokens_details"`
 }
 
-// Piece is a part of an answer; the last one has Finish and Usage.
+// Piece is a part of a streamed completion; the last one has Finish and Usage.
 type Piece struct {
-	// Text is what came.
+	// Text is the generated text.
 	Text string
 	// Finish is the finish reason, empty before the end.
 	Finish string
@@ -97,7 +99,7 @@
 	Usage Usage
 }
 
-type chunk struct {
+type completionChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -111,13 +113,14 @@
 	doneMark   = []byte("[DONE]")
 )
 
-// maxLine bounds one line of the stream.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of one line in the event stream.
+const maxLineBytes = 1 << 20
 
-// Complete runs q and hands each piece to take, in order. It returns nil only
-// after the engine's own end mark: an answer that stops earlier is an error, so
-// that a cut answer never passes for a whole one. An error of take ends the run.
-func (c Client) Complete(ctx context.Context, q Completion, take func(Piece) error) error {
+// Complete runs q and passes each piece to handle, in order. It returns nil only after
+// the engine's end marker: a response that ends earlier is an error, so that a truncated
+// response is never taken for a complete one. An error of handle ends the run and is
+// returned.
+func (c Client) Complete(ctx context.Context, q Completion, handle func(Piece) error) error {
 	q.Stream = true
 
 	b, err := json.Marshal(q)
@@ -125,24 +128,25 @@
 		return failure.Wrap(failure.Internal, err, "a completion could not be encoded")
 	}
 
-	a := &answering{}
+	tracker := &responseTracker{}
 
-	resp, err := c.send(a.watch(ctx), http.MethodPost, "/v1/completions", "application/json", b)
+	resp, err := c.send(tracker.withTrace(ctx), http.MethodPost, "/v1/completions", "application/json", b)
 	if err != nil {
-		return a.unread(err)
+		return tracker.asRefusal(err)
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return refusalError(resp)
 	}
 
-	return read(resp.Body, q.RequestID, take)
+	return readStream(resp.Body, q.RequestID, handle)
 }
 
-// refusal maps an engine's refusal, which it gives before anything runs.
-func refusal(resp *http.Response) error {
+// refusalError returns the error for a response with a status other than 200. Each
+// status with its own case is one that an engine sends before anything runs.
+func refusalError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 
 	switch resp.StatusCode {
@@ -153,13 +157,13 @@
 	case http.StatusBadRequest, http.StatusNotFound:
 		return failure.New(failure.BadRequest, "the engine refused the request: %s", text)
 	default:
-		return failure.New(failure.TargetLost, "the engine answered %d", resp.StatusCode)
+		return failure.New(failure.TargetLost, "the engine responded with status %d", resp.StatusCode)
 	}
 }
 
-func read(r io.Reader, requestID string, take func(Piece) error) error {
+func readStream(r io.Reader, requestID string, handle func(Piece) error) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
+	lines.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 
 	finished := false
 
@@ -171,46 +175,46 @@
 
 		if bytes.Equal(data, doneMark) {
 			if !finished {
-				return failure.New(failure.TargetLost, "the engine ended an answer without a finish reason")
+				return failure.New(failure.TargetLost, "the engine ended a response without a finish reason")
 			}
 
 			return nil
 		}
 
-		p, err := decode(data, requestID)
+		p, err := decodePiece(data, requestID)
 		if err != nil {
 			return err
 		}
 
 		finished = finished || p.Finish != ""
 
-		if err := take(p); err != nil {
+		if err := handle(p); err != nil {
 			return err
 		}
 	}
 
-	return failure.Wrap(failure.TargetLost, cause(lines.Err()), "the engine's answer was cut")
+	return failure.Wrap(failure.TargetLost, streamError(lines.Err()), "the engine's response was incomplete")
 }
 
-func cause(err error) error {
+func streamError(err error) error {
 	if err == nil {
-		return errors.New("the connection ended before the end mark")
+		return errors.New("the connection ended before the end marker")
 	}
 
 	return err
 }
 
-// decode reads one piece. Its id must bear the request's: an answer that crossed
-// another one on its way looks whole in every other respect, and a caller would
-// read somebody else's.
-func decode(data []byte, requestID string) (Piece, error) {
-	var k chunk
+// decodePiece decodes one piece. Its ID must contain the request's: a response to
+// another request looks complete in every other respect, and the caller would get
+// another caller's completion.
+func decodePiece(data []byte, requestID string) (Piece, error) {
+	var k completionChunk
 	if err := json.Unmarshal(data, &k); err != nil {
-		return Piece{}, failure.Wrap(failure.TargetLost, err, "a piece of the engine's answer could not be read")
+		return Piece{}, failure.Wrap(failure.TargetLost, err, "a piece of the engine's response could not be decoded")
 	}
 
 	if !strings.Contains(k.ID, requestID) {
-		return Piece{}, failure.New(failure.BadMessage, "an answer to %q came for %q", k.ID, requestID)
+		return Piece{}, failure.New(failure.BadMessage, "got a response to %q for request %q", k.ID, requestID)
 	}
 
 	var p Piece
--- a/engine/unread.go
+++ b/engine/unread.go
@@ -11,25 +11,26 @@
 	"boragehub/failure"
 )
 
-// answering notes whether the engine has begun to answer a call.
-type answering struct{ begun atomic.Bool }
+// responseTracker records whether the engine has started to respond to a request.
+type responseTracker struct{ started atomic.Bool }
 
-// watch returns a context for the call.
-func (a *answering) watch(ctx context.Context) context.Context {
+// withTrace returns a context for the request that records the first response byte.
+func (t *responseTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotFirstResponseByte: func() { a.begun.Store(true) },
+		GotFirstResponseByte: func() { t.started.Store(true) },
 	})
 }
 
-// unread turns the error of a call into a refusal where the engine can't have run it: its
-// connection was reset before a byte of the answer. The system resets a connection whose
-// port is closed before anybody accepted it, and one that is closed over bytes which nobody
-// read; an engine that dies of a prompt has read it to its end. Without this, whoever
-// comes just as an engine stops in order counts as one that may have brought it down.
-func (a *answering) unread(err error) error {
-	if a.begun.Load() || !errors.Is(err, syscall.ECONNRESET) {
+// asRefusal turns the error of a request into a refusal if the engine can't have run it:
+// the connection was reset before the first byte of the response. The operating system
+// resets a connection that was not accepted before its port was closed, and one that is
+// closed with unread data; an engine that crashes on a prompt has read it completely.
+// Without this, a request that arrives while an engine shuts down gracefully would be
+// suspected of having crashed it.
+func (t *responseTracker) asRefusal(err error) error {
+	if t.started.Load() || !errors.Is(err, syscall.ECONNRESET) {
 		return err
 	}
 
-	return failure.Wrap(failure.NotReady, err, "the engine closed the connection without reading the run").After(time.Second)
+	return failure.Wrap(failure.NotReady, err, "the engine closed the connection without reading the request").After(time.Second)
 }
--- a/prompt/chain.go
+++ b/prompt/chain.go
@@ -1,24 +1,24 @@
-// Package prompt turns a caller's prompt into the chain of block hashes by
-// which its context is recognised when it returns.
+// Package prompt computes the chain of block hashes of a prompt, by which its KV
+// cache is found when a later prompt begins with the same text.
 //
 // # Model
 //
-// An engine caches a prompt's key-value state in blocks of a fixed number of
-// tokens, and a block is only of use when everything before it is the same. So
-// each block's hash covers its own tokens and the hash of the block before it,
-// and the first one covers the Scope: organisation salt, model, weight version
-// and adapter. Two organisations therefore never share a hash, and a new weight
-// version starts afresh. The scheme is the one that the engines publish (see
-// docs/PLATFORM.md), so hashes in their cache events can be compared to these.
+// An engine's KV cache stores a prompt in blocks of a fixed number of tokens, and a
+// block can only be reused if everything before it is the same. Each block's hash
+// therefore covers its own tokens and the hash of the block before it, and the first
+// one covers the Scope: organisation salt, model, weight version and adapter. Two
+// organisations thus never share a hash, and neither do two weight versions. The
+// scheme is the one that the engines publish (see docs/PLATFORM.md), so the hashes in
+// their cache events can be compared with these.
 //
 // # Tokens
 //
-// The stand-in engine takes four bytes of text for a token (TokenBytes); the
-// engines of an installation would bring their own tokenizer here.
+// The stand-in engine counts four bytes of text as a token (TokenBytes); an
+// installation with other engines needs their tokenizer here.
 //
 //	scope := prompt.Scope{Salt: salt, Model: "casemodel", Version: "v1"}
 //	chain := scope.Chain(text, 16)
-//	chain.Len() // whole blocks in text
+//	chain.Len() // complete blocks in text
 package prompt
 
 import (
@@ -29,13 +29,13 @@
 // HashSize is the length of a Hash in bytes.
 const HashSize = 16
 
-// TokenBytes is how many bytes of text make one token of the stand-in engine.
+// TokenBytes is the number of bytes of text per token in the stand-in engine.
 const TokenBytes = 4
 
-// DefaultBlockTokens is how many tokens make a block where an engine doesn't say.
+// DefaultBlockTokens is the number of tokens per block of an engine that reports none.
 const DefaultBlockTokens = 16
 
-// Hash identifies a block together with everything before it.
+// Hash identifies a block and everything before it.
 type Hash [HashSize]byte
 
 // String returns h in hexadecimal.
@@ -44,7 +44,8 @@
 // MarshalText returns h in hexadecimal.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads h from hexadecimal.
+// UnmarshalText reads h from hexadecimal; a text of another length than a Hash's is
+// an error.
 func (h *Hash) UnmarshalText(b []byte) error {
 	if hex.DecodedLen(len(b)) != HashSize {
 		return hex.ErrLength
@@ -55,9 +56,9 @@
 	return err
 }
 
-// Scope is what two prompts must share before any block of theirs may be the same.
+// Scope is what two prompts must have in common to share any block.
 type Scope struct {
-	// Salt differs for each organisation. Empty is a scope of its own.
+	// Salt separates organisations. An empty salt is a separate scope too.
 	Salt string
 	// Model is the model's name.
 	Model string
@@ -67,7 +68,7 @@
 	Adapter string
 }
 
-// Root returns the hash that the first block is chained to.
+// Root returns the hash that serves as the parent of the first block.
 func (s Scope) Root() Hash {
 	d := sha256.New()
 	for _, part := range [...]string{s.Salt, s.Model, s.Version, s.Adapter} {
@@ -82,7 +83,8 @@
 	return h
 }
 
-// Next returns the hash of a block with the given content that follows parent.
+// Next returns the hash of the block with the given content that follows the block
+// with the hash parent.
 func Next(parent Hash, content []byte) Hash {
 	d := sha256.New()
 	d.Write(parent[:])
@@ -98,16 +100,17 @@
 // Chain is the list of block hashes of one prompt, in order.
 type Chain []Hash
 
-// Len returns the number of whole blocks.
+// Len returns the number of blocks.
 func (c Chain) Len() int { return len(c) }
 
-// Tokens returns the number of tokens in text.
+// Tokens returns the number of tokens in text; an incomplete last one counts.
 func Tokens(text string) int {
 	return (len(text) + TokenBytes - 1) / TokenBytes
 }
 
-// Chain returns the hashes of the whole blocks in text, with blockTokens tokens
-// a block. What is left over at the end belongs to no block.
+// Chain returns the hashes of the complete blocks in text, with blockTokens tokens
+// per block. An incomplete block at the end has no hash. If blockTokens is zero or
+// negative, Chain returns nil.
 func (s Scope) Chain(text string, blockTokens int) Chain {
 	size := blockTokens * TokenBytes
 	if size <= 0 {
@@ -125,7 +128,7 @@
 	return chain
 }
 
-// Shared returns how many leading blocks c and other have in common.
+// Shared returns the number of leading blocks that c and other have in common.
 func (c Chain) Shared(other Chain) int {
 	n := min(len(c), len(other))
 	for i := range n {
--- a/prompt/prompt_test.go
+++ b/prompt/prompt_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Two organisations send the same text. If their blocks had the same hash, one
-// would be answered from the other's context.
+// Two organisations send the same text. If their blocks had the same hash, the prompt of
+// one would be completed from the KV cache of the other.
 func TestScopesShareNoBlock(t *testing.T) {
 	base := Scope{Salt: "a", Model: "m", Version: "v1"}
 	text := strings.Repeat("x", 640)
