--- a/event/gateway.go
+++ b/event/gateway.go
@@ -20,7 +20,7 @@
 	StreamResumed       = register(2305, "stream_resumed", "A stream continues on another target: `request_id`, `target`, `after_id`.")
 	RoomAwaited         = register(2306, "room_awaited", "A long prompt waited for an engine with free capacity: `request_id`, `waited_ms`, `waiting`.")
 	TargetSilent        = register(2307, "target_silent", "A target sent nothing for over a second while others did; the attempts that wait for it are abandoned: `target`, `attempts`.")
-	AttemptsOverdue     = register(2308, "attempts_overdue", "Requests waited for engines with the previous weight version until the time after which they may no longer start there, and were withdrawn: `attempts`.")
+	AttemptsOverdue     = register(2308, "attempts_overdue", "Requests still waited at engines with a superseded weight version when the time limit for starting there was near, and were withdrawn: `attempts`.")
 	AttemptsLost        = register(2315, "attempts_lost", "A target restarted while requests waited for its responses, which will not arrive: `target`, `attempts`.")
 	CrashSuspected      = register(2309, "crash_suspected", "Several requests were cut off at a target at once, or another entry reported it; they are suspects: `target`, `requests`, `basis`.")
 	EngineListed        = register(2310, "engine_listed", "The register lists a new target, or a target with changed data: `target`, `address`, `service`, `draining`, `versions`.")
--- a/event/process.go
+++ b/event/process.go
@@ -7,7 +7,7 @@
 	ProcessStopped  = register(1002, "process_stopped", "A process shut down gracefully.")
 	ProcessFailed   = register(1003, "process_failed", "A process could not start or continue.")
 	SettingsReread  = register(1004, "settings_reread", "The platform reported a change of the settings file; addresses stay as they are until the next start.")
-	PortClosed      = register(1005, "port_closed", "A stopping process closed its callers' port and connections: how many were opened without a request yet, busy, idle, and how many of the first and last had a request that arrived and was not served (pending). Busy and pending are zero unless the shutdown timeout expired.")
+	PortClosed      = register(1005, "port_closed", "A stopping process closed its callers' port and connections: the numbers of connections opened without a request yet, busy, idle, and of opened and idle ones with a request that arrived and was not served (pending). Busy and pending are zero unless the shutdown timeout expired.")
 	VMListChanged   = register(1010, "vm_list_changed", "The platform's list of VMs has a new version.")
 	VMListLost      = register(1011, "vm_list_lost", "The platform's list of VMs is unreachable; the last one stays in use.")
 )
