--- a/event/claim.go
+++ b/event/claim.go
@@ -10,7 +10,7 @@
 	ClaimRefused         = register(1605, "claim_refused", "A request with an Idempotency-Key was refused; `kind` gives the reason.")
 	ClaimReplayed        = register(1606, "claim_replayed", "A retry with an Idempotency-Key got the recorded response.")
 	ClaimOutcomeUnknown  = register(1607, "claim_outcome_unknown", "A request may have run before and will not be run again.")
-	ClaimUncertainWindow = register(1608, "claim_uncertain_window", "A shard was taken over from a home that may have run requests without recording them. Requests whose key was issued before `cut` and has no record are answered as outcome unknown.")
+	ClaimUncertainWindow = register(1608, "claim_uncertain_window", "A shard was taken over from a home that may have run requests without recording them. Requests whose key was issued before `cut` and has no record get an error that says that the outcome is unknown.")
 	ClaimPaused          = register(1609, "claim_paused", "This process was paused; it serves from its own memory again only after it has read the log.")
 	ClaimDecided         = register(1610, "claim_decided", "A request with an Idempotency-Key may run; `log_less` means that its claim is not in the log yet.")
 )
--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -14,7 +14,7 @@
 	for _, k := range Kinds() {
 		a := k.Answer()
 		if a.Status < 400 || a.Type == "" || a.Code == "" {
-			t.Errorf("kind %d: got incomplete answer %+v", k, a)
+			t.Errorf("kind %d: got incomplete response %+v", k, a)
 		}
 
 		if other, ok := codes[a.Code]; ok {
--- a/operator/responder.go
+++ b/operator/responder.go
@@ -22,8 +22,8 @@
 // Answer returns the response to m from a peer. A message of any other type gets a
 // refusal with failure.BadMessage.
 func (r Responder) Answer(now time.Time, from peer.Identity, m message.Message) message.Message {
-	if answer, ok := exchange.Answer(now, r.Settings, from, m); ok {
-		return answer
+	if response, ok := exchange.Answer(now, r.Settings, from, m); ok {
+		return response
 	}
 
 	if q, ok := m.(message.View); ok {
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -20,7 +20,7 @@
 
 	started, release := make(chan struct{}), make(chan struct{})
 
-	var answered atomic.Bool
+	var responded atomic.Bool
 
 	s := &Server{listener: l, server: &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(started)
@@ -28,7 +28,7 @@
 
 		_, _ = io.WriteString(w, "done")
 
-		answered.Store(true)
+		responded.Store(true)
 	})}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -63,7 +63,7 @@
 	close(release)
 	<-done
 
-	if !answered.Load() {
+	if !responded.Load() {
 		t.Error("got Run returned before the response, want it after")
 	}
 
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -53,10 +53,10 @@
 
 // stop shuts the server down; done is closed when the process would have ended.
 func (p *stoppableServer) stop() (done <-chan struct{}) {
-	gone := make(chan struct{})
+	stopped := make(chan struct{})
 
 	go func() {
-		defer close(gone)
+		defer close(stopped)
 
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
@@ -66,7 +66,7 @@
 		<-p.served
 	}()
 
-	return gone
+	return stopped
 }
 
 // nameSet holds the names of the views that a handler received requests for.
@@ -264,16 +264,16 @@
 	close(release)
 	<-responded
 
-	gone := s.stop()
+	stopped := s.stop()
 
-	waitUntil(gone, func() bool { return proxy.droppedCount() >= 4 })
+	waitUntil(stopped, func() bool { return proxy.droppedCount() >= 4 })
 	proxy.setDropping(false)
 
 	if err := <-result; err != nil {
 		t.Errorf("got %v, want the response", err)
 	}
 
-	<-gone
+	<-stopped
 }
 
 // An entry is delayed and has not read the last response from its receive buffer when
@@ -303,10 +303,10 @@
 
 	<-responded
 
-	gone := s.stop()
+	stopped := s.stop()
 	delay := time.After(s.cfg.StreamTimeout / 4)
 
-	waitUntil(gone, func() bool {
+	waitUntil(stopped, func() bool {
 		select {
 		case <-delay:
 			return true
@@ -320,7 +320,7 @@
 	}
 
 	st.Close()
-	<-gone
+	<-stopped
 }
 
 // waitUntil waits until done is closed or ok returns true.
