--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -14,7 +14,7 @@
 	for _, k := range Kinds() {
 		a := k.Answer()
 		if a.Status < 400 || a.Type == "" || a.Code == "" {
-			t.Errorf("kind %d: got incomplete answer %+v", k, a)
+			t.Errorf("kind %d: got incomplete response %+v", k, a)
 		}
 
 		if other, ok := codes[a.Code]; ok {
@@ -35,11 +35,11 @@
 		err  error
 		want Kind
 	}{
-		{"own", New(QueueFull, "full"), QueueFull},
+		{"Error", New(QueueFull, "full"), QueueFull},
 		{"wrapped", fmt.Errorf("outer: %w", New(Draining, "leaving")), Draining},
 		{"cancelled", context.Canceled, Cancelled},
 		{"expired", context.DeadlineExceeded, Timeout},
-		{"foreign", io.EOF, Internal},
+		{"other error", io.EOF, Internal},
 	}
 
 	for _, c := range cases {
