--- a/experiment/cache.go
+++ b/experiment/cache.go
@@ -2,34 +2,35 @@
 
 import "container/list"
 
-// cache is an engine's cache: leading tokens by conversation, the least recently
-// used evicted first and from its end.
+// cache models an engine's KV cache as leading tokens by conversation. It evicts the
+// least recently used conversation first, from the end of its tokens.
 type cache struct {
-	room  int
-	used  int
-	order *list.List // of *cached, most recently used in front
-	byID  map[int]*list.Element
-	// shrunk is told of each eviction.
-	shrunk func(c *conversation, left int)
-	// inserted counts tokens that came in, to learn how long a context stays.
-	inserted int
+	capacity int
+	used     int
+	lru      *list.List // of *cached, most recently used first
+	byID     map[int]*list.Element
+	// onEvict is called after each eviction with the tokens of c that are left.
+	onEvict func(c *conversation, left int)
+	// insertedTokens counts all tokens ever added, to estimate how long an unused
+	// context stays.
+	insertedTokens int
 }
 
-// cached is what the cache has of one conversation.
+// cached is the cache's state of one conversation.
 type cached struct {
 	c        *conversation
-	valid    int // tokens that can be used
-	reserved int // room promised to running requests
-	pins     int // running requests
+	valid    int // tokens available for reuse
+	reserved int // tokens reserved for running requests
+	pins     int // number of running requests, which prevent eviction
 }
 
 func (e *cached) size() int { return max(e.valid, e.reserved) }
 
-func newCache(room int, shrunk func(*conversation, int)) *cache {
-	return &cache{room: room, order: list.New(), byID: map[int]*list.Element{}, shrunk: shrunk}
+func newCache(capacity int, onEvict func(*conversation, int)) *cache {
+	return &cache{capacity: capacity, lru: list.New(), byID: map[int]*list.Element{}, onEvict: onEvict}
 }
 
-// tokens returns how many leading tokens of c are held.
+// tokens returns how many leading tokens of c are cached.
 func (m *cache) tokens(c *conversation) int {
 	e, ok := m.byID[c.id]
 	if !ok {
@@ -41,90 +42,92 @@
 
 func (m *cache) entry(c *conversation) *cached {
 	if e, ok := m.byID[c.id]; ok {
-		m.order.MoveToFront(e)
+		m.lru.MoveToFront(e)
 		return e.Value.(*cached)
 	}
 
 	n := &cached{c: c}
-	m.byID[c.id] = m.order.PushFront(n)
+	m.byID[c.id] = m.lru.PushFront(n)
 
 	return n
 }
 
-// pin reserves room for a running request of c.
+// pin reserves space for a running request of c and protects c from eviction.
 func (m *cache) pin(c *conversation, tokens int) {
 	e := m.entry(c)
-	before := e.size()
+	oldSize := e.size()
 	e.pins++
 	e.reserved = max(e.reserved, tokens)
-	m.used += e.size() - before
+	m.used += e.size() - oldSize
 	m.evict()
 }
 
-// unpin ends a running request of c.
+// unpin releases the reservation of a request of c that has ended.
 func (m *cache) unpin(c *conversation) {
 	e := m.entry(c)
-	before := e.size()
+	oldSize := e.size()
 	e.pins--
 
 	if e.pins == 0 {
 		e.reserved = 0
 	}
 
-	m.used += e.size() - before
+	m.used += e.size() - oldSize
 }
 
-// put notes that the first tokens of c are held.
+// put adds the first tokens of c to the cache.
 func (m *cache) put(c *conversation, tokens int) {
 	e := m.entry(c)
-	before := e.size()
-	m.inserted += max(tokens-e.valid, 0)
+	oldSize := e.size()
+	m.insertedTokens += max(tokens-e.valid, 0)
 	e.valid = max(e.valid, tokens)
-	m.used += e.size() - before
+	m.used += e.size() - oldSize
 	m.evict()
 }
 
 func (m *cache) evict() {
-	for e := m.order.Back(); e != nil && m.used > m.room; {
-		before := e.Prev()
+	for e := m.lru.Back(); e != nil && m.used > m.capacity; {
+		prev := e.Prev()
 		m.shrink(e)
-		e = before
+		e = prev
 	}
 }
 
-// shrink takes from one conversation what the cache has too much.
+// shrink evicts as many tokens of one conversation as the cache exceeds its capacity.
+// Pinned conversations are not evicted.
 func (m *cache) shrink(e *list.Element) {
 	x := e.Value.(*cached)
 	if x.pins > 0 {
 		return
 	}
 
-	take := min(x.valid, m.used-m.room)
-	x.valid -= take
-	m.used -= take
+	excess := min(x.valid, m.used-m.capacity)
+	x.valid -= excess
+	m.used -= excess
 
 	if x.valid == 0 {
-		m.order.Remove(e)
+		m.lru.Remove(e)
 		delete(m.byID, x.c.id)
 	}
 
-	m.shrunk(x.c, x.valid)
+	m.onEvict(x.c, x.valid)
 }
 
-// clear drops everything valid, as after new weights.
+// clear invalidates all cached tokens, as after a load of new weights. Reservations of
+// running requests remain.
 func (m *cache) clear() {
-	for e := m.order.Back(); e != nil; {
-		before := e.Prev()
+	for e := m.lru.Back(); e != nil; {
+		prev := e.Prev()
 		x := e.Value.(*cached)
-		had := x.size()
+		oldSize := x.size()
 		x.valid = 0
-		m.used += x.size() - had
+		m.used += x.size() - oldSize
 
 		if x.pins == 0 {
-			m.order.Remove(e)
+			m.lru.Remove(e)
 			delete(m.byID, x.c.id)
 		}
 
-		e = before
+		e = prev
 	}
 }
--- a/experiment/calls.go
+++ b/experiment/calls.go
@@ -7,89 +7,91 @@
 	"boragehub/route"
 )
 
-// The model of a plain service's target: it carries out callsAtOnce calls at a
-// time, each of which takes callTime at the median.
+// The model of a plain service's target: it processes up to maxConcurrentCalls calls at a
+// time, each of which takes medianCallTime at the median.
 const (
-	callsAtOnce = 8
-	callTime    = 50 * time.Millisecond
-	// callSpread is the standard deviation of the logarithm of a call's time;
-	// callMean is the mean of such times against their median.
-	callSpread = 0.8
-	callMean   = 1.377
+	maxConcurrentCalls = 8
+	medianCallTime     = 50 * time.Millisecond
+	// callTimeSigma is the standard deviation of the logarithm of a call's time, and
+	// callTimeMeanFactor the ratio of the mean to the median of such times,
+	// exp(callTimeSigma^2/2).
+	callTimeSigma      = 0.8
+	callTimeMeanFactor = 1.377
 )
 
-// plainTarget is one target of the plain service.
+// plainTarget models one target of the plain service.
 type plainTarget struct {
-	running int
-	waiting []func()
-	seen    [reports]report
-	next    int
+	running     int
+	waiting     []func()
+	reports     [maxReports]report
+	reportCount int
 }
 
-// callWorld is a run of the plain service alone.
-type callWorld struct {
-	d       Deployment
-	policy  Policy
-	clock   *clock
-	rng     *rand.Rand
-	targets []*plainTarget
-	sent    [][][]time.Duration // by entry and target
-	flying  [][]int             // the same, calls without an answer
-	turns   []int
-	figures Figures
+// callSimulation simulates the plain service, which shares nothing with the engines.
+type callSimulation struct {
+	d          Deployment
+	policy     Policy
+	clock      *clock
+	rng        *rand.Rand
+	targets    []*plainTarget
+	sent       [][][]time.Duration // send times, by entry and target
+	inFlight   [][]int             // calls without a response, by entry and target
+	nextTarget []int
+	stats      Stats
 }
 
-// calls measures the time from arrival to answer of the plain service's calls.
-func (r run) calls() Figures {
-	w := &callWorld{
+// calls measures the time from arrival to response of the plain service's calls. Each data
+// centre has one entry.
+func (r run) calls() Stats {
+	s := &callSimulation{
 		d: r.d, policy: r.policy, clock: &clock{}, rng: rand.New(rand.NewPCG(r.seed, 3)),
-		turns: make([]int, len(r.d.DataCentres)), figures: newFigures(r.d.Service),
+		nextTarget: make([]int, len(r.d.DataCentres)), stats: newStats(r.d.Service),
 	}
 
-	for range r.d.Plain {
-		w.targets = append(w.targets, &plainTarget{})
+	for range r.d.PlainTargets {
+		s.targets = append(s.targets, &plainTarget{})
 	}
 
 	for range r.d.DataCentres {
-		w.sent = append(w.sent, make([][]time.Duration, r.d.Plain))
-		w.flying = append(w.flying, make([]int, r.d.Plain))
+		s.sent = append(s.sent, make([][]time.Duration, r.d.PlainTargets))
+		s.inFlight = append(s.inFlight, make([]int, r.d.PlainTargets))
 	}
 
-	each := callTime.Seconds() * callMean / (r.load * callsAtOnce * float64(r.d.Plain))
-	w.report(r.measured)
-	w.arrivals(each, r.measured)
-	w.clock.run(r.measured + drain)
+	meanInterval := medianCallTime.Seconds() * callTimeMeanFactor / (r.load * maxConcurrentCalls * float64(r.d.PlainTargets))
+	s.recordReports(r.measured)
+	s.scheduleArrivals(meanInterval, r.measured)
+	s.clock.run(r.measured + drainTime)
 
-	return w.figures
+	return s.stats
 }
 
-func (w *callWorld) arrivals(each float64, end time.Duration) {
-	w.clock.after(time.Duration(w.rng.ExpFloat64()*each*float64(time.Second)), func() {
-		if w.clock.now >= end {
+func (s *callSimulation) scheduleArrivals(meanInterval float64, end time.Duration) {
+	s.clock.after(time.Duration(s.rng.ExpFloat64()*meanInterval*float64(time.Second)), func() {
+		if s.clock.now >= end {
 			return
 		}
 
-		w.call(w.rng.IntN(len(w.sent)), w.rng.Uint64(), time.Duration(about(w.rng, float64(callTime), callSpread)))
-		w.arrivals(each, end)
+		s.call(s.rng.IntN(len(s.sent)), s.rng.Uint64(), time.Duration(logNormal(s.rng, float64(medianCallTime), callTimeSigma)))
+		s.scheduleArrivals(meanInterval, end)
 	})
 }
 
-func (w *callWorld) call(entry int, seed uint64, took time.Duration) {
-	i := w.choose(entry, seed)
-	w.sent[entry][i] = append(w.sent[entry][i], w.clock.now)
-	began := w.clock.now
-	w.flying[entry][i]++
-	w.targets[i].do(w.clock, took, func() {
-		w.flying[entry][i]--
-		w.figures.note(w.clock.now - began)
+func (s *callSimulation) call(entry int, seed uint64, duration time.Duration) {
+	i := s.choose(entry, seed)
+	s.sent[entry][i] = append(s.sent[entry][i], s.clock.now)
+	arrivedAt := s.clock.now
+	s.inFlight[entry][i]++
+	s.targets[i].serve(s.clock, duration, func() {
+		s.inFlight[entry][i]--
+		s.stats.observe(s.clock.now - arrivedAt)
 	})
 }
 
-// do carries out a call, or lets it wait for its turn.
-func (t *plainTarget) do(c *clock, took time.Duration, done func()) {
+// serve processes a call, or queues it while maxConcurrentCalls run.
+func (t *plainTarget) serve(c *clock, duration time.Duration, done func()) {
 	start := func() {
 		t.running++
-		c.after(took, func() {
+		c.after(duration, func() {
 			t.running--
 			done()
 
@@ -101,7 +103,7 @@
 		})
 	}
 
-	if t.running >= callsAtOnce {
+	if t.running >= maxConcurrentCalls {
 		t.waiting = append(t.waiting, start)
 		return
 	}
@@ -109,54 +111,54 @@
 	start()
 }
 
-func (w *callWorld) choose(entry int, seed uint64) int {
-	if w.policy == RoundRobin || w.policy == StickyPrefix {
-		w.turns[entry]++
-		return (w.turns[entry] + entry) % len(w.targets)
+func (s *callSimulation) choose(entry int, seed uint64) int {
+	if s.policy == RoundRobin || s.policy == StickyPrefix {
+		s.nextTarget[entry]++
+		return (s.nextTarget[entry] + entry) % len(s.targets)
 	}
 
-	candidates := make([]route.CallCandidate, len(w.targets))
-	for i, t := range w.targets {
-		candidates[i] = w.candidate(entry, i, t)
+	candidates := make([]route.CallCandidate, len(s.targets))
+	for i, t := range s.targets {
+		candidates[i] = s.candidate(entry, i, t)
 	}
 
-	if w.policy == LeastLoaded {
-		return leastCalls(candidates)
+	if s.policy == LeastLoaded {
+		return leastLoadedTarget(candidates)
 	}
 
-	d := route.DecideCall(epoch.Add(w.clock.now), route.Config{}, seed, candidates)
+	d := route.DecideCall(epoch.Add(s.clock.now), route.Config{}, seed, candidates)
 
 	return d.Target()
 }
 
-func (w *callWorld) candidate(entry, i int, t *plainTarget) route.CallCandidate {
-	if w.policy == Clairvoyant {
-		return route.CallCandidate{LoadAt: epoch.Add(w.clock.now), Running: t.running, Waiting: len(t.waiting), CallTime: callTime, AtOnce: callsAtOnce}
+func (s *callSimulation) candidate(entry, i int, t *plainTarget) route.CallCandidate {
+	if s.policy == Clairvoyant {
+		return route.CallCandidate{LoadAt: epoch.Add(s.clock.now), Running: t.running, Waiting: len(t.waiting), CallTime: medianCallTime, AtOnce: maxConcurrentCalls}
 	}
 
-	r := t.reported(w.clock.now)
-	own := 0
+	r := t.latestReport(s.clock.now)
+	sentSince := 0
 
-	for _, at := range w.sent[entry][i] {
+	for _, at := range s.sent[entry][i] {
 		if at > r.at {
-			own++
+			sentSince++
 		}
 	}
 
-	w.sent[entry][i] = w.sent[entry][i][len(w.sent[entry][i])-own:]
-	c := route.CallCandidate{LoadAt: epoch.Add(r.at), Running: r.running, Waiting: r.waiting, CallTime: callTime, AtOnce: callsAtOnce}
+	s.sent[entry][i] = s.sent[entry][i][len(s.sent[entry][i])-sentSince:]
+	c := route.CallCandidate{LoadAt: epoch.Add(r.at), Running: r.running, Waiting: r.waiting, CallTime: medianCallTime, AtOnce: maxConcurrentCalls}
 
-	if w.policy == Ours {
-		c.SentRequests = own
-		c.InFlight = w.flying[entry][i]
+	if s.policy == Boragehub {
+		c.SentRequests = sentSince
+		c.InFlight = s.inFlight[entry][i]
 	}
 
 	return c
 }
 
-// leastCalls is the usual balancer: the fewest calls by the last report, the
-// first of equal ones.
-func leastCalls(candidates []route.CallCandidate) int {
+// leastLoadedTarget returns the target with the fewest calls in its last report, the first
+// one of equals, as common balancers do.
+func leastLoadedTarget(candidates []route.CallCandidate) int {
 	best := 0
 
 	for i := range candidates {
@@ -168,20 +170,20 @@
 	return best
 }
 
-func (w *callWorld) report(end time.Duration) {
-	for _, t := range w.targets {
-		t.seen[t.next%reports] = report{at: w.clock.now, running: t.running, waiting: len(t.waiting)}
-		t.next++
+func (s *callSimulation) recordReports(end time.Duration) {
+	for _, t := range s.targets {
+		t.reports[t.reportCount%maxReports] = report{at: s.clock.now, running: t.running, waiting: len(t.waiting)}
+		t.reportCount++
 	}
 
-	if w.clock.now < end {
-		w.clock.after(reportEvery, func() { w.report(end) })
+	if s.clock.now < end {
+		s.clock.after(reportInterval, func() { s.recordReports(end) })
 	}
 }
 
-func (t *plainTarget) reported(now time.Duration) report {
-	for i := t.next - 1; i >= max(t.next-reports, 0); i-- {
-		if r := t.seen[i%reports]; now-r.at >= loadLag {
+func (t *plainTarget) latestReport(now time.Duration) report {
+	for i := t.reportCount - 1; i >= max(t.reportCount-maxReports, 0); i-- {
+		if r := t.reports[i%maxReports]; now-r.at >= loadReportDelay {
 			return r
 		}
 	}
--- a/experiment/choose.go
+++ b/experiment/choose.go
@@ -9,51 +9,53 @@
 	"boragehub/route"
 )
 
-// choice is where a job goes.
+// choice is the engine that a policy chose for a job, and the strategy by which the context
+// gets there. The engine is nil if the policy found none.
 type choice struct {
-	engine *engine
-	how    route.How
-	held   int
-	source route.Source
-	// windows are the promises on the link, one for each chunk.
+	engine       *engine
+	strategy     route.How
+	cachedTokens int
+	source       route.Source
+	// windows are the IDs of the windows reserved on the link, one for each chunk.
 	windows []uint64
 }
 
-// choose takes an engine by the policy.
-func (w *world) choose(e *entryModel, j *job) choice {
-	switch w.policy {
+// choose chooses an engine by the policy.
+func (s *simulation) choose(e *entryModel, j *job) choice {
+	switch s.policy {
 	case RoundRobin:
-		e.turn++
-		return w.plain(e, j, w.turn(e, e.turn))
+		e.nextEngine++
+		return s.cacheUnaware(e, j, s.nextUsable(e, e.nextEngine))
 	case LeastLoaded:
-		return w.plain(e, j, w.leastLoaded(e))
+		return s.cacheUnaware(e, j, s.leastLoaded(e))
 	case StickyPrefix:
-		return w.plain(e, j, w.sticky(e, j))
+		return s.cacheUnaware(e, j, s.stickyPrefix(e, j))
 	default:
-		return w.decide(e, j)
+		return s.decide(e, j)
 	}
 }
 
-// plain is the choice of a policy that knows nothing of caches.
-func (w *world) plain(_ *entryModel, j *job, x *engine) choice {
+// cacheUnaware returns the choice of x by a policy that does not know cache contents.
+func (s *simulation) cacheUnaware(_ *entryModel, j *job, x *engine) choice {
 	if x == nil {
 		return choice{}
 	}
 
-	// For its own count of work the entry takes the whole prompt.
-	return choice{engine: x, how: route.Recompute, held: min(j.v.prompt-1, x.cache.tokens(j.v.c))}
+	// cachedTokens doesn't influence these policies, which count requests only; the engine
+	// counts the remaining tokens as pending prefill.
+	return choice{engine: x, strategy: route.Recompute, cachedTokens: min(j.v.promptTokens-1, x.cache.tokens(j.v.c))}
 }
 
-// usable reports whether an entry believes that an engine takes work.
-func (w *world) usable(e *entryModel, x *engine) bool {
-	return e.suspects[x.index] <= w.clock.now
+// usable reports whether an entry does not suspect an engine.
+func (s *simulation) usable(e *entryModel, x *engine) bool {
+	return e.suspectedUntil[x.index] <= s.clock.now
 }
 
-// turn returns the first usable engine from the n-th on.
-func (w *world) turn(e *entryModel, n int) *engine {
-	for i := range w.engines {
-		x := w.engines[(n+i)%len(w.engines)]
-		if w.usable(e, x) {
+// nextUsable returns the first usable engine from index n on, nil if there is none.
+func (s *simulation) nextUsable(e *entryModel, n int) *engine {
+	for i := range s.engines {
+		x := s.engines[(n+i)%len(s.engines)]
+		if s.usable(e, x) {
 			return x
 		}
 	}
@@ -61,26 +63,28 @@
 	return nil
 }
 
-// lag returns how old load reports are.
-func (w *world) lag() time.Duration {
-	if w.fault == LoadOld {
-		return loadLagOld
+// reportDelay returns the age of load reports when they reach an entry.
+func (s *simulation) reportDelay() time.Duration {
+	if s.fault == StaleLoad {
+		return staleLoadReportDelay
 	}
 
-	return loadLag
+	return loadReportDelay
 }
 
-// load returns an engine's requests as an entry believes them to be.
-func (w *world) load(e *entryModel, x *engine) int {
-	r := x.reported(w.lag())
-	_, requests := w.sentSince(e, x, r.at, classes)
+// knownRequests returns an engine's requests as far as an entry knows: those of the last
+// load report and those it sent since.
+func (s *simulation) knownRequests(e *entryModel, x *engine) int {
+	r := x.latestReport(s.reportDelay())
+	_, requests := s.sentSince(e, x, r.at, classes)
 
 	return r.running + r.waiting + requests
 }
 
-// sentSince returns the tokens, of classes up to the given one, and the
-// requests that an entry sent to an engine since a time.
-func (w *world) sentSince(e *entryModel, x *engine, since time.Duration, class int) (tokens, requests int) {
+// sentSince returns the prefill tokens of classes up to the given one, and the number of
+// requests of all classes, that an entry sent to an engine after a time. It discards older
+// records.
+func (s *simulation) sentSince(e *entryModel, x *engine, since time.Duration, class int) (tokens, requests int) {
 	list := e.sent[x.index]
 	for len(list) > 0 && list[0].at <= since {
 		list = list[1:]
@@ -88,78 +92,80 @@
 
 	e.sent[x.index] = list
 
-	for _, s := range list {
+	for _, req := range list {
 		requests++
 
-		if s.class <= class {
-			tokens += s.tokens
+		if req.class <= class {
+			tokens += req.tokens
 		}
 	}
 
 	return tokens, requests
 }
 
-func (w *world) leastLoaded(e *entryModel) *engine {
+func (s *simulation) leastLoaded(e *entryModel) *engine {
 	var best *engine
 
-	least := 0
-	// Each entry begins elsewhere, so that equal ones are not all the same.
-	e.turn++
+	fewest := 0
+	// Each request starts one engine further, so that ties do not always go to the same
+	// engine.
+	e.nextEngine++
 
-	for i := range w.engines {
-		x := w.engines[(e.turn+i)%len(w.engines)]
-		if !w.usable(e, x) {
+	for i := range s.engines {
+		x := s.engines[(e.nextEngine+i)%len(s.engines)]
+		if !s.usable(e, x) {
 			continue
 		}
 
-		if n := w.load(e, x); best == nil || n < least {
-			best, least = x, n
+		if n := s.knownRequests(e, x); best == nil || n < fewest {
+			best, fewest = x, n
 		}
 	}
 
 	return best
 }
 
-// sticky takes the engines in the order that hashing gives for the context and
-// passes over those with more than a quarter above the mean load.
-func (w *world) sticky(e *entryModel, j *job) *engine {
-	const above = 1.25
+// stickyPrefix returns the first engine in the context's rendezvous order, passing over
+// those whose load is more than about a quarter above the mean. If all are, it returns the
+// first usable one.
+func (s *simulation) stickyPrefix(e *entryModel, j *job) *engine {
+	const loadFactor = 1.25
 
 	sum := 0
-	for _, x := range w.engines {
-		sum += w.load(e, x)
+	for _, x := range s.engines {
+		sum += s.knownRequests(e, x)
 	}
 
-	bound := above * float64(sum+1) / float64(len(w.engines))
+	bound := loadFactor * float64(sum+1) / float64(len(s.engines))
 
-	var best, any *engine
+	var best, fallback *engine
 
-	var most, mostAny uint64
+	var bestHash, fallbackHash uint64
 
-	for _, x := range w.engines {
-		if !w.usable(e, x) {
+	for _, x := range s.engines {
+		if !s.usable(e, x) {
 			continue
 		}
 
-		h := mix(uint64(j.v.c.id), uint64(x.index))
-		if any == nil || h > mostAny {
-			any, mostAny = x, h
+		h := rendezvousHash(uint64(j.v.c.id), uint64(x.index))
+		if fallback == nil || h > fallbackHash {
+			fallback, fallbackHash = x, h
 		}
 
-		if float64(w.load(e, x)) < bound+1 && (best == nil || h > most) {
-			best, most = x, h
+		if float64(s.knownRequests(e, x)) < bound+1 && (best == nil || h > bestHash) {
+			best, bestHash = x, h
 		}
 	}
 
 	if best == nil {
-		return any
+		return fallback
 	}
 
 	return best
 }
 
-// mix returns a hash of a context and an engine.
-func mix(a, b uint64) uint64 {
+// rendezvousHash returns the hash of a context and an engine for rendezvous hashing.
+func rendezvousHash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 + b*0xbf58476d1ce4e5b9
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -167,102 +173,104 @@
 	return x ^ x>>31
 }
 
-// decide asks the decision code of the daemons.
-func (w *world) decide(e *entryModel, j *job) choice {
-	w.view(e, j)
+// decide chooses an engine with the daemons' decision code.
+func (s *simulation) decide(e *entryModel, j *job) choice {
+	s.fillView(e, j)
 
 	q := route.Request{
-		Tokens: j.v.prompt, Computed: w.computedBefore(j), BytesPerToken: w.d.Engine.BytesPerToken,
-		Seed: j.v.seed, Sources: w.sources, Links: e.links,
+		Tokens: j.v.promptTokens, Computed: s.computedBefore(j), BytesPerToken: s.d.Engine.BytesPerToken,
+		Seed: j.v.seed, Sources: s.sources, Links: e.links,
 	}
 
-	if w.policy == Clairvoyant {
-		q.Links = w.free()
+	if s.policy == Clairvoyant {
+		q.Links = s.idleLinks()
 	}
 
-	d := route.Decide(w.time(), w.cfg, q, w.candidates)
+	d := route.Decide(s.now(), s.routeCfg, q, s.candidates)
 	if !d.Found() {
 		return choice{}
 	}
 
-	p := choice{engine: w.engines[d.Target()], how: d.How()}
+	p := choice{engine: s.engines[d.Target()], strategy: d.How()}
 
 	switch d.How() {
 	case route.Warm:
-		p.held = w.candidates[d.Target()].Warm
+		p.cachedTokens = s.candidates[d.Target()].Warm
 	case route.Import:
-		p.source = w.sources[d.Source()]
-		p.held = p.source.Tokens
-		p.windows = w.promise(e, j, p)
+		p.source = s.sources[d.Source()]
+		p.cachedTokens = p.source.Tokens
+		p.windows = s.reserveWindows(e, j, p)
 	default:
 	}
 
 	return p
 }
 
-// promise reserves the windows of an import.
-func (w *world) promise(e *entryModel, j *job, p choice) []uint64 {
-	if w.policy == Clairvoyant || w.without == Windows {
+// reserveWindows reserves the windows of an import and returns their IDs. It reserves none
+// for Clairvoyant and under the TransferWindows ablation.
+func (s *simulation) reserveWindows(e *entryModel, j *job, p choice) []uint64 {
+	if s.policy == Clairvoyant || s.ablation == TransferWindows {
 		return nil
 	}
 
-	return e.links.Between(p.source.DataCentre, p.engine.dataCentre).ReserveChunks(w.time(), link.Request{
-		Bytes: int64(p.held) * w.d.Engine.BytesPerToken, Rank: j.class, Organisation: w.organisation(j.v.c),
+	return e.links.Between(p.source.DataCentre, p.engine.dataCentre).ReserveChunks(s.now(), link.Request{
+		Bytes: int64(p.cachedTokens) * s.d.Engine.BytesPerToken, Rank: j.class, Organisation: s.organisationName(j.v.c),
 	}, nil)
 }
 
-func (w *world) organisation(c *conversation) string {
+func (s *simulation) organisationName(c *conversation) string {
 	return "organisation-" + string(rune('a'+c.organisation))
 }
 
-func (w *world) computedBefore(j *job) int {
-	if w.policy == Clairvoyant {
-		return j.known
+func (s *simulation) computedBefore(j *job) int {
+	if s.policy == Clairvoyant {
+		return j.computedBefore
 	}
 
-	most := 0
-	for _, h := range w.holdings {
-		most = max(most, h.Blocks*blockTokens)
+	tokens := 0
+	for _, h := range s.holdings {
+		tokens = max(tokens, h.Blocks*blockTokens)
 	}
 
-	return most
+	return tokens
 }
 
-// view fills the candidates and sources with what an entry believes.
-func (w *world) view(e *entryModel, j *job) {
-	w.candidates = w.candidates[:0]
-	w.sources = w.sources[:0]
-	w.holdings = w.holdings[:0]
+// fillView fills the candidates and sources with what an entry knows of engines and stores.
+func (s *simulation) fillView(e *entryModel, j *job) {
+	s.candidates = s.candidates[:0]
+	s.sources = s.sources[:0]
+	s.holdings = s.holdings[:0]
 
-	for _, x := range w.engines {
-		w.candidates = append(w.candidates, w.candidate(e, j, x))
+	for _, x := range s.engines {
+		s.candidates = append(s.candidates, s.candidate(e, j, x))
 	}
 
-	if w.policy == Clairvoyant {
-		w.truth(j)
+	if s.policy == Clairvoyant {
+		s.fillActualView(j)
 		return
 	}
 
 	c := j.v.c
-	w.holdings = w.dir.Lookup(w.time(), c.anchor, c.chainTo(j.v.prompt), w.holdings)
+	s.holdings = s.dir.Lookup(s.now(), c.anchor, c.blockHashes(j.v.promptTokens), s.holdings)
 
-	for i := range w.holdings {
-		w.believe(e, &w.holdings[i])
+	for i := range s.holdings {
+		s.addHolding(e, &s.holdings[i])
 	}
 }
 
-// believe puts one holding into the view.
-func (w *world) believe(e *entryModel, h *directory.Holding) {
+// addHolding adds one holding of the directory to the view.
+func (s *simulation) addHolding(e *entryModel, h *directory.Holding) {
 	tokens := h.Blocks * blockTokens
 
-	// The version is part of each real hash, so that others are never found.
-	if h.Version != strconv.Itoa(w.version()) {
+	// In the daemons the version is part of the block hashes, so that a lookup never finds
+	// other versions. The model's hashes lack it.
+	if h.Version != strconv.Itoa(s.newestVersion()) {
 		return
 	}
 
 	if h.Kind == directory.Store {
-		if e.lost[h.Name] <= w.clock.now {
-			w.sources = append(w.sources, route.Source{
+		if e.unreachableUntil[h.Name] <= s.clock.now {
+			s.sources = append(s.sources, route.Source{
 				Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Store: true, Learned: h.Learned,
 			})
 		}
@@ -270,13 +278,13 @@
 		return
 	}
 
-	for i := range w.candidates {
-		c := &w.candidates[i]
+	for i := range s.candidates {
+		c := &s.candidates[i]
 		if c.Name == h.Name {
 			c.Warm, c.WarmAt = max(c.Warm, tokens), h.Learned
 
-			if w.without != EngineImports && !c.Suspected {
-				w.sources = append(w.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Learned: h.Learned})
+			if s.ablation != EngineImports && !c.Suspected {
+				s.sources = append(s.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Learned: h.Learned})
 			}
 
 			return
@@ -284,79 +292,79 @@
 	}
 }
 
-// candidate is an engine as an entry believes it to be.
-func (w *world) candidate(e *entryModel, j *job, x *engine) route.Candidate {
-	lag := w.lag()
-	r := x.reported(lag)
+// candidate describes an engine as an entry knows it.
+func (s *simulation) candidate(e *entryModel, j *job, x *engine) route.Candidate {
+	delay := s.reportDelay()
+	r := x.latestReport(delay)
 	class := j.class
 
-	if w.policy == Clairvoyant {
-		x.report()
-		r = x.reported(0)
+	if s.policy == Clairvoyant {
+		x.recordReport()
+		r = x.latestReport(0)
 	}
 
-	if w.without == Classes {
+	if s.ablation == ClassOrder {
 		class = classes - 1
 	}
 
 	c := route.Candidate{
-		Name: x.name, DataCentre: x.dataCentre, Suspected: !w.usable(e, x),
-		Delay: 2 * w.delay(e.dataCentre, x.dataCentre), LoadAt: epoch.Add(r.at),
-		Running: r.running, Waiting: r.waiting, WaitingPrefillTokens: r.pending[class],
+		Name: x.name, DataCentre: x.dataCentre, Suspected: !s.usable(e, x),
+		Delay: 2 * s.delay(e.dataCentre, x.dataCentre), LoadAt: epoch.Add(r.at),
+		Running: r.running, Waiting: r.waiting, WaitingPrefillTokens: r.pendingPrefill[class],
 		MaxRunning: x.spec.MaxRunning, PlaceTime: time.Second,
 		PrefillTokensPerSecond: x.spec.PrefillTokensPerSecond,
 	}
 
-	c.BusyTokens = min(r.pending[classes-1]-r.pending[class], x.spec.Chunk) / 2
-	if w.without == Busy {
+	c.BusyTokens = min(r.pendingPrefill[classes-1]-r.pendingPrefill[class], x.spec.ChunkTokens) / 2
+	if s.ablation == BusyTokens {
 		c.BusyTokens = 0
 	}
 
-	if w.policy != Clairvoyant && w.without != OwnSent {
-		c.SentTokens, c.SentRequests = w.sentSince(e, x, r.at, class)
+	if s.policy != Clairvoyant && s.ablation != SentSinceReport {
+		c.SentTokens, c.SentRequests = s.sentSince(e, x, r.at, class)
 	}
 
 	return c
 }
 
-// truth fills the view with what engines and stores really hold.
-func (w *world) truth(j *job) {
-	for i, x := range w.engines {
+// fillActualView adds what engines and stores really hold to the view.
+func (s *simulation) fillActualView(j *job) {
+	for i, x := range s.engines {
 		tokens := x.cache.tokens(j.v.c)
 		if tokens == 0 {
 			continue
 		}
 
-		w.candidates[i].Warm, w.candidates[i].WarmAt = tokens, w.time()
+		s.candidates[i].Warm, s.candidates[i].WarmAt = tokens, s.now()
 
-		if w.cut != x.dataCentre {
-			w.sources = append(w.sources, route.Source{Name: x.name, DataCentre: x.dataCentre, Tokens: tokens, Learned: w.time()})
+		if s.cutDataCentre != x.dataCentre {
+			s.sources = append(s.sources, route.Source{Name: x.name, DataCentre: x.dataCentre, Tokens: tokens, Learned: s.now()})
 		}
 	}
 
-	for _, s := range w.stores {
-		if tokens := s.tokens(j.v.c, w.version()); tokens > 0 && w.cut != s.dataCentre {
-			w.sources = append(w.sources, route.Source{Name: s.name, DataCentre: s.dataCentre, Tokens: tokens, Store: true})
+	for _, st := range s.stores {
+		if tokens := st.tokens(j.v.c, s.newestVersion()); tokens > 0 && s.cutDataCentre != st.dataCentre {
+			s.sources = append(s.sources, route.Source{Name: st.name, DataCentre: st.dataCentre, Tokens: tokens, Store: true})
 		}
 	}
 }
 
-// freeLinks are links that nobody else uses.
-type freeLinks struct {
-	apart time.Duration
-	rate  float64
+// idleLinks implements route.Links for links without other transfers.
+type idleLinks struct {
+	latency        time.Duration
+	bytesPerSecond float64
 }
 
-// Way implements route.Links.
-func (f freeLinks) Way(time.Time, string, string) (wait time.Duration, bytesPerSecond float64) {
-	return f.apart, f.rate
+// Way returns the latency and the full rate. It implements route.Links.
+func (f idleLinks) Way(time.Time, string, string) (wait time.Duration, bytesPerSecond float64) {
+	return f.latency, f.bytesPerSecond
 }
 
-func (w *world) free() freeLinks {
-	rate := w.d.LinkBytesPerSecond
-	if len(w.listed) > 0 {
-		rate = w.listed[0].rate
+func (s *simulation) idleLinks() idleLinks {
+	rate := s.d.LinkBytesPerSecond
+	if len(s.pipeList) > 0 {
+		rate = s.pipeList[0].bytesPerSecond
 	}
 
-	return freeLinks{w.d.Apart, rate}
+	return idleLinks{s.d.InterDataCentreDelay, rate}
 }
--- a/experiment/command.go
+++ b/experiment/command.go
@@ -11,28 +11,28 @@
 	"boragehub/experiment/drawn"
 )
 
-// Command is the subcommand "experiment" of the program. Use Attach.
+// Command is the subcommand "experiment" of the program. Create it with Attach.
 type Command struct {
-	sub                              *flaggy.Subcommand
-	cfg                              Config
-	loads, policies, without, faulty string
-	drawn                            int
-	asJSON                           bool
+	sub                               *flaggy.Subcommand
+	cfg                               Config
+	loads, policies, ablations, fault string
+	drawnSeeds                        int
+	asJSON                            bool
 }
 
-// all is the word for every value of a list.
-const all = "all"
+// allValues selects every value in a flag that takes a list of names.
+const allValues = "all"
 
-// Attach adds the subcommand at the given position.
+// Attach adds the subcommand to the command line at the given position.
 func Attach(position int) *Command {
-	c := &Command{sub: flaggy.NewSubcommand("experiment"), loads: "0.8", policies: all, without: Nothing.String(), faulty: None.String()}
+	c := &Command{sub: flaggy.NewSubcommand("experiment"), loads: "0.8", policies: allValues, ablations: NoAblation.String(), fault: NoFault.String()}
 	c.cfg = Config{Deployment: Coastal().Name, Seed: 1, Seeds: 1}.withDefaults()
 	c.sub.Description = "Measure the decisions against baselines on virtual time."
 	c.sub.String(&c.cfg.Deployment, "d", "deployment", "coastal or bureau")
 	c.sub.String(&c.loads, "l", "loads", "loads in parts of the capacity without reuse, as in 0.5,0.8,0.95,1.2")
 	c.sub.String(&c.policies, "p", "policies", "all, or some of "+join(Policies()))
-	c.sub.String(&c.without, "w", "without", "ideas to switch off in turn: all, or some of "+join(Withouts()))
-	c.sub.String(&c.faulty, "f", "fault", "one of "+join(Faults()))
+	c.sub.String(&c.ablations, "w", "without", "ideas to switch off in turn: all, or some of "+join(Ablations()))
+	c.sub.String(&c.fault, "f", "fault", "one of "+join(Faults()))
 	c.sub.UInt64(&c.cfg.Seed, "s", "seed", "the first seed")
 	c.sub.Int(&c.cfg.Seeds, "n", "seeds", "how many seeds to run")
 	c.sub.Duration(&c.cfg.Warmup, "", "warmup", "virtual time before anything is measured")
@@ -41,35 +41,36 @@
 	c.sub.Int(&c.cfg.Workers, "j", "workers", "how many runs go on at once")
 	c.sub.String(&c.cfg.CSV, "", "csv", "file for a line of figures for each run and workload")
 	c.sub.String(&c.cfg.Plot, "", "plot", "file for a plot over the loads, .svg or .png")
-	c.sub.Int(&c.drawn, "", "drawn", "play where prompts go on so many deployments drawn from seeds, and nothing else")
+	c.sub.Int(&c.drawnSeeds, "", "drawn", "play where prompts go on so many deployments drawn from seeds, and nothing else")
 	c.sub.Bool(&c.asJSON, "", "json", "write what --drawn gives as JSON")
 	flaggy.AttachSubcommand(c.sub, position)
 
 	return c
 }
 
-// Subcommand returns the subcommand, which knows whether it was given.
+// Subcommand returns the subcommand, whose Used field tells whether it was given.
 func (c *Command) Subcommand() *flaggy.Subcommand { return c.sub }
 
-// Run carries out the experiment and writes its table to w.
+// Run carries out the experiment and writes its table to w. It returns an error if a
+// flag has an invalid value.
 func (c *Command) Run(w io.Writer) error {
-	if c.drawn > 0 {
-		return drawn.Write(w, drawn.Rows(c.cfg.Seed, c.drawn), c.asJSON)
+	if c.drawnSeeds > 0 {
+		return drawn.Write(w, drawn.Compare(c.cfg.Seed, c.drawnSeeds), c.asJSON)
 	}
 
 	cfg := c.cfg
 
 	var err error
 
-	if cfg.Policies, err = parse(Policies(), c.policies); err != nil {
+	if cfg.Policies, err = parseNames(Policies(), c.policies); err != nil {
 		return err
 	}
 
-	if cfg.Without, err = parse(Withouts(), c.without); err != nil {
+	if cfg.Ablations, err = parseNames(Ablations(), c.ablations); err != nil {
 		return err
 	}
 
-	if cfg.Fault, err = named(Faults(), c.faulty); err != nil {
+	if cfg.Fault, err = byName(Faults(), c.fault); err != nil {
 		return err
 	}
 
@@ -87,16 +88,16 @@
 	return Run(cfg, w)
 }
 
-// parse reads a list of names with commas between, or all.
-func parse[T fmt.Stringer](values []T, names string) ([]T, error) {
-	if names == all {
+// parseNames parses a comma-separated list of names, or "all" for every value.
+func parseNames[T fmt.Stringer](values []T, names string) ([]T, error) {
+	if names == allValues {
 		return values, nil
 	}
 
 	var chosen []T
 
 	for _, name := range strings.Split(names, ",") {
-		x, err := named(values, name)
+		x, err := byName(values, name)
 		if err != nil {
 			return nil, err
 		}
--- a/experiment/drawn/deployment.go
+++ b/experiment/drawn/deployment.go
@@ -1,23 +1,24 @@
-// Package drawn plays the decision on where a prompt goes (route.DecideOpening, with
-// what package profile learns) on deployments drawn from a seed, in virtual time.
+// Package drawn simulates the choice of an engine for a prompt (route.DecideOpening,
+// with what package profile learns) on randomly drawn deployments.
 //
 // # Model
 //
-// A decision that was measured on a few known deployments may fit those alone. Here
-// deployments differ in all that nobody tells: how fast engines read, how long prompts
-// are and how many kinds there are, how much memory engines have, how much comes. One
-// seed gives one deployment and one load, and each policy plays the same load.
+// A decision that was tuned on a few known deployments may fit those alone. Here
+// deployments differ in everything that is not configured: the prefill rate of engines,
+// the number of kinds of prompts and their lengths, the memory of engines and the load.
+// A seed determines a deployment and a load, and each policy gets the same load.
 //
-// An engine takes prompts in order of rank and arrival while its memory holds them,
-// reads them in pieces between the steps in which all others generate, and keeps openings
-// in what memory is left, dropping the least recently used. Entries see an engine through
-// pulses, a tenth of a second apart. There are no stores, no weights and no faults.
+// An engine admits prompts in order of rank and arrival while its memory holds them. In
+// each step it prefills at most one chunk while all other prompts decode. It keeps shared
+// prefixes in the remaining memory, evicting the least recently used. Entries know the
+// load of an engine from load reports at an interval of 100 ms, and its cached prefixes
+// without delay. There are no stores, no loads of weights and no faults.
 //
 // # Example
 //
 //	d := drawn.Draw(7)
-//	r := drawn.Play(d, drawn.Decide, 7)
-//	fmt.Println(r.OnTime(), r.ReadAgain)
+//	r := drawn.Simulate(d, drawn.Decide, 7)
+//	fmt.Println(r.OnTime(), r.RecomputedTokens)
 package drawn
 
 import (
@@ -26,100 +27,102 @@
 	"time"
 )
 
-// Kind is one kind of prompt.
+// Kind describes a kind of prompt.
 type Kind struct {
-	// Shared and Own are the mean lengths in tokens of its opening and of the rest.
-	Shared, Own float64
-	// Sessions is how many openings there are.
-	Sessions int
-	// Steps is how many steps its answer takes on the mean.
-	Steps float64
-	// Share is its part of the prompts.
+	// SharedTokens and OwnTokens are the mean lengths of the shared prefix and of the rest.
+	SharedTokens, OwnTokens float64
+	// Prefixes is the number of different shared prefixes.
+	Prefixes int
+	// DecodeSteps is the mean number of steps that an answer takes.
+	DecodeSteps float64
+	// Share is its fraction of the prompts, relative to the sum over all kinds.
 	Share float64
-	// Aim is the time within which its first event is on time.
-	Aim time.Duration
+	// FirstEventLimit is the time after arrival within which the first event is on time.
+	FirstEventLimit time.Duration
 }
 
-// Deployment is a fleet and what comes to it.
+// Deployment describes a fleet of engines and its load.
 type Deployment struct {
-	// Engines and Entries are how many there are.
+	// Engines and Entries are the numbers of engines and entries.
 	Engines, Entries int
-	// TokensPerMs is how fast the slowest engine reads; others are up to Spread faster.
+	// TokensPerMs is the prefill rate of the slowest engines. The others are faster by up
+	// to the fraction Spread.
 	TokensPerMs, Spread float64
-	// Step is how long a step takes in which one answer is generated.
+	// Step is the duration of a step without its prefill and without the time added for
+	// each answer.
 	Step time.Duration
-	// Memory is an engine's, in tokens.
-	Memory int
-	// Kinds are the prompts.
+	// MemoryTokens is the memory of an engine.
+	MemoryTokens int
+	// Kinds are the kinds of prompts.
 	Kinds []Kind
-	// PerS is how many prompts come in a second, twice as many at times.
-	PerS float64
+	// PromptsPerSecond is the mean arrival rate, around which the load oscillates.
+	PromptsPerSecond float64
 }
 
-// Bounds of what is drawn. The known deployments have 9 to 47 engines that read 51 to 157
-// tokens a ms, steps of 3.5 to 5 ms, memory for 4 to 15 of their longest prompts, and two
-// kinds of prompts with openings of 300 to 12,800 tokens.
+// Bounds of the drawn parameters. The known deployments have 9 to 47 engines that prefill 51
+// to 157 tokens per ms, steps of 3.5 to 5 ms, memory for 4 to 15 of their longest prompts,
+// and two kinds of prompts with shared prefixes of 300 to 12,800 tokens.
 const (
-	leastEngines, mostEngines = 4, 24
-	leastRate, mostRate       = 20.0, 300.0
-	leastFits, mostFits       = 3.0, 40.0
-	leastShared, mostShared   = 100.0, 30_000.0
-	leastLoad, mostLoad       = 0.2, 0.9
-	mostKinds                 = 4
+	minEngines, maxEngines                 = 4, 24
+	minTokensPerMs, maxTokensPerMs         = 20.0, 300.0
+	minPromptsInMemory, maxPromptsInMemory = 3.0, 40.0
+	minSharedTokens, maxSharedTokens       = 100.0, 30_000.0
+	minLoad, maxLoad                       = 0.2, 0.9
+	maxKinds                               = 4
 )
 
-// Draw returns the deployment of a seed.
+// Draw returns the deployment of a seed. The same seed gives the same deployment.
 func Draw(seed uint64) Deployment {
-	r := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a model's, and the same each time
+	r := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a simulation needs reproducible numbers
 	d := Deployment{
-		Engines: leastEngines + r.IntN(mostEngines-leastEngines+1), Entries: 2 + r.IntN(7),
-		TokensPerMs: between(r, leastRate, mostRate), Spread: 0.3 * r.Float64(),
-		Step: time.Duration(between(r, 3, 9) * float64(time.Millisecond)),
+		Engines: minEngines + r.IntN(maxEngines-minEngines+1), Entries: 2 + r.IntN(7),
+		TokensPerMs: logUniform(r, minTokensPerMs, maxTokensPerMs), Spread: 0.3 * r.Float64(),
+		Step: time.Duration(logUniform(r, 3, 9) * float64(time.Millisecond)),
 	}
 
-	longest := 0.0
+	longestPrompt := 0.0
 
-	for range 1 + r.IntN(mostKinds) {
+	for range 1 + r.IntN(maxKinds) {
 		k := Kind{
-			Shared: between(r, leastShared, mostShared), Sessions: int(between(r, 30, 2000)),
-			Steps: between(r, 3, 300), Share: 0.1 + r.Float64(),
+			SharedTokens: logUniform(r, minSharedTokens, maxSharedTokens), Prefixes: int(logUniform(r, 30, 2000)),
+			DecodeSteps: logUniform(r, 3, 300), Share: 0.1 + r.Float64(),
 		}
-		k.Own = k.Shared * between(r, 0.1, 0.6)
-		longest = max(longest, k.Shared+k.Own)
+		k.OwnTokens = k.SharedTokens * logUniform(r, 0.1, 0.6)
+		longestPrompt = max(longestPrompt, k.SharedTokens+k.OwnTokens)
 
-		// Callers expect what an engine alone can do, and some time besides.
-		reading := (k.Shared + k.Own) / d.TokensPerMs
-		k.Aim = time.Duration((150 + 2.5*reading) * float64(time.Millisecond))
+		// Callers expect 2.5 times the prefill time of an idle engine, and 150 ms besides.
+		prefillMs := (k.SharedTokens + k.OwnTokens) / d.TokensPerMs
+		k.FirstEventLimit = time.Duration((150 + 2.5*prefillMs) * float64(time.Millisecond))
 		d.Kinds = append(d.Kinds, k)
 	}
 
-	d.Memory = int(longest * between(r, leastFits, mostFits))
-	d.PerS = d.rate(between(r, leastLoad, mostLoad))
+	d.MemoryTokens = int(longestPrompt * logUniform(r, minPromptsInMemory, maxPromptsInMemory))
+	d.PromptsPerSecond = d.promptRate(logUniform(r, minLoad, maxLoad))
 
 	return d
 }
 
-// between draws a number whose logarithm is evenly spread.
-func between(r *rand.Rand, least, most float64) float64 {
-	return least * math.Exp(r.Float64()*math.Log(most/least))
+// logUniform draws a number between low and high whose logarithm is uniformly distributed.
+func logUniform(r *rand.Rand, low, high float64) float64 {
+	return low * math.Exp(r.Float64()*math.Log(high/low))
 }
 
-// openingsRead is the part of the openings that are taken to be read anew.
-const openingsRead = 0.3
+// prefixMissShare is the assumed fraction of prompts whose shared prefix must be prefilled.
+const prefixMissShare = 0.3
 
-// rate returns how many prompts a second make up a part of what the fleet can read, or
-// hold in memory if that is less.
-func (d Deployment) rate(load float64) float64 {
-	shares, tokens, held := 0.0, 0.0, 0.0
+// promptRate returns the prompts per second that are the fraction load of what the fleet can
+// prefill, or of what it can hold in memory if that is less.
+func (d Deployment) promptRate(load float64) float64 {
+	shares, tokens, tokenSeconds := 0.0, 0.0, 0.0
 
 	for _, k := range d.Kinds {
 		shares += k.Share
-		tokens += k.Share * (k.Own + openingsRead*k.Shared)
-		held += k.Share * (k.Own + k.Shared) * 2 * k.Steps * d.Step.Seconds()
+		tokens += k.Share * (k.OwnTokens + prefixMissShare*k.SharedTokens)
+		tokenSeconds += k.Share * (k.OwnTokens + k.SharedTokens) * 2 * k.DecodeSteps * d.Step.Seconds()
 	}
 
-	reads := float64(d.Engines) * d.TokensPerMs * 1000 / (tokens / shares)
-	holds := float64(d.Engines*d.Memory) / (held / shares)
+	prefillBound := float64(d.Engines) * d.TokensPerMs * 1000 / (tokens / shares)
+	memoryBound := float64(d.Engines*d.MemoryTokens) / (tokenSeconds / shares)
 
-	return load * min(reads, holds)
+	return load * min(prefillBound, memoryBound)
 }
--- a/experiment/drawn/drawn_test.go
+++ b/experiment/drawn/drawn_test.go
@@ -6,40 +6,41 @@
 	"testing"
 )
 
-// drawnSeeds is how many deployments the tests play.
-const drawnSeeds = 40
-
-// A decision whose figures fit the deployments that it was measured on loses to simple
-// ones on others; nobody notices until a new customer comes. It is played on deployments
-// that nobody chose: from 4 to 24 engines that read 20 to 300 tokens a ms, up to four
-// kinds of prompts of 100 to 30,000 tokens, memory for 3 to 40 of them, and a load that
-// goes up to a third more than can be read.
+// seedCount is the number of deployments that the tests simulate.
+const seedCount = 40
+
+// Guards against constants that fit only the deployments on which the decision was measured:
+// on others it would then do worse than the baselines, unnoticed until a new customer comes.
+// The drawn deployments have 4 to 24 engines that prefill 20 to 300 tokens per ms, up to four
+// kinds of prompts with shared prefixes of 100 to 30,000 tokens, memory for 3 to 40 of the
+// longest prompts, and loads of up to a third above the prefill capacity.
 func TestDecisionHoldsOnDrawnDeployments(t *testing.T) {
 	var decided, home, least, worst []float64
 
-	for seed := range uint64(drawnSeeds) {
+	for seed := range uint64(seedCount) {
 		d := Draw(seed + 1)
-		r := Play(d, Decide, seed+1)
-		h, l := Play(d, Home, seed+1).OnTime(), Play(d, Least, seed+1).OnTime()
+		r := Simulate(d, Decide, seed+1)
+		h, l := Simulate(d, HomeEngine, seed+1).OnTime(), Simulate(d, LeastLoaded, seed+1).OnTime()
 
 		decided, home, least = append(decided, r.OnTime()), append(home, h), append(least, l)
-		worst = append(worst, slices.Min(r.ByKind))
+		worst = append(worst, slices.Min(r.OnTimeByKind))
 
-		// A play is short and a single one may go either way by a little.
+		// A single simulation is short, so that its result varies by a little.
 		if got, want := r.OnTime(), max(h, l)-0.02; got < want {
-			t.Errorf("seed %d: got %.3f on time, want the %.3f of the better simple way", seed+1, got, want)
+			t.Errorf("seed %d: got %.3f on time, want at least %.3f, the better baseline less the tolerance", seed+1, got, want)
 		}
 	}
 
-	t.Logf("on time: decided %.3f, home %.3f, least %.3f; worst kind %.3f", mean(decided), mean(home), mean(least), mean(worst))
+	t.Logf("mean on time: decide %.3f, home %.3f, least %.3f; worst kind %.3f", mean(decided), mean(home), mean(least), mean(worst))
 
 	if got, want := mean(decided), max(mean(home), mean(least))+0.15; got < want {
-		t.Errorf("got %.3f on time on the mean, want %.3f", got, want)
+		t.Errorf("got a mean of %.3f on time, want at least %.3f", got, want)
 	}
 
-	// What is left behind for the sake of others shows in the kind that is served worst.
+	// A decision that neglects one kind of prompts in favour of others shows in the kind
+	// served worst.
 	if got, want := mean(worst), mean(decided)-0.1; got < want {
-		t.Errorf("got %.3f for the kind served worst, want %.3f", got, want)
+		t.Errorf("got a mean of %.3f on time for the worst kind, want at least %.3f", got, want)
 	}
 }
 
@@ -59,20 +60,20 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 
-	if got, want := Play(d, Decide, 5), Play(d, Decide, 5); !reflect.DeepEqual(got, want) {
+	if got, want := Simulate(d, Decide, 5), Simulate(d, Decide, 5); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
 func TestWhatComesIsServedOrRefused(t *testing.T) {
-	for _, p := range []Policy{Decide, Home, Least} {
-		r := Play(Draw(21), p, 21)
-		if r.Asked == 0 || r.InTime+r.Late > r.Asked {
-			t.Errorf("%s: got %+v", p, r)
+	for _, p := range []Policy{Decide, HomeEngine, LeastLoaded} {
+		r := Simulate(Draw(21), p, 21)
+		if r.Prompts == 0 || r.OnTimeCount+r.Late > r.Prompts {
+			t.Errorf("%s: got %+v, want prompts, and no more answered than arrived", p, r)
 		}
 
-		if p != Decide && r.InTime+r.Late != r.Asked {
-			t.Errorf("%s: got %d answered of %d, want all", p, r.InTime+r.Late, r.Asked)
+		if p != Decide && r.OnTimeCount+r.Late != r.Prompts {
+			t.Errorf("%s: got %d answered of %d, want all", p, r.OnTimeCount+r.Late, r.Prompts)
 		}
 	}
 }
--- a/experiment/drawn/engine.go
+++ b/experiment/drawn/engine.go
@@ -7,150 +7,154 @@
 	"boragehub/pulse"
 )
 
-// Engine parameters that do not differ between the known deployments by much.
+// Engine parameters that differ little between the known deployments.
 const (
-	// piece is how many tokens are read in one step at most.
-	piece = 2048
-	// slots is how many prompts run at once.
-	slots = 64
-	// slotTime is how much longer a step takes for each answer that is generated.
-	slotTime = 50 * time.Microsecond
+	// chunkTokens is the maximum number of prefill tokens in a step.
+	chunkTokens = 2048
+	// batchSlots is the maximum number of prompts in prefill or decoding.
+	batchSlots = 64
+	// stepTimePerPrompt is the time that each decoding prompt adds to a step.
+	stepTimePerPrompt = 50 * time.Microsecond
 )
 
-// prompt is one request on its way.
+// prompt is one request.
 type prompt struct {
-	kind    int
-	opening int // among all kinds
-	own     int
-	shared  int
-	steps   int
-	came    time.Duration
-	urgency int
-	entry   *entry
-	idle    bool // its engine had nothing else to do when it was sent
-	sent    time.Duration
-	left    int // tokens to read
-	unread  int
-	again   int // of them those that were read before
+	kind             int
+	prefix           int // ID of the shared prefix, unique among all kinds
+	ownTokens        int
+	sharedTokens     int
+	stepsLeft        int
+	arrivedAt        time.Duration
+	rank             int
+	entry            *entry
+	engineIdle       bool // the engine had no other prompt to prefill when it was sent, as far as known
+	sentAt           time.Duration
+	prefillLeft      int
+	prefillTokens    int
+	recomputedTokens int // those of prefillTokens that some engine computed before
 }
 
-func (p *prompt) memory() int { return p.shared + p.own + p.steps }
+func (p *prompt) memory() int { return p.sharedTokens + p.ownTokens + p.stepsLeft }
 
-// engine is one engine.
+// engine models one engine.
 type engine struct {
-	d       *Deployment
-	rate    float64 // tokens a ms
-	waiting []*prompt
-	reading []*prompt
-	running []*prompt
-	used    int
-	cached  map[int]int // tokens by opening
-	order   []int       // least recently used first
-	stepped bool        // a step is under way
-	told    pulse.Pulse
+	d           *Deployment
+	tokensPerMs float64 // prefill rate
+	waiting     []*prompt
+	prefilling  []*prompt
+	running     []*prompt
+	usedTokens  int
+	cached      map[int]int // tokens by shared prefix
+	lru         []int       // cached prefixes, the least recently used first
+	stepping    bool        // a step is in progress
+	report      pulse.Pulse
 }
 
-// take puts a prompt behind those of its rank.
-func (e *engine) take(p *prompt) {
+// enqueue adds a prompt to the wait queue behind those of its rank. Lower ranks go first.
+func (e *engine) enqueue(p *prompt) {
 	at := len(e.waiting)
-	for at > 0 && e.waiting[at-1].urgency > p.urgency {
+	for at > 0 && e.waiting[at-1].rank > p.rank {
 		at--
 	}
 
 	e.waiting = slices.Insert(e.waiting, at, p)
 }
 
-// begin starts a step and returns how long it takes; ok is false when nothing is to do.
-func (e *engine) begin(read map[int]bool) (took time.Duration, ok bool) {
-	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < slots && e.unread() < piece {
+// beginStep admits waiting prompts, starts a step and returns its duration. It returns false
+// if the engine has no prompts.
+func (e *engine) beginStep(computed map[int]bool) (took time.Duration, ok bool) {
+	for len(e.waiting) > 0 && len(e.running)+len(e.prefilling) < batchSlots && e.pendingPrefill() < chunkTokens {
 		p := e.waiting[0]
-		if e.used+p.memory() > e.d.Memory && len(e.running)+len(e.reading) > 0 {
+		if e.usedTokens+p.memory() > e.d.MemoryTokens && len(e.running)+len(e.prefilling) > 0 {
 			break
 		}
 
 		e.waiting = e.waiting[1:]
-		e.admit(p, read)
+		e.admit(p, computed)
 	}
 
-	if len(e.reading)+len(e.running) == 0 {
+	if len(e.prefilling)+len(e.running) == 0 {
 		return 0, false
 	}
 
-	took = e.d.Step + time.Duration(len(e.running))*slotTime
-	room := piece
+	took = e.d.Step + time.Duration(len(e.running))*stepTimePerPrompt
+	budget := chunkTokens
 
-	for _, p := range e.reading {
-		n := min(p.left, room)
-		p.left -= n
-		room -= n
+	for _, p := range e.prefilling {
+		n := min(p.prefillLeft, budget)
+		p.prefillLeft -= n
+		budget -= n
 	}
 
-	return took + time.Duration(float64(piece-room)/e.rate*float64(time.Millisecond)), true
+	return took + time.Duration(float64(chunkTokens-budget)/e.tokensPerMs*float64(time.Millisecond)), true
 }
 
-// unread returns the tokens that are left of the prompts that are being read. The next
-// one begins when they fill no whole step.
-func (e *engine) unread() int {
+// pendingPrefill returns the prefill tokens left of the admitted prompts. The next prompt is
+// admitted when they do not fill a step.
+func (e *engine) pendingPrefill() int {
 	n := 0
-	for _, p := range e.reading {
-		n += p.left
+	for _, p := range e.prefilling {
+		n += p.prefillLeft
 	}
 
 	return n
 }
 
-// admit starts to read a prompt.
-func (e *engine) admit(p *prompt, read map[int]bool) {
-	e.used += p.memory()
-	p.unread = p.own
+// admit starts the prefill of a prompt. computed holds the prefixes that any engine has
+// computed.
+func (e *engine) admit(p *prompt, computed map[int]bool) {
+	e.usedTokens += p.memory()
+	p.prefillTokens = p.ownTokens
 
-	if e.cached[p.opening] == 0 {
-		p.unread += p.shared
-		if read[p.opening] {
-			p.again = p.shared
+	if e.cached[p.prefix] == 0 {
+		p.prefillTokens += p.sharedTokens
+		if computed[p.prefix] {
+			p.recomputedTokens = p.sharedTokens
 		}
 	}
 
-	read[p.opening] = true
-	p.left = max(p.unread, 1)
-	e.touch(p)
-	e.reading = append(e.reading, p)
+	computed[p.prefix] = true
+	p.prefillLeft = max(p.prefillTokens, 1)
+	e.touchPrefix(p)
+	e.prefilling = append(e.prefilling, p)
 }
 
-// touch keeps an opening as the one used last, and drops others for room.
-func (e *engine) touch(p *prompt) {
-	e.order = append(slices.DeleteFunc(e.order, func(o int) bool { return o == p.opening }), p.opening)
-	e.cached[p.opening] = p.shared
+// touchPrefix caches a prompt's shared prefix as the most recently used one, and evicts others
+// as long as the memory is exceeded.
+func (e *engine) touchPrefix(p *prompt) {
+	e.lru = append(slices.DeleteFunc(e.lru, func(o int) bool { return o == p.prefix }), p.prefix)
+	e.cached[p.prefix] = p.sharedTokens
 
-	kept := 0
+	cached := 0
 	for _, tokens := range e.cached {
-		kept += tokens
+		cached += tokens
 	}
 
-	for kept+e.used > e.d.Memory && len(e.order) > 1 {
-		kept -= e.cached[e.order[0]]
-		delete(e.cached, e.order[0])
-		e.order = e.order[1:]
+	for cached+e.usedTokens > e.d.MemoryTokens && len(e.lru) > 1 {
+		cached -= e.cached[e.lru[0]]
+		delete(e.cached, e.lru[0])
+		e.lru = e.lru[1:]
 	}
 }
 
-// end ends a step and returns the prompts that have their first event.
-func (e *engine) end() (first []*prompt) {
+// endStep ends a step and returns the prompts whose prefill is complete, which have their
+// first event.
+func (e *engine) endStep() (first []*prompt) {
 	e.running = slices.DeleteFunc(e.running, func(p *prompt) bool {
-		p.steps--
-		if p.steps <= 0 {
-			e.used -= p.shared + p.own
+		p.stepsLeft--
+		if p.stepsLeft <= 0 {
+			e.usedTokens -= p.sharedTokens + p.ownTokens
 		}
 
-		return p.steps <= 0
+		return p.stepsLeft <= 0
 	})
 
-	e.reading = slices.DeleteFunc(e.reading, func(p *prompt) bool {
-		if p.left > 0 {
+	e.prefilling = slices.DeleteFunc(e.prefilling, func(p *prompt) bool {
+		if p.prefillLeft > 0 {
 			return false
 		}
 
-		e.used -= p.steps // generated tokens are counted as they come, for all at once
+		e.usedTokens -= p.stepsLeft // releases the memory reserved for the answer; generated tokens aren't counted
 		first = append(first, p)
 		e.running = append(e.running, p)
 
@@ -160,10 +164,10 @@
 	return first
 }
 
-// pulse tells what the engine has to do.
-func (e *engine) pulse() pulse.Pulse {
+// loadReport returns the engine's current load.
+func (e *engine) loadReport() pulse.Pulse {
 	return pulse.Pulse{
-		Running: len(e.running) + len(e.reading), Reading: len(e.reading), Waiting: len(e.waiting),
-		UsedTokens: e.used, TotalTokens: e.d.Memory,
+		Running: len(e.running) + len(e.prefilling), Reading: len(e.prefilling), Waiting: len(e.waiting),
+		UsedTokens: e.usedTokens, TotalTokens: e.d.MemoryTokens,
 	}
 }
--- a/experiment/drawn/play.go
+++ b/experiment/drawn/play.go
@@ -12,187 +12,193 @@
 	"boragehub/route"
 )
 
-// Policy is a way to choose an engine.
+// Policy decides which engine gets a prompt. The zero Policy is Decide.
 type Policy uint8
 
 // The policies.
 const (
-	// Decide is the entries' own: route.DecideOpening with learned speeds.
+	// Decide is the entries' policy: route.DecideOpening with learned prefill rates.
 	Decide Policy = iota
-	// Home always takes the first engine of a prompt's opening, by hash.
-	Home
-	// Least takes the engine with the fewest prompts.
-	Least
+	// HomeEngine always chooses the home engine of the shared prefix, which a hash
+	// determines.
+	HomeEngine
+	// LeastLoaded chooses the engine with the fewest known prompts.
+	LeastLoaded
 )
 
-// String returns the snake-case name of p.
+// String returns the name of p in output: "decide", "home" or "least".
 func (p Policy) String() string { return [...]string{"decide", "home", "least"}[p] }
 
-// Result is what became of the prompts.
+// Result counts the outcomes of the prompts.
 type Result struct {
-	// Asked, InTime and Late count prompts: all, those whose first event came within
-	// their aim, and those whose came later. The others were refused.
-	Asked, InTime, Late int
-	// ByKind are the parts of the prompts of each kind that were in time.
-	ByKind []float64
-	// ReadAgain are the tokens of openings that an engine read though one had read them.
-	ReadAgain int
+	// Prompts is the number of all prompts, OnTimeCount of those whose first event came
+	// within their limit, and Late of those whose first event came later. The others were
+	// refused.
+	Prompts, OnTimeCount, Late int
+	// OnTimeByKind are the fractions of the prompts of each kind that were on time.
+	OnTimeByKind []float64
+	// RecomputedTokens is the number of tokens of shared prefixes that were prefilled
+	// although some engine had computed them before.
+	RecomputedTokens int
 }
 
-// OnTime returns the part of the prompts whose first event came within their aim.
-func (r Result) OnTime() float64 { return float64(r.InTime) / float64(max(r.Asked, 1)) }
+// OnTime returns the fraction of the prompts whose first event came within their limit.
+func (r Result) OnTime() float64 { return float64(r.OnTimeCount) / float64(max(r.Prompts, 1)) }
 
-// Times of a play.
+// Times of a simulation, and the shape of its load.
 const (
-	played = 12 * time.Second
-	// pulseEvery is the pause between two pulses, look that between two looks for room.
-	pulseEvery = 100 * time.Millisecond
-	look       = 25 * time.Millisecond
-	// swing is the period in which the load goes up and down by waves, of a half.
-	swing = 7 * time.Second
-	waves = 0.5
+	loadDuration = 12 * time.Second
+	// reportInterval is the interval of load reports, and holdRetryInterval the interval at
+	// which the decision is retried for a held prompt.
+	reportInterval    = 100 * time.Millisecond
+	holdRetryInterval = 25 * time.Millisecond
+	// loadPeriod is the period in which the load oscillates around its mean, by the
+	// fraction loadAmplitude.
+	loadPeriod    = 7 * time.Second
+	loadAmplitude = 0.5
 )
 
-// entry is what one entry has learned, and what it sent since the last pulses.
+// entry is what an entry has learned, and what it has sent since the last load reports.
 type entry struct {
-	learned              profile.Fleet
-	requests, read, held []int // by engine
+	profile                               profile.Fleet
+	sentRequests, sentPrefill, sentMemory []int // by engine
 }
 
-// world is one play.
-type world struct {
-	d       Deployment
-	policy  Policy
-	engines []*engine
-	entries []*entry
-	read    map[int]bool
-	events  queue
-	result  Result
-	asked   []int
-	inTime  []int
+// simulation is the state of one simulation.
+type simulation struct {
+	d                Deployment
+	policy           Policy
+	engines          []*engine
+	entries          []*entry
+	computedPrefixes map[int]bool
+	events           eventQueue
+	result           Result
+	promptsByKind    []int
+	onTimeByKind     []int
 }
 
-// event is something that happens at a time.
+// event runs do at a virtual time. seq orders events of the same time.
 type event struct {
-	at    time.Duration
-	order int
-	do    func(now time.Duration)
+	at  time.Duration
+	seq int
+	do  func(now time.Duration)
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 
 	return last
 }
 
-// Play plays a policy on a deployment, with the load of a seed.
-func Play(d Deployment, policy Policy, seed uint64) Result {
-	w := &world{d: d, policy: policy, read: make(map[int]bool), asked: make([]int, len(d.Kinds)), inTime: make([]int, len(d.Kinds))}
+// Simulate simulates a policy on a deployment with the load of a seed.
+func Simulate(d Deployment, policy Policy, seed uint64) Result {
+	s := &simulation{d: d, policy: policy, computedPrefixes: make(map[int]bool), promptsByKind: make([]int, len(d.Kinds)), onTimeByKind: make([]int, len(d.Kinds))}
 
 	for i := range d.Engines {
 		rate := d.TokensPerMs * (1 + d.Spread*float64(i%3)/2)
-		w.engines = append(w.engines, &engine{d: &w.d, rate: rate, cached: make(map[int]int)})
+		s.engines = append(s.engines, &engine{d: &s.d, tokensPerMs: rate, cached: make(map[int]int)})
 	}
 
 	for range d.Entries {
-		w.entries = append(w.entries, &entry{requests: make([]int, d.Engines), read: make([]int, d.Engines), held: make([]int, d.Engines)})
+		s.entries = append(s.entries, &entry{sentRequests: make([]int, d.Engines), sentPrefill: make([]int, d.Engines), sentMemory: make([]int, d.Engines)})
 	}
 
-	w.load(rand.New(rand.NewPCG(seed, 2))) //nolint:gosec // a model's, and the same each time
-	w.at(0, w.pulses)
+	s.generateLoad(rand.New(rand.NewPCG(seed, 2))) //nolint:gosec // a simulation needs reproducible numbers
+	s.at(0, s.updateReports)
 
-	for len(w.events) > 0 {
-		e, ok := heap.Pop(&w.events).(event)
+	for len(s.events) > 0 {
+		e, ok := heap.Pop(&s.events).(event)
 		if ok {
 			e.do(e.at)
 		}
 	}
 
-	for i, n := range w.asked {
-		w.result.ByKind = append(w.result.ByKind, float64(w.inTime[i])/float64(max(n, 1)))
+	for i, n := range s.promptsByKind {
+		s.result.OnTimeByKind = append(s.result.OnTimeByKind, float64(s.onTimeByKind[i])/float64(max(n, 1)))
 	}
 
-	return w.result
+	return s.result
 }
 
-func (w *world) at(t time.Duration, do func(now time.Duration)) {
-	heap.Push(&w.events, event{t, w.result.Asked + len(w.events), do})
+func (s *simulation) at(t time.Duration, do func(now time.Duration)) {
+	heap.Push(&s.events, event{t, s.result.Prompts + len(s.events), do})
 }
 
-// load lets prompts come.
-func (w *world) load(r *rand.Rand) {
+// generateLoad schedules the arrivals of all prompts.
+func (s *simulation) generateLoad(r *rand.Rand) {
 	shares := 0.0
-	for _, k := range w.d.Kinds {
+	for _, k := range s.d.Kinds {
 		shares += k.Share
 	}
 
-	for t := time.Duration(0); t < played; {
-		perS := w.d.PerS * (1 + waves*math.Sin(2*math.Pi*t.Seconds()/swing.Seconds()))
-		t += time.Duration(r.ExpFloat64() / perS * float64(time.Second))
+	for t := time.Duration(0); t < loadDuration; {
+		promptsPerSecond := s.d.PromptsPerSecond * (1 + loadAmplitude*math.Sin(2*math.Pi*t.Seconds()/loadPeriod.Seconds()))
+		t += time.Duration(r.ExpFloat64() / promptsPerSecond * float64(time.Second))
 
-		drawn, kind := r.Float64()*shares, 0
-		for kind < len(w.d.Kinds)-1 && drawn > w.d.Kinds[kind].Share {
-			drawn -= w.d.Kinds[kind].Share
+		sample, kind := r.Float64()*shares, 0
+		for kind < len(s.d.Kinds)-1 && sample > s.d.Kinds[kind].Share {
+			sample -= s.d.Kinds[kind].Share
 			kind++
 		}
 
-		k := w.d.Kinds[kind]
-		session := r.IntN(k.Sessions)
+		k := s.d.Kinds[kind]
+		prefix := r.IntN(k.Prefixes)
 		p := &prompt{
-			kind: kind, opening: kind*10_000 + session, came: t, entry: w.entries[r.IntN(len(w.entries))],
-			shared: length(rand.New(rand.NewPCG(uint64(session), uint64(kind))), k.Shared), own: length(r, k.Own), steps: length(r, k.Steps), //nolint:gosec // as above
+			kind: kind, prefix: kind*10_000 + prefix, arrivedAt: t, entry: s.entries[r.IntN(len(s.entries))],
+			sharedTokens: logNormalLength(rand.New(rand.NewPCG(uint64(prefix), uint64(kind))), k.SharedTokens), ownTokens: logNormalLength(r, k.OwnTokens), stepsLeft: logNormalLength(r, k.DecodeSteps), //nolint:gosec // as above
 		}
 
-		w.at(t, func(now time.Duration) { w.come(now, p) })
+		s.at(t, func(now time.Duration) { s.arrive(now, p) })
 	}
 }
 
-// length draws a length around a mean.
-func length(r *rand.Rand, mean float64) int {
+// logNormalLength draws a log-normal length with the given mean, at least 1.
+func logNormalLength(r *rand.Rand, mean float64) int {
 	const sigma = 0.5
 
 	return max(int(mean*math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)), 1)
 }
 
-// pulses tells all entries what engines have to do, now and then.
-func (w *world) pulses(now time.Duration) {
-	for _, e := range w.engines {
-		e.told = e.pulse()
+// updateReports takes load reports of all engines, known to all entries at once, and repeats
+// this every reportInterval.
+func (s *simulation) updateReports(now time.Duration) {
+	for _, e := range s.engines {
+		e.report = e.loadReport()
 	}
 
-	for _, x := range w.entries {
-		clear(x.requests)
-		clear(x.read)
-		clear(x.held)
+	for _, x := range s.entries {
+		clear(x.sentRequests)
+		clear(x.sentPrefill)
+		clear(x.sentMemory)
 	}
 
-	if now < played {
-		w.at(now+pulseEvery, w.pulses)
+	if now < loadDuration {
+		s.at(now+reportInterval, s.updateReports)
 	}
 }
 
-// come takes a prompt that has just arrived.
-func (w *world) come(now time.Duration, p *prompt) {
-	w.result.Asked++
-	w.asked[p.kind]++
-	w.send(now, p)
+// arrive handles the arrival of a prompt.
+func (s *simulation) arrive(now time.Duration, p *prompt) {
+	s.result.Prompts++
+	s.promptsByKind[p.kind]++
+	s.send(now, p)
 }
 
-// send sends a prompt to an engine, or holds it until one has room.
-func (w *world) send(now time.Duration, p *prompt) {
-	i, held := w.choose(p)
+// send sends a prompt to an engine, holds it to retry later, or refuses it.
+func (s *simulation) send(now time.Duration, p *prompt) {
+	i, hold := s.choose(p)
 
-	if held && now-p.came < w.d.Kinds[p.kind].Aim {
-		w.at(now+look, func(now time.Duration) { w.send(now, p) })
+	if hold && now-p.arrivedAt < s.d.Kinds[p.kind].FirstEventLimit {
+		s.at(now+holdRetryInterval, func(now time.Duration) { s.send(now, p) })
 
 		return
 	}
@@ -201,102 +207,104 @@
 		return // refused
 	}
 
-	e, x := w.engines[i], p.entry
-	p.sent, p.idle = now, e.told.Reading+e.told.Waiting+x.requests[i] == 0
+	e, x := s.engines[i], p.entry
+	p.sentAt, p.engineIdle = now, e.report.Reading+e.report.Waiting+x.sentRequests[i] == 0
 
-	unread := p.own
-	if e.cached[p.opening] == 0 {
-		unread += p.shared
+	prefillTokens := p.ownTokens
+	if e.cached[p.prefix] == 0 {
+		prefillTokens += p.sharedTokens
 	}
 
-	x.learned.Sent(unread, p.memory(), w.d.Kinds[p.kind].Aim)
+	x.profile.Sent(prefillTokens, p.memory(), s.d.Kinds[p.kind].FirstEventLimit)
 
-	if w.policy == Decide && !x.learned.Quick(unread) {
-		p.urgency = 1
+	if s.policy == Decide && !x.profile.Quick(prefillTokens) {
+		p.rank = 1
 	}
 
-	x.requests[i]++
-	x.read[i] += unread
-	x.held[i] += p.memory()
+	x.sentRequests[i]++
+	x.sentPrefill[i] += prefillTokens
+	x.sentMemory[i] += p.memory()
 
-	e.take(p)
-	w.step(now, e)
+	e.enqueue(p)
+	s.step(now, e)
 }
 
-// step starts an engine's next step if none is under way.
-func (w *world) step(now time.Duration, e *engine) {
-	if e.stepped {
+// step starts an engine's next step if none is in progress.
+func (s *simulation) step(now time.Duration, e *engine) {
+	if e.stepping {
 		return
 	}
 
-	took, ok := e.begin(w.read)
+	took, ok := e.beginStep(s.computedPrefixes)
 	if !ok {
 		return
 	}
 
-	e.stepped = true
+	e.stepping = true
 
-	w.at(now+took, func(now time.Duration) {
-		e.stepped = false
-		for _, p := range e.end() {
-			w.first(now, p)
+	s.at(now+took, func(now time.Duration) {
+		e.stepping = false
+		for _, p := range e.endStep() {
+			s.firstEvent(now, p)
 		}
 
-		w.step(now, e)
+		s.step(now, e)
 	})
 }
 
-// first takes a prompt's first event.
-func (w *world) first(now time.Duration, p *prompt) {
-	w.result.ReadAgain += p.again
+// firstEvent records a prompt's first event. If the engine was idle, the entry learns its
+// prefill rate from it.
+func (s *simulation) firstEvent(now time.Duration, p *prompt) {
+	s.result.RecomputedTokens += p.recomputedTokens
 
-	if p.idle {
-		p.entry.learned.Read(p.unread, now-p.sent)
+	if p.engineIdle {
+		p.entry.profile.Read(p.prefillTokens, now-p.sentAt)
 	}
 
-	if now-p.came <= w.d.Kinds[p.kind].Aim {
-		w.result.InTime++
-		w.inTime[p.kind]++
+	if now-p.arrivedAt <= s.d.Kinds[p.kind].FirstEventLimit {
+		s.result.OnTimeCount++
+		s.onTimeByKind[p.kind]++
 	} else {
-		w.result.Late++
+		s.result.Late++
 	}
 }
 
-// choose returns the engine for a prompt, -1 for none; held says that it may wait.
-func (w *world) choose(p *prompt) (target int, held bool) {
+// choose returns the index of the engine for a prompt, -1 for none. hold reports whether the
+// prompt should then be held.
+func (s *simulation) choose(p *prompt) (target int, hold bool) {
 	x := p.entry
 	r := route.OpeningRequest{
-		Opening: strconv.Itoa(p.opening), Shared: p.shared, Own: p.own, Output: p.steps, Aim: w.d.Kinds[p.kind].Aim,
+		Opening: strconv.Itoa(p.prefix), Shared: p.sharedTokens, Own: p.ownTokens, Output: p.stepsLeft, Aim: s.d.Kinds[p.kind].FirstEventLimit,
 	}
-	candidates := make([]route.OpeningCandidate, len(w.engines))
-	full := 0
+	candidates := make([]route.OpeningCandidate, len(s.engines))
+	fullEngines := 0
 
-	for i, e := range w.engines {
+	for i, e := range s.engines {
 		c := &candidates[i]
-		c.Name, c.Slots = strconv.Itoa(i), slots
-		c.Running, c.Reading, c.Waiting = e.told.Running+x.requests[i], e.told.Reading, e.told.Waiting
-		c.SentTokens, c.UsedTokens = x.read[i], e.told.UsedTokens+x.held[i]
-		c.Has, c.New = e.cached[p.opening] > 0, !w.read[p.opening]
+		c.Name, c.Slots = strconv.Itoa(i), batchSlots
+		c.Running, c.Reading, c.Waiting = e.report.Running+x.sentRequests[i], e.report.Reading, e.report.Waiting
+		c.SentTokens, c.UsedTokens = x.sentPrefill[i], e.report.UsedTokens+x.sentMemory[i]
+		c.Has, c.New = e.cached[p.prefix] > 0, !s.computedPrefixes[p.prefix]
 
-		if roomless(e.told, c.UsedTokens+x.learned.Memory()*c.Waiting+p.memory(), x.requests[i], w.d.Memory) {
+		if memoryFull(e.report, c.UsedTokens+x.profile.Memory()*c.Waiting+p.memory(), x.sentRequests[i], s.d.MemoryTokens) {
 			c.Excluded = route.NoRoom
-			full++
+			fullEngines++
 		}
 	}
 
-	switch w.policy {
-	case Home:
+	switch s.policy {
+	case HomeEngine:
 		return route.DecideOpening(route.OpeningConfig{}, r, candidates).Home(), false
-	case Least:
-		return least(candidates), false
+	case LeastLoaded:
+		return leastLoaded(candidates), false
 	default:
 	}
 
-	d := route.DecideOpening(x.learned.Opening(w.d.Memory), r, candidates)
+	d := route.DecideOpening(x.profile.Opening(s.d.MemoryTokens), r, candidates)
 
 	switch {
 	case !d.Found():
-		return -1, full > 0
+		return -1, fullEngines > 0
 	case d.Pace() != route.SendNow:
 		return -1, d.Pace() == route.Hold
 	default:
@@ -304,18 +312,19 @@
 	}
 }
 
-// memoryShare is as the entries' own bound.
-const memoryShare = 0.95
+// maxMemoryShare is the fraction of an engine's memory up to which prompts are sent, as in
+// package gateway.
+const maxMemoryShare = 0.95
 
-func roomless(told pulse.Pulse, tokens, since, memory int) bool {
-	return told.Running+told.Waiting+since > 0 && float64(tokens) > memoryShare*float64(memory)
+func memoryFull(report pulse.Pulse, tokens, sentRequests, memory int) bool {
+	return report.Running+report.Waiting+sentRequests > 0 && float64(tokens) > maxMemoryShare*float64(memory)
 }
 
-// least returns the engine with the fewest prompts.
-func least(all []route.OpeningCandidate) int {
+// leastLoaded returns the index of the engine with the fewest prompts.
+func leastLoaded(candidates []route.OpeningCandidate) int {
 	best := 0
-	for i, c := range all {
-		if c.Running+c.Waiting < all[best].Running+all[best].Waiting {
+	for i, c := range candidates {
+		if c.Running+c.Waiting < candidates[best].Running+candidates[best].Waiting {
 			best = i
 		}
 	}
--- a/experiment/drawn/table.go
+++ b/experiment/drawn/table.go
@@ -9,39 +9,40 @@
 	"text/tabwriter"
 )
 
-// Row is what became of one seed's load under one policy.
+// Row is the result of one policy on the deployment and load of one seed.
 type Row struct {
-	// Seed is the deployment's and the load's.
+	// Seed determines the deployment and the load.
 	Seed uint64 `json:"seed"`
 	// Policy is the policy's name.
 	Policy string `json:"policy"`
-	// Engines, TokensPerMs and Kinds say what was drawn.
+	// Engines, TokensPerMs and Kinds describe the deployment: the number of engines, the
+	// prefill rate of the slowest ones, and the number of kinds of prompts.
 	Engines     int     `json:"engines"`
 	TokensPerMs float64 `json:"tokens_per_ms"`
 	Kinds       int     `json:"kinds"`
-	// OnTime, Late and Refused are parts of the prompts, Worst is the part on time of
-	// the kind served worst.
-	OnTime  float64 `json:"on_time"`
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"`
-	Worst   float64 `json:"worst_kind"`
-	// ReadAgain are tokens of openings.
-	ReadAgain int `json:"read_again_tokens"`
+	// OnTime, Late and Refused are fractions of the prompts, and WorstKind is the lowest
+	// fraction on time of any kind.
+	OnTime    float64 `json:"on_time"`
+	Late      float64 `json:"late"`
+	Refused   float64 `json:"refused"`
+	WorstKind float64 `json:"worst_kind"`
+	// RecomputedTokens is the number of recomputed tokens of shared prefixes.
+	RecomputedTokens int `json:"read_again_tokens"`
 }
 
-// Rows plays all policies on so many deployments from a seed on.
-func Rows(seed uint64, n int) []Row {
+// Compare simulates all policies on the deployments of n consecutive seeds.
+func Compare(seed uint64, n int) []Row {
 	var rows []Row
 
 	for s := seed; s < seed+uint64(n); s++ {
 		d := Draw(s)
 
-		for _, p := range []Policy{Decide, Home, Least} {
-			r := Play(d, p, s)
-			late := float64(r.Late) / float64(max(r.Asked, 1))
+		for _, p := range []Policy{Decide, HomeEngine, LeastLoaded} {
+			r := Simulate(d, p, s)
+			late := float64(r.Late) / float64(max(r.Prompts, 1))
 			rows = append(rows, Row{
 				Seed: s, Policy: p.String(), Engines: d.Engines, TokensPerMs: d.TokensPerMs, Kinds: len(d.Kinds),
-				OnTime: r.OnTime(), Late: late, Refused: max(1-r.OnTime()-late, 0), Worst: slices.Min(r.ByKind), ReadAgain: r.ReadAgain,
+				OnTime: r.OnTime(), Late: late, Refused: max(1-r.OnTime()-late, 0), WorstKind: slices.Min(r.OnTimeByKind), RecomputedTokens: r.RecomputedTokens,
 			})
 		}
 	}
@@ -49,7 +50,7 @@
 	return rows
 }
 
-// Write writes rows as a table, or as JSON.
+// Write writes rows to w as a table, or as JSON. It returns an error if a write fails.
 func Write(w io.Writer, rows []Row, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(rows)
@@ -61,7 +62,7 @@
 
 	for _, r := range rows {
 		fmt.Fprintf(&b, "%d\t%s\t%d\t%.0f\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%d\n",
-			r.Seed, r.Policy, r.Engines, r.TokensPerMs, r.Kinds, r.OnTime, r.Late, r.Refused, r.Worst, r.ReadAgain)
+			r.Seed, r.Policy, r.Engines, r.TokensPerMs, r.Kinds, r.OnTime, r.Late, r.Refused, r.WorstKind, r.RecomputedTokens)
 	}
 
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -6,40 +6,41 @@
 	"boragehub/setting"
 )
 
-// classes is the number of classes; order ranks them, the most pressing first.
+// classes is the number of request classes. classRank ranks them; the most urgent class
+// has rank 0.
 const classes = 4
 
-func order(c setting.Class) int {
+func classRank(c setting.Class) int {
 	return [...]int{setting.Standard: 2, setting.Urgent: 0, setting.Interactive: 1, setting.Background: 3}[c]
 }
 
-// job is one request on its way.
+// job is one attempt of a request.
 type job struct {
-	v       *visit
-	class   int
-	due     time.Duration // when it is given up
-	known   int           // leading tokens that were computed before
-	expect  int           // tokens that its entry expects to be computed
-	pending int           // of these, those its engine still counts as to come
-	version int           // weight version of what was imported
-
-	placed    bool
-	importing bool
-	imported  int
-	started   bool
-	ran       int // weight version that its prefill began with
-	left      int
-	ended     bool
-	attempts  int
-	seq       uint64
-	release   func() // gives the place at the entry's gate back
+	v               *visit
+	class           int
+	deadline        time.Duration // when it is refused unless it has a batch slot
+	computedBefore  int           // leading tokens that some engine computed before
+	expectedPrefill int           // prefill tokens that its entry expects
+	pendingPrefill  int           // of these, those that its engine still counts as pending
+	importedVersion int           // weight version of the imported tokens
+
+	hasSlot        bool
+	importing      bool
+	importedTokens int
+	started        bool
+	prefillVersion int // weight version when its prefill began
+	prefillLeft    int
+	ended          bool
+	attempts       int
+	seq            uint64
+	releasePermit  func() // releases the permit of the entry's gate
 }
 
-// free gives the place at the entry's gate back, once.
-func (j *job) free() {
-	if j.release != nil {
-		j.release()
-		j.release = nil
+// releaseGate releases the permit of the entry's gate. Further calls do nothing.
+func (j *job) releaseGate() {
+	if j.releasePermit != nil {
+		j.releasePermit()
+		j.releasePermit = nil
 	}
 }
 
@@ -48,17 +49,19 @@
 	at      time.Duration
 	running int
 	waiting int
-	// pending are the tokens to be computed by class, of this and all more pressing ones.
-	pending [classes]int
+	// pendingPrefill are the pending prefill tokens by class, each including those of
+	// all more urgent classes.
+	pendingPrefill [classes]int
 }
 
-// reports is how many load reports are remembered.
-const reports = 128
+// maxReports is the number of load reports kept: at reportInterval, more than
+// staleLoadReportDelay needs.
+const maxReports = 128
 
-// engine is one engine: a batch that decodes, beside which one prefill runs at
-// a time, in chunks and in order of class.
+// engine models one engine. One prefill runs at a time, in chunks and in order of class,
+// beside a batch that decodes.
 type engine struct {
-	w          *world
+	sim        *simulation
 	index      int
 	name       string
 	dataCentre string
@@ -68,101 +71,103 @@
 	version    int
 	loading    bool
 
-	waiting [classes][]*job
-	placed  []*job // with a place, before their first token
-	running int
-	pinned  int
-	busy    bool
-	epoch   int // rises when all that ran is lost
-	pending [classes]int
-	seen    [reports]report
-	next    int
+	waiting        [classes][]*job
+	prefilling     []*job // have a batch slot and no first token yet
+	running        int
+	pinnedTokens   int
+	prefillRunning bool
+	generation     int // events of an older generation are ignored; nothing raises it yet
+	pendingPrefill [classes]int
+	reports        [maxReports]report
+	reportCount    int
 }
 
-// enqueue takes a job.
+// enqueue adds a job to the wait queue of its class.
 func (e *engine) enqueue(j *job) {
-	e.w.seq++
-	j.seq = e.w.seq
-	j.pending = j.expect
-	e.pending[j.class] += j.pending
+	e.sim.seq++
+	j.seq = e.sim.seq
+	j.pendingPrefill = j.expectedPrefill
+	e.pendingPrefill[j.class] += j.pendingPrefill
 	e.waiting[j.class] = append(e.waiting[j.class], j)
 	e.admit()
-	e.prefill()
+	e.startChunk()
 }
 
-// admit gives places to those who wait, while there are places and memory.
+// admit gives batch slots to waiting jobs in order of class, as long as there are free
+// slots and memory. It refuses jobs whose deadline has passed.
 func (e *engine) admit() {
 	for c := range e.waiting {
 		for len(e.waiting[c]) > 0 {
 			j := e.waiting[c][0]
-			if e.w.clock.now > j.due {
+			if e.sim.clock.now > j.deadline {
 				e.waiting[c] = e.waiting[c][1:]
-				e.giveUp(j)
+				e.expire(j)
 
 				continue
 			}
 
-			need := j.v.prompt + j.v.answer
-			if e.loading || e.running >= e.spec.MaxRunning || (e.running > 0 && e.pinned+need > e.spec.CacheTokens) {
+			need := j.v.promptTokens + j.v.answerTokens
+			if e.loading || e.running >= e.spec.MaxRunning || (e.running > 0 && e.pinnedTokens+need > e.spec.CacheTokens) {
 				return
 			}
 
 			e.waiting[c] = e.waiting[c][1:]
 			e.running++
-			e.pinned += need
+			e.pinnedTokens += need
 			e.cache.pin(j.v.c, need)
-			j.placed = true
-			e.placed = append(e.placed, j)
+			j.hasSlot = true
+			e.prefilling = append(e.prefilling, j)
 		}
 	}
 }
 
-func (e *engine) giveUp(j *job) {
-	e.count(j, j.pending)
+func (e *engine) expire(j *job) {
+	e.subtractPending(j, j.pendingPrefill)
 
 	j.ended = true
-	e.w.refused(j)
+	e.sim.refuse(j)
 }
 
-// count takes tokens of j off the pending ones.
-func (e *engine) count(j *job, tokens int) {
-	tokens = min(tokens, j.pending)
-	j.pending -= tokens
-	e.pending[j.class] -= tokens
+// subtractPending subtracts tokens of j from the pending prefill tokens.
+func (e *engine) subtractPending(j *job, tokens int) {
+	tokens = min(tokens, j.pendingPrefill)
+	j.pendingPrefill -= tokens
+	e.pendingPrefill[j.class] -= tokens
 }
 
-// prefill starts the next chunk of the most pressing job that has its import.
-func (e *engine) prefill() {
-	if e.busy || e.loading {
+// startChunk starts the next prefill chunk of the most urgent job that is not waiting for
+// an import.
+func (e *engine) startChunk() {
+	if e.prefillRunning || e.loading {
 		return
 	}
 
-	j := e.pick()
+	j := e.nextJob()
 	if j == nil {
 		return
 	}
 
 	if !j.started {
-		e.start(j)
+		e.beginPrefill(j)
 	}
 
-	n := min(j.left, e.spec.Chunk)
-	batch := min(float64(e.running)/float64(e.spec.MaxRunning), 1)
-	took := float64(n) / e.spec.PrefillTokensPerSecond * (1 + e.spec.Interference*batch)
-	e.busy = true
-	epoch := e.epoch
+	n := min(j.prefillLeft, e.spec.ChunkTokens)
+	batchLoad := min(float64(e.running)/float64(e.spec.MaxRunning), 1)
+	seconds := float64(n) / e.spec.PrefillTokensPerSecond * (1 + e.spec.Interference*batchLoad)
+	e.prefillRunning = true
+	generation := e.generation
 
-	e.w.clock.after(time.Duration(took*float64(time.Second)), func() {
-		if e.epoch == epoch {
-			e.chunk(j, n)
+	e.sim.clock.after(time.Duration(seconds*float64(time.Second)), func() {
+		if e.generation == generation {
+			e.finishChunk(j, n)
 		}
 	})
 }
 
-func (e *engine) pick() *job {
+func (e *engine) nextJob() *job {
 	var best *job
 
-	for _, j := range e.placed {
+	for _, j := range e.prefilling {
 		if j.importing {
 			continue
 		}
@@ -175,100 +180,104 @@
 	return best
 }
 
-// start settles how much of j must be computed.
-func (e *engine) start(j *job) {
+// beginPrefill determines how many tokens of j must be computed: those neither cached nor
+// imported for the loaded weight version.
+func (e *engine) beginPrefill(j *job) {
 	j.started = true
-	j.ran = e.version
-	held := e.cache.tokens(j.v.c)
+	j.prefillVersion = e.version
+	cached := e.cache.tokens(j.v.c)
 
-	if j.version == e.version {
-		held = max(held, j.imported)
+	if j.importedVersion == e.version {
+		cached = max(cached, j.importedTokens)
 	}
 
-	// The last token is always computed: it brings the first one of the answer.
-	held = min(held, j.v.prompt-1)
-	j.left = j.v.prompt - held
-	e.w.computed(j, held)
+	// The last prompt token is always computed, since it yields the first token of the
+	// answer.
+	cached = min(cached, j.v.promptTokens-1)
+	j.prefillLeft = j.v.promptTokens - cached
+	e.sim.recordPrefill(j, cached)
 }
 
-func (e *engine) chunk(j *job, n int) {
-	e.busy = false
-	j.left -= n
-	e.count(j, n)
+func (e *engine) finishChunk(j *job, n int) {
+	e.prefillRunning = false
+	j.prefillLeft -= n
+	e.subtractPending(j, n)
 
-	if j.left <= 0 {
-		e.first(j)
+	if j.prefillLeft <= 0 {
+		e.firstToken(j)
 	}
 
-	e.prefill()
+	e.startChunk()
 }
 
-// first gives the first token of j and plans the last one.
-func (e *engine) first(j *job) {
-	e.count(j, j.pending)
-	e.unplace(j)
-	e.hold(j, j.v.prompt)
-	e.w.first(j, e)
+// firstToken delivers the first token of j and schedules the last one.
+func (e *engine) firstToken(j *job) {
+	e.subtractPending(j, j.pendingPrefill)
+	e.removePrefilling(j)
+	e.cachePrefix(j, j.v.promptTokens)
+	e.sim.firstToken(j, e)
 
-	step := e.spec.Step + time.Duration(e.running)*e.spec.StepEach
-	epoch := e.epoch
+	step := e.spec.Step + time.Duration(e.running)*e.spec.StepPerRequest
+	generation := e.generation
 
-	e.w.clock.after(time.Duration(j.v.answer)*step, func() {
-		if e.epoch == epoch {
+	e.sim.clock.after(time.Duration(j.v.answerTokens)*step, func() {
+		if e.generation == generation {
 			e.finish(j)
 		}
 	})
 }
 
-// hold notes what j computed, unless new weights came in between.
-func (e *engine) hold(j *job, tokens int) {
-	if j.ran == e.version {
+// cachePrefix caches the first tokens of j, unless new weights were loaded since its
+// prefill began.
+func (e *engine) cachePrefix(j *job, tokens int) {
+	if j.prefillVersion == e.version {
 		e.cache.put(j.v.c, tokens)
 	}
 }
 
-func (e *engine) unplace(j *job) {
-	for i, o := range e.placed {
+func (e *engine) removePrefilling(j *job) {
+	for i, o := range e.prefilling {
 		if o == j {
-			e.placed = append(e.placed[:i], e.placed[i+1:]...)
+			e.prefilling = append(e.prefilling[:i], e.prefilling[i+1:]...)
 			return
 		}
 	}
 }
 
 func (e *engine) finish(j *job) {
-	need := j.v.prompt + j.v.answer
+	need := j.v.promptTokens + j.v.answerTokens
 	j.ended = true
 	e.running--
-	e.pinned -= need
-	e.hold(j, need)
+	e.pinnedTokens -= need
+	e.cachePrefix(j, need)
 	e.cache.unpin(j.v.c)
 	e.cache.evict()
-	e.w.finished(j, e)
+	e.sim.finish(j, e)
 	e.admit()
-	e.prefill()
+	e.startChunk()
 }
 
-// report keeps a load report.
-func (e *engine) report() {
-	r := report{at: e.w.clock.now, running: e.running}
+// recordReport stores a load report of the current state.
+func (e *engine) recordReport() {
+	r := report{at: e.sim.clock.now, running: e.running}
 	sum := 0
 
-	for c := range e.pending {
-		sum += e.pending[c]
-		r.pending[c] = sum
+	for c := range e.pendingPrefill {
+		sum += e.pendingPrefill[c]
+		r.pendingPrefill[c] = sum
 		r.waiting += len(e.waiting[c])
 	}
 
-	e.seen[e.next%reports] = r
-	e.next++
+	e.reports[e.reportCount%maxReports] = r
+	e.reportCount++
 }
 
-// reported returns the newest report that is at least lag old.
-func (e *engine) reported(lag time.Duration) report {
-	for i := e.next - 1; i >= max(e.next-reports, 0); i-- {
-		r := e.seen[i%reports]
-		if e.w.clock.now-r.at >= lag {
+// latestReport returns the newest report that is at least minAge old, an empty one if there
+// is none.
+func (e *engine) latestReport(minAge time.Duration) report {
+	for i := e.reportCount - 1; i >= max(e.reportCount-maxReports, 0); i-- {
+		r := e.reports[i%maxReports]
+		if e.sim.clock.now-r.at >= minAge {
 			return r
 		}
 	}
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,28 +1,29 @@
-// Package experiment measures the decisions of the daemons on virtual time.
+// Package experiment compares the daemons' routing and parking decisions with
+// baseline policies in a discrete-event simulation.
 //
 // # Model
 //
-// A seeded load made after the two users' deployments drives the packages route,
-// directory, link and parking as the daemons use them, against small models of
-// engine, link and store. It is a model of queues and links and no simulator of
-// a cluster: messages are delays, processes have no faults of their own.
+// A seeded load modelled on two users' deployments drives the packages route,
+// directory, link, limit and parking as the daemons use them, against simple models
+// of engine, link and store. Only queues and links are modelled: messages are
+// delays, and processes have no faults of their own.
 //
-// An engine prefills one request at a time, in chunks and the most pressing
-// class first, beside a batch that decodes and slows it; its cache drops the
-// conversations least recently used. Transfers that are on a link at once share
-// it evenly. A store drops the copy worth least. Load reports and cache events
-// arrive late. The parameters stand with their units and reasons in Deployment.
+// An engine prefills one request at a time, in chunks and in order of class, while
+// a batch decodes and slows the prefill down; its cache evicts the least recently
+// used conversations. Concurrent transfers share a link evenly. A store evicts its
+// least valuable part. Load reports and cache events arrive late. Deployment
+// documents the parameters with their units.
 //
-// Policies are compared on the same load: the same conversations return at the
-// same times whatever became of their last visit. A request that has no place
-// when its deadline passes is refused, and counts with its deadline among the
-// times to first token, so that a policy gains nothing by refusing.
+// All policies get the same load: conversations return at the same times whatever
+// the outcome of their previous visits. A request that has no batch slot when its
+// deadline passes is refused, and its deadline is recorded as its time to first
+// token, so that a policy gains nothing by refusing.
 //
 // # Example
 //
 //	err := experiment.Run(experiment.Config{Deployment: "coastal", Seeds: 3}, os.Stdout)
 //
-// The same Config gives the same bytes.
+// The output is deterministic: the same Config gives the same bytes.
 package experiment
 
 import (
@@ -31,29 +32,31 @@
 	"time"
 )
 
-// Config says what is measured. Zero fields take their defaults.
+// Config selects what is measured. Zero fields take their defaults.
 type Config struct {
-	// Deployment is coastal or bureau; coastal when empty.
+	// Deployment is "coastal" or "bureau"; "coastal" when empty.
 	Deployment string
-	// Policies are those compared; all when empty.
+	// Policies are the policies to compare; all when empty.
 	Policies []Policy
-	// Loads are the loads in parts of Deployment.Capacity; 0.8 when empty.
+	// Loads are the loads as fractions of Deployment.Capacity; 0.8 when empty.
 	Loads []float64
-	// Seed is the first seed, and Seeds how many are run; 1 when zero.
+	// Seed is the first seed, and Seeds the number of consecutive seeds; both are 1
+	// when zero.
 	Seed  uint64
 	Seeds int
-	// Fault is what goes wrong when a third of the measured time is over.
+	// Fault is injected after a third of the measured time; NoFault when zero.
 	Fault Fault
-	// Without are the ideas switched off, one in each run; Nothing when empty.
-	Without []Without
-	// Warmup is the time before anything is measured, half an hour when zero,
-	// and Measured the time measured after it, a quarter when zero.
+	// Ablations are compared one at a time; only NoAblation when empty.
+	Ablations []Ablation
+	// Warmup is the virtual time before the measurement, 30 minutes when zero, and
+	// Measured the virtual time measured after it, 15 minutes when zero.
 	Warmup, Measured time.Duration
-	// Entries is how many entries there are in each data centre; 1 when zero.
+	// Entries is the number of entries in each data centre; 1 when zero.
 	Entries int
-	// Workers is how many runs go on at once; 2 when zero.
+	// Workers is the number of concurrent runs; 2 when zero.
 	Workers int
-	// CSV and Plot are files to write; a plot ends in .svg or .png.
+	// CSV and Plot name files to write; none when empty. The name of a plot ends in
+	// .svg or .png.
 	CSV, Plot string
 }
 
@@ -62,7 +65,7 @@
 		warmup   = 30 * time.Minute
 		measured = 15 * time.Minute
 		workers  = 2
-		usual    = 0.8
+		load     = 0.8
 	)
 
 	if c.Deployment == "" {
@@ -74,11 +77,11 @@
 	}
 
 	if len(c.Loads) == 0 {
-		c.Loads = []float64{usual}
+		c.Loads = []float64{load}
 	}
 
-	if len(c.Without) == 0 {
-		c.Without = []Without{Nothing}
+	if len(c.Ablations) == 0 {
+		c.Ablations = []Ablation{NoAblation}
 	}
 
 	c.Seed = max(c.Seed, 1)
@@ -99,17 +102,18 @@
 	return c
 }
 
-// Run carries out the experiment, writes its table to w and the files named in cfg.
+// Run carries out the experiment and writes its table to w and the files named in
+// cfg. It returns an error if the deployment is unknown or a write fails.
 func Run(cfg Config, w io.Writer) error {
 	cfg = cfg.withDefaults()
 
-	d, err := deploymentOf(cfg.Deployment)
+	d, err := deploymentByName(cfg.Deployment)
 	if err != nil {
 		return err
 	}
 
-	d.EntriesEach = max(cfg.Entries, d.EntriesEach)
-	groups := cfg.run(d)
+	d.EntriesPerDataCentre = max(cfg.Entries, d.EntriesPerDataCentre)
+	groups := cfg.runAll(d)
 
 	if err := writeTable(w, d, cfg, groups); err != nil {
 		return err
@@ -128,21 +132,22 @@
 	return writePlot(cfg.Plot, d, groups)
 }
 
-// group is what the seeds of one load, policy and idea measured.
+// group holds the results of all seeds for one load, policy and ablation.
 type group struct {
-	load    float64
-	policy  Policy
-	without Without
-	results []*Result
+	load     float64
+	policy   Policy
+	ablation Ablation
+	results  []*Result
 }
 
-// run carries out all runs, some at once, and returns them in a fixed order.
-func (c Config) run(d Deployment) []group {
+// runAll carries out all runs, up to c.Workers at once, and returns them in a fixed
+// order.
+func (c Config) runAll(d Deployment) []group {
 	var groups []group
 
 	for _, load := range c.Loads {
 		for _, p := range c.Policies {
-			for _, x := range c.Without {
+			for _, x := range c.Ablations {
 				groups = append(groups, group{load, p, x, make([]*Result, c.Seeds)})
 			}
 		}
@@ -150,20 +155,20 @@
 
 	var wg sync.WaitGroup
 
-	places := make(chan struct{}, c.Workers)
+	slots := make(chan struct{}, c.Workers)
 
 	for _, g := range groups {
 		for i := range g.results {
 			r := run{
 				d: d, policy: g.policy, load: g.load, seed: c.Seed + uint64(i), fault: c.Fault,
-				without: g.without, warmup: c.Warmup, measured: c.Measured,
+				ablation: g.ablation, warmup: c.Warmup, measured: c.Measured,
 			}
 
-			places <- struct{}{}
+			slots <- struct{}{}
 
 			wg.Go(func() {
-				g.results[i] = r.do()
-				<-places
+				g.results[i] = r.execute()
+				<-slots
 			})
 		}
 	}
@@ -173,17 +178,17 @@
 	return groups
 }
 
-// span is the mean of a figure over seeds with the least and the greatest.
-type span struct{ mean, least, most float64 }
+// summary is the mean, minimum and maximum of a metric over the seeds.
+type summary struct{ mean, min, max float64 }
 
-func (g group) span(of func(*Result) float64) span {
-	s := span{least: of(g.results[0]), most: of(g.results[0])}
+func (g group) summarise(metric func(*Result) float64) summary {
+	s := summary{min: metric(g.results[0]), max: metric(g.results[0])}
 
 	for _, r := range g.results {
-		x := of(r)
+		x := metric(r)
 		s.mean += x / float64(len(g.results))
-		s.least = min(s.least, x)
-		s.most = max(s.most, x)
+		s.min = min(s.min, x)
+		s.max = max(s.max, x)
 	}
 
 	return s
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -11,10 +11,10 @@
 	"boragehub/setting"
 )
 
-// short is an experiment small enough for every change.
-func short(dir string) Config {
+// shortConfig returns an experiment small enough to run on every change.
+func shortConfig(dir string) Config {
 	return Config{
-		Deployment: "bureau", Policies: []Policy{Ours, StickyPrefix}, Loads: []float64{0.4, 1.2},
+		Deployment: "bureau", Policies: []Policy{Boragehub, StickyPrefix}, Loads: []float64{0.4, 1.2},
 		Seeds: 1, Warmup: time.Minute, Measured: time.Minute,
 		CSV: filepath.Join(dir, "runs.csv"), Plot: filepath.Join(dir, "plot.svg"),
 	}
@@ -24,7 +24,7 @@
 	var outputs [2][3][]byte
 
 	for i := range outputs {
-		cfg := short(t.TempDir())
+		cfg := shortConfig(t.TempDir())
 		cfg.Workers = 1 + 3*i
 
 		var b bytes.Buffer
@@ -46,27 +46,28 @@
 
 	for i, name := range []string{"table", "csv", "plot"} {
 		if len(outputs[0][i]) == 0 || !bytes.Equal(outputs[0][i], outputs[1][i]) {
-			t.Errorf("%s: got %d and %d bytes that differ, want the same", name, len(outputs[0][i]), len(outputs[1][i]))
+			t.Errorf("%s: got different outputs of %d and %d bytes, want equal ones", name, len(outputs[0][i]), len(outputs[1][i]))
 		}
 	}
 }
 
-// A request that is lost by the model would flatter its policy: each one has to
-// end with a first token or a refusal, whatever fails.
+// Guards against a fault in the model that loses requests: they would be missing from the
+// results and make their policy look better. Each request must end with a first token or a
+// refusal under every fault.
 func TestEveryRequestEnds(t *testing.T) {
 	for _, f := range Faults() {
 		t.Run(f.String(), func(t *testing.T) {
 			t.Parallel()
 
-			r := run{d: Coastal(), policy: Ours, load: 0.5, seed: 3, fault: f, warmup: time.Minute, measured: 3 * time.Minute}
-			res := r.do()
+			r := run{d: Coastal(), policy: Boragehub, load: 0.5, seed: 3, fault: f, warmup: time.Minute, measured: 3 * time.Minute}
+			res := r.execute()
 			want := make([]int, len(r.d.Workloads))
 			end := r.warmup + r.measured
 
 			var b *burst
-			if f == Tenfold {
+			if f == OrganisationBurst {
 				at := r.warmup + r.measured/3
-				b = &burst{4, 10, at, at + FaultLength}
+				b = &burst{4, 10, at, at + FaultDuration}
 			}
 
 			_, visits := generate(r.d, r.seed, r.load*r.d.Capacity(), end, b)
@@ -78,7 +79,7 @@
 
 			for i := range want {
 				if got := res.Workloads[i].Requests; got != want[i] {
-					t.Errorf("%s: got %d ended, want %d", res.Workloads[i].Name, got, want[i])
+					t.Errorf("%s: got %d requests with an outcome, want %d", res.Workloads[i].Name, got, want[i])
 				}
 			}
 		})
@@ -91,8 +92,8 @@
 		err  error
 	}{
 		{"deployment", Run(Config{Deployment: "elsewhere"}, &bytes.Buffer{})},
-		{"policy", func() error { _, err := parse(Policies(), "ours,best"); return err }()},
-		{"plot", save("plot.gif", nil)},
+		{"policy", func() error { _, err := parseNames(Policies(), "ours,best"); return err }()},
+		{"plot", savePlot("plot.gif", nil)},
 	}
 
 	for _, c := range cases {
@@ -106,7 +107,7 @@
 
 func TestPipeIsShared(t *testing.T) {
 	c := &clock{}
-	p := &pipe{clock: c, rate: 100}
+	p := &pipe{clock: c, bytesPerSecond: 100}
 
 	var ends []time.Duration
 
@@ -131,15 +132,15 @@
 	m.put(c, 30)
 
 	if got, want := m.tokens(a), 30; got != want {
-		t.Errorf("oldest: got %d tokens, want %d", got, want)
+		t.Errorf("least recently used: got %d tokens, want %d", got, want)
 	}
 
 	if got, want := m.tokens(b), 40; got != want {
-		t.Errorf("running: got %d tokens, want %d", got, want)
+		t.Errorf("pinned: got %d tokens, want %d", got, want)
 	}
 
 	if got, want := evicted[1], 30; got != want {
-		t.Errorf("event: got %d tokens left, want %d", got, want)
+		t.Errorf("eviction callback: got %d tokens left, want %d", got, want)
 	}
 }
 
@@ -152,7 +153,7 @@
 	}
 
 	for _, c := range cases {
-		if got := order(c.class); got != c.want {
+		if got := classRank(c.class); got != c.want {
 			t.Errorf("class %d: got %d, want %d", c.class, got, c.want)
 		}
 	}
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -12,38 +12,39 @@
 	"boragehub/prompt"
 )
 
-// blockTokens is the length of a block in the model; longer than an engine's,
-// to keep the chains of many long contexts in memory.
+// blockTokens is the number of tokens in a block. Blocks are longer than an engine's, to
+// save memory for the block hashes of many long contexts.
 const blockTokens = 64
 
-// conversation is a context over all its visits.
+// conversation is a context that grows with each of its visits.
 type conversation struct {
 	id           int
 	workload     int
 	organisation int
 	anchor       prompt.Hash
-	chain        prompt.Chain
+	blocks       prompt.Chain
 	visits       []visit
-	// computed is how many of its tokens were ever computed.
-	computed int
-	// seen and seenAt are the visits that arrived so far and when the last did.
-	seen   int
-	seenAt time.Duration
+	// computedTokens is the number of leading tokens that any engine ever computed.
+	computedTokens int
+	// visitCount is the number of visits that have arrived so far, and lastVisit the
+	// arrival time of the last one.
+	visitCount int
+	lastVisit  time.Duration
 }
 
 // visit is one request of a conversation.
 type visit struct {
-	c      *conversation
-	index  int
-	at     time.Duration
-	entry  int
-	prompt int
-	answer int
-	seed   uint64
+	c            *conversation
+	index        int
+	at           time.Duration
+	entry        int
+	promptTokens int
+	answerTokens int
+	seed         uint64
 }
 
-// next returns when the conversation returns after its visit i, and whether it does.
-func (c *conversation) next(i int) (time.Duration, bool) {
+// nextVisit returns the time of the visit after visit i, and false if i is the last one.
+func (c *conversation) nextVisit(i int) (time.Duration, bool) {
 	if i+1 >= len(c.visits) {
 		return 0, false
 	}
@@ -51,106 +52,108 @@
 	return c.visits[i+1].at, true
 }
 
-// chainTo returns the chain of the first tokens of c.
-func (c *conversation) chainTo(tokens int) prompt.Chain {
+// blockHashes returns the hashes of the complete blocks in the first tokens of c.
+func (c *conversation) blockHashes(tokens int) prompt.Chain {
 	n := tokens / blockTokens
 
-	for len(c.chain) < n {
-		h := xxh3.HashString128("block " + strconv.Itoa(c.id) + " " + strconv.Itoa(len(c.chain)))
-		c.chain = append(c.chain, prompt.Hash(h.Bytes()))
+	for len(c.blocks) < n {
+		h := xxh3.HashString128("block " + strconv.Itoa(c.id) + " " + strconv.Itoa(len(c.blocks)))
+		c.blocks = append(c.blocks, prompt.Hash(h.Bytes()))
 	}
 
-	return c.chain[:n]
+	return c.blocks[:n]
 }
 
-// generator draws the load of one run.
+// generator generates the load of one run.
 type generator struct {
-	d    Deployment
-	rng  *rand.Rand
-	end  time.Duration
-	all  []*conversation
-	rate float64
+	d             Deployment
+	rng           *rand.Rand
+	end           time.Duration
+	conversations []*conversation
+	rate          float64
 }
 
-// spread is the standard deviation of the logarithms of gaps and lengths.
-const spread = 0.5
+// logSigma is the standard deviation of the logarithm of gaps and lengths.
+const logSigma = 0.5
 
-// past is how many gaps before the start conversations may have begun, so that
-// the run starts among conversations of all ages.
-const past = 20
+// pastGaps is how far before time zero conversations may begin, in median gaps, so that a
+// run starts with conversations of all ages.
+const pastGaps = 20
 
-// generate returns all conversations with a visit between 0 and end, at rate
-// requests a second, and their visits in order of time.
+// generate returns all conversations with a visit between 0 and end, at rate requests per
+// second, and their visits in the order of time. A nil burst adds nothing.
 func generate(d Deployment, seed uint64, rate float64, end time.Duration, burst *burst) ([]*conversation, []*visit) {
 	g := &generator{d: d, rng: rand.New(rand.NewPCG(seed, 1)), end: end, rate: rate}
 
 	for w := range d.Workloads {
-		g.workload(w, 1, -past*d.Workloads[w].Gap, end, -1)
+		g.addWorkload(w, 1, -pastGaps*d.Workloads[w].Gap, end, -1)
 	}
 
 	if burst != nil {
 		for w := range d.Workloads {
-			g.workload(w, d.Organisations[burst.organisation]*(burst.times-1), burst.from, burst.to, burst.organisation)
+			g.addWorkload(w, d.OrganisationShares[burst.organisation]*(burst.factor-1), burst.from, burst.to, burst.organisation)
 		}
 	}
 
-	return g.all, g.sorted()
+	return g.conversations, g.visitsByTime()
 }
 
-// burst is an organisation that sends several times its usual load.
+// burst makes an organisation send factor times its usual load for a time.
 type burst struct {
 	organisation int
-	times        float64
+	factor       float64
 	from, to     time.Duration
 }
 
-// workload draws the conversations of workload w that begin between two times,
-// for one organisation or, with -1, for all by their part.
-func (g *generator) workload(w int, part float64, from, to time.Duration, organisation int) {
+// addWorkload adds the conversations of workload w that begin between two times, at share
+// times the rate of the workload. They belong to the given organisation or, if it is -1, to
+// organisations drawn by their shares.
+func (g *generator) addWorkload(w int, share float64, from, to time.Duration, organisation int) {
 	spec := &g.d.Workloads[w]
-	each := spec.Visits / (g.rate * spec.Part * part)
+	meanInterval := spec.Visits / (g.rate * spec.Share * share)
 
 	if organisation >= 0 {
-		// A burst is short against the gaps: all its requests are first visits.
-		each /= spec.Visits
+		// A burst is short compared with the gaps, so that almost all its requests are
+		// first visits.
+		meanInterval /= spec.Visits
 	}
 
 	for at := from; at < to; {
-		at += time.Duration(g.rng.ExpFloat64() * each * float64(time.Second))
+		at += time.Duration(g.rng.ExpFloat64() * meanInterval * float64(time.Second))
 
 		o := organisation
 		if o < 0 {
-			o = g.pick(g.d.Organisations)
+			o = g.pickIndex(g.d.OrganisationShares)
 		}
 
-		g.conversation(w, o, at, to)
+		g.addConversation(w, o, at, to)
 	}
 }
 
-func (g *generator) conversation(w, organisation int, at, to time.Duration) {
+func (g *generator) addConversation(w, organisation int, at, to time.Duration) {
 	spec := &g.d.Workloads[w]
-	c := &conversation{id: len(g.all), workload: w, organisation: organisation}
+	c := &conversation{id: len(g.conversations), workload: w, organisation: organisation}
 	id := xxh3.HashString128("context " + strconv.Itoa(c.id))
 	c.anchor = prompt.Hash(id.Bytes())
-	length := g.about(float64(spec.Opening))
+	length := g.logNormal(float64(spec.FirstPromptTokens))
 
 	for {
-		v := visit{c: c, index: len(c.visits), at: at, prompt: length, answer: g.about(float64(spec.Answer))}
-		v.entry = g.rng.IntN(len(g.d.DataCentres) * g.d.EntriesEach)
+		v := visit{c: c, index: len(c.visits), at: at, promptTokens: length, answerTokens: g.logNormal(float64(spec.AnswerTokens))}
+		v.entry = g.rng.IntN(len(g.d.DataCentres) * g.d.EntriesPerDataCentre)
 		v.seed = g.rng.Uint64()
-		length += v.answer + g.about(float64(spec.Added))
+		length += v.answerTokens + g.logNormal(float64(spec.AddedTokens))
 
 		switch {
 		case at >= to:
 		case at >= 0:
 			c.visits = append(c.visits, v)
 		default:
-			c.computed = v.prompt + v.answer
-			c.seen++
-			c.seenAt = at
+			c.computedTokens = v.promptTokens + v.answerTokens
+			c.visitCount++
+			c.lastVisit = at
 		}
 
-		at += time.Duration(g.about(float64(spec.Gap)))
+		at += time.Duration(g.logNormal(float64(spec.Gap)))
 
 		if at >= to || g.rng.Float64() < 1/spec.Visits {
 			break
@@ -158,47 +161,47 @@
 	}
 
 	if len(c.visits) > 0 {
-		g.all = append(g.all, c)
+		g.conversations = append(g.conversations, c)
 	}
 }
 
-func (g *generator) about(median float64) int { return about(g.rng, median, spread) }
+func (g *generator) logNormal(median float64) int { return logNormal(g.rng, median, logSigma) }
 
-// about draws a positive number around median, with the given standard deviation
-// of its logarithm.
-func about(rng *rand.Rand, median, deviation float64) int {
-	return int(math.Ceil(median * math.Exp(deviation*rng.NormFloat64())))
+// logNormal draws a log-normal number with the given median and standard deviation of its
+// logarithm, rounded up.
+func logNormal(rng *rand.Rand, median, sigma float64) int {
+	return int(math.Ceil(median * math.Exp(sigma*rng.NormFloat64())))
 }
 
-func (g *generator) pick(parts []float64) int {
+func (g *generator) pickIndex(shares []float64) int {
 	x := g.rng.Float64()
 
-	for i, p := range parts {
-		x -= p
+	for i, share := range shares {
+		x -= share
 		if x < 0 {
 			return i
 		}
 	}
 
-	return len(parts) - 1
+	return len(shares) - 1
 }
 
-func (g *generator) sorted() []*visit {
-	var all []*visit
+func (g *generator) visitsByTime() []*visit {
+	var visits []*visit
 
-	for _, c := range g.all {
+	for _, c := range g.conversations {
 		for i := range c.visits {
-			all = append(all, &c.visits[i])
+			visits = append(visits, &c.visits[i])
 		}
 	}
 
-	sort.Slice(all, func(i, j int) bool {
-		if all[i].at != all[j].at {
-			return all[i].at < all[j].at
+	sort.Slice(visits, func(i, j int) bool {
+		if visits[i].at != visits[j].at {
+			return visits[i].at < visits[j].at
 		}
 
-		return all[i].c.id < all[j].c.id
+		return visits[i].c.id < visits[j].c.id
 	})
 
-	return all
+	return visits
 }
--- a/experiment/move.go
+++ b/experiment/move.go
@@ -10,218 +10,223 @@
 	"boragehub/route"
 )
 
-// reserve starts the import of a job in its first window.
-func (w *world) reserve(e *entryModel, j *job, p choice) {
+// startImport schedules the import of a job for its first window. The prefill of the job
+// waits until the import has ended.
+func (s *simulation) startImport(e *entryModel, j *job, p choice) {
 	l := e.links.Between(p.source.DataCentre, p.engine.dataCentre)
-	t := &transfer{l: l, windows: p.windows, class: link.Import}
+	t := &transfer{link: l, windows: p.windows, class: link.Import}
 	t.done = func() {
 		j.importing = false
 
-		if t.begun && t.left == 0 && t.flow == nil {
-			j.imported, j.version = t.held, t.version
+		if t.started && t.unsent == 0 && t.flow == nil {
+			j.importedTokens, j.importedVersion = t.tokens, t.version
 		}
 
-		p.engine.prefill()
+		p.engine.startChunk()
 	}
 
-	w.inWindow(l, p.windows, func() { w.importNow(e, j, p, t) })
+	s.runInFirstWindow(l, p.windows, func() { s.runImport(e, j, p, t) })
 
-	if w.policy == Ours && w.without != GivingUp {
-		w.judge(w.clock.now, j, p, t)
+	if s.policy == Boragehub && s.ablation != ImportCancellation {
+		s.checkImport(s.clock.now, j, p, t)
 	}
 }
 
-// unreserve gives the windows of an import back that no engine will begin.
-func (w *world) unreserve(e *entryModel, p choice) {
-	if p.how == route.Import {
-		w.release(&transfer{l: e.links.Between(p.source.DataCentre, p.engine.dataCentre), windows: p.windows})
+// releaseImport releases the windows of an import whose engine is unreachable.
+func (s *simulation) releaseImport(e *entryModel, p choice) {
+	if p.strategy == route.Import {
+		s.releaseWindows(&transfer{link: e.links.Between(p.source.DataCentre, p.engine.dataCentre), windows: p.windows})
 	}
 }
 
-// judge gives an import up that lasts too long, once its job could go on.
-func (w *world) judge(began time.Duration, j *job, p choice, t *transfer) {
-	const often = 50 * time.Millisecond
+// checkImport checks an import periodically and cancels it if it takes too long while its
+// job already has a batch slot.
+func (s *simulation) checkImport(scheduledAt time.Duration, j *job, p choice, t *transfer) {
+	const checkInterval = 50 * time.Millisecond
 
-	w.clock.after(often, func() {
-		if t.over || j.ended {
+	s.clock.after(checkInterval, func() {
+		if t.ended || j.ended {
 			return
 		}
 
-		missing := float64(j.v.prompt-p.engine.cache.tokens(j.v.c)) / w.d.Engine.PrefillTokensPerSecond
-		elapsed := w.clock.now - began
-		if t.begun {
-			elapsed = w.clock.now - t.since
+		recomputeSeconds := float64(j.v.promptTokens-p.engine.cache.tokens(j.v.c)) / s.d.Engine.PrefillTokensPerSecond
+		elapsed := s.clock.now - scheduledAt
+		if t.started {
+			elapsed = s.clock.now - t.startedAt
 		}
 
-		if j.placed && route.GiveUpImport(w.cfg, elapsed, t.part(), time.Duration(missing*float64(time.Second))) {
-			w.end(t)
+		if j.hasSlot && route.GiveUpImport(s.routeCfg, elapsed, t.progress(), time.Duration(recomputeSeconds*float64(time.Second))) {
+			s.endTransfer(t)
 			return
 		}
 
-		w.judge(began, j, p, t)
+		s.checkImport(scheduledAt, j, p, t)
 	})
 }
 
-// inWindow runs do in the first of the windows, at once when there is none.
-func (w *world) inWindow(l *link.Link, windows []uint64, do func()) {
+// runInFirstWindow runs do when the first of the windows begins, or at once if there is
+// none.
+func (s *simulation) runInFirstWindow(l *link.Link, windows []uint64, do func()) {
 	if len(windows) == 0 {
 		do()
 		return
 	}
 
-	w.atWindow(l, windows[0], do)
+	s.runInWindow(l, windows[0], do)
 }
 
-// atWindow runs do when window id begins, wherever it has moved to by then.
-func (w *world) atWindow(l *link.Link, id uint64, do func()) {
-	win, ok := l.Window(w.time(), id)
-	if !ok || !win.Start.After(w.time()) {
+// runInWindow runs do when window id begins. The link may move the window in the meantime.
+func (s *simulation) runInWindow(l *link.Link, id uint64, do func()) {
+	win, ok := l.Window(s.now(), id)
+	if !ok || !win.Start.After(s.now()) {
 		do()
 		return
 	}
 
-	w.clock.at(win.Start.Sub(epoch), func() { w.atWindow(l, id, do) })
+	s.clock.at(win.Start.Sub(epoch), func() { s.runInWindow(l, id, do) })
 }
 
-// transfer is a copy on its way.
+// transfer is a copy between an engine and an engine or a store.
 type transfer struct {
-	l       *link.Link
-	windows []uint64
-	pipe    *pipe
-	class   link.Class
-	left    int64 // not yet sent, in bytes
-	whole   int64
-	flow    *flow // the chunk on its way, nil for none
-	held    int   // leading tokens that the engine has at its end
-	version int   // their weight version
-	begun   bool
-	since   time.Duration // when it began
-	over    bool
-	done    func()
+	link      *link.Link
+	windows   []uint64
+	pipe      *pipe
+	class     link.Class
+	unsent    int64 // bytes not yet handed to the pipe
+	total     int64
+	flow      *flow // the chunk in flight, nil for none
+	tokens    int   // leading tokens that the engine has after an import
+	version   int   // weight version of these tokens
+	started   bool
+	startedAt time.Duration
+	ended     bool
+	done      func()
 }
 
-// part returns how much of the transfer has come over, between 0 and 1.
-func (t *transfer) part() float64 {
+// progress returns the fraction of the transfer that is complete, between 0 and 1.
+func (t *transfer) progress() float64 {
 	switch {
-	case !t.begun:
+	case !t.started:
 		return 0
-	case t.whole == 0:
+	case t.total == 0:
 		return 1
 	}
 
-	missing := float64(t.left)
+	missing := float64(t.unsent)
 
 	if t.flow != nil {
 		t.pipe.advance()
-		missing += max(t.flow.left, 0)
+		missing += max(t.flow.bytesLeft, 0)
 	}
 
-	return 1 - missing/float64(t.whole)
+	return 1 - missing/float64(t.total)
 }
 
-// end ends the transfer with what has come.
-func (w *world) end(t *transfer) {
-	if t.over {
+// endTransfer ends the transfer, complete or not, and releases its remaining windows.
+func (s *simulation) endTransfer(t *transfer) {
+	if t.ended {
 		return
 	}
 
-	t.over = true
+	t.ended = true
 
 	if t.flow != nil {
 		t.pipe.cancel(t.flow)
 	}
 
-	w.release(t)
+	s.releaseWindows(t)
 	t.done()
 }
 
-// next sends the next chunk, or all that is left in the last window.
-func (w *world) next(t *transfer) {
+// sendNextChunk sends one chunk, or all remaining bytes in the last window.
+func (s *simulation) sendNextChunk(t *transfer) {
 	t.flow = nil
 
-	if t.left <= 0 || t.over {
-		w.end(t)
+	if t.unsent <= 0 || t.ended {
+		s.endTransfer(t)
 		return
 	}
 
-	n := t.left
+	n := t.unsent
 	if len(t.windows) > 1 {
-		n = min(n, t.l.Chunk())
+		n = min(n, t.link.Chunk())
 	}
 
-	t.left -= n
+	t.unsent -= n
 	t.flow = t.pipe.send(t.class, n, func() {
 		t.flow = nil
 
 		if len(t.windows) > 0 {
-			t.l.Done(w.time(), t.windows[0], n)
+			t.link.Done(s.now(), t.windows[0], n)
 			t.windows = t.windows[1:]
 		}
 
-		w.inWindow(t.l, t.windows, func() { w.next(t) })
+		s.runInFirstWindow(t.link, t.windows, func() { s.sendNextChunk(t) })
 	})
 }
 
-// release gives back the windows that are not needed.
-func (w *world) release(t *transfer) {
+// releaseWindows cancels the windows that the transfer has not used.
+func (s *simulation) releaseWindows(t *transfer) {
 	for _, id := range t.windows {
-		t.l.Cancel(w.time(), id)
+		t.link.Cancel(s.now(), id)
 	}
 
 	t.windows = nil
 }
 
-// importNow copies a context to the engine that will need it.
-func (w *world) importNow(e *entryModel, j *job, p choice, t *transfer) {
-	if t.over {
+// runImport copies a context to the engine of its job. What the source really has may be
+// less than the entry expected, or nothing.
+func (s *simulation) runImport(e *entryModel, j *job, p choice, t *transfer) {
+	if t.ended {
 		return
 	}
 
 	x, c := p.engine, j.v.c
-	t.held, t.version = w.available(p.source, c)
-	t.held = min(t.held, j.v.prompt-1)
-	t.pipe = w.pipes[[2]string{p.source.DataCentre, x.dataCentre}]
+	t.tokens, t.version = s.available(p.source, c)
+	t.tokens = min(t.tokens, j.v.promptTokens-1)
+	t.pipe = s.pipes[[2]string{p.source.DataCentre, x.dataCentre}]
 
-	if t.held <= 0 || !w.reachable(p.source.DataCentre, x.dataCentre) {
-		w.importFailed(e, p.source, t)
+	if t.tokens <= 0 || !s.reachable(p.source.DataCentre, x.dataCentre) {
+		s.failImport(e, p.source, t)
 		return
 	}
 
-	t.begun = true
-	t.since = w.clock.now
-	t.left = int64(max(t.held-x.cache.tokens(c), 0)) * w.d.Engine.BytesPerToken
-	t.whole = t.left
+	t.started = true
+	t.startedAt = s.clock.now
+	t.unsent = int64(max(t.tokens-x.cache.tokens(c), 0)) * s.d.Engine.BytesPerToken
+	t.total = t.unsent
 
-	if w.policy == Clairvoyant {
-		w.clock.after(time.Duration(float64(t.left)/w.free().rate*float64(time.Second)), func() { t.left = 0; w.end(t) })
+	if s.policy == Clairvoyant {
+		s.clock.after(time.Duration(float64(t.unsent)/s.idleLinks().bytesPerSecond*float64(time.Second)), func() { t.unsent = 0; s.endTransfer(t) })
 		return
 	}
 
-	w.next(t)
+	s.sendNextChunk(t)
 }
 
-// importFailed lets a job go on without its import.
-func (w *world) importFailed(e *entryModel, s route.Source, t *transfer) {
-	w.rec.r.FailedImports++
-	w.release(t)
+// failImport ends an import after connectTimeout, so that its job continues without it, and
+// marks a source that is a store as unreachable.
+func (s *simulation) failImport(e *entryModel, src route.Source, t *transfer) {
+	s.rec.r.FailedImports++
+	s.releaseWindows(t)
 
-	if s.Store {
-		e.lost[s.Name] = w.clock.now + suspicion
+	if src.Store {
+		e.unreachableUntil[src.Name] = s.clock.now + suspicionTime
 	}
 
-	w.clock.after(connectTimeout, func() { w.end(t) })
+	s.clock.after(connectTimeout, func() { s.endTransfer(t) })
 }
 
-// available returns how many tokens a source really has, and of which version.
-func (w *world) available(s route.Source, c *conversation) (tokens, version int) {
-	for _, x := range w.stores {
-		if x.name == s.Name {
-			return x.tokens(c, w.version()), w.version()
+// available returns how many tokens a source really has, and their weight version.
+func (s *simulation) available(src route.Source, c *conversation) (tokens, version int) {
+	for _, x := range s.stores {
+		if x.name == src.Name {
+			return x.tokens(c, s.newestVersion()), s.newestVersion()
 		}
 	}
 
-	for _, x := range w.engines {
-		if x.name == s.Name {
+	for _, x := range s.engines {
+		if x.name == src.Name {
 			return x.cache.tokens(c), x.version
 		}
 	}
@@ -229,163 +234,167 @@
 	return 0, 0
 }
 
-// keep parks a context after a visit.
-func (w *world) keep(e *engine, j *job) {
+// parkAfterVisit parks a context after a visit as the policy decides. Only Boragehub and
+// Clairvoyant park.
+func (s *simulation) parkAfterVisit(e *engine, j *job) {
 	c := j.v.c
 
 	switch {
-	case w.policy == Clairvoyant:
-		w.keepClairvoyant(e, j)
-	case w.policy == Ours && w.without != Stores:
-		w.decideParking(e, c)
+	case s.policy == Clairvoyant:
+		s.parkClairvoyant(e, j)
+	case s.policy == Boragehub && s.ablation != Stores:
+		s.decideParking(e, c)
 	default:
 	}
 }
 
-// keepClairvoyant gives every context that returns a copy, at no cost.
-func (w *world) keepClairvoyant(e *engine, j *job) {
-	if _, ok := j.v.c.next(j.v.index); !ok {
+// parkClairvoyant stores every context that returns, without a transfer.
+func (s *simulation) parkClairvoyant(e *engine, j *job) {
+	if _, ok := j.v.c.nextVisit(j.v.index); !ok {
 		return
 	}
 
-	best := w.stores[0]
-	for _, s := range w.stores {
-		if s.up && (!best.up || s.tokens(j.v.c, e.version) > 0 || s.used < best.used) {
-			best = s
+	best := s.stores[0]
+	for _, st := range s.stores {
+		if st.up && (!best.up || st.tokens(j.v.c, e.version) > 0 || st.used < best.used) {
+			best = st
 		}
 	}
 
 	tokens := e.cache.tokens(j.v.c)
 	if tokens > 0 {
-		best.put(j.v.c, tokens, int64(tokens)*w.d.Engine.BytesPerToken, e.version)
+		best.put(j.v.c, tokens, int64(tokens)*s.d.Engine.BytesPerToken, e.version)
 	}
 }
 
-// context is a conversation as the parking decisions see it.
-func (w *world) context(c *conversation, tokens, parked int) parking.Context {
+// parkingContext describes a conversation to the parking decision.
+func (s *simulation) parkingContext(c *conversation, tokens, parked int) parking.Context {
 	missing := tokens - parked
-	if w.without == Segments {
+	if s.ablation == IncrementalCopies {
 		missing = tokens
 	}
 
 	return parking.Context{
-		Tokens: tokens, Parked: parked, Bytes: int64(missing) * w.d.Engine.BytesPerToken,
-		PrefillTokensPerSecond: w.d.Engine.PrefillTokensPerSecond,
-		Seen:                   epoch.Add(c.seenAt), Gaps: w.gaps[c.workload],
+		Tokens: tokens, Parked: parked, Bytes: int64(missing) * s.d.Engine.BytesPerToken,
+		PrefillTokensPerSecond: s.d.Engine.PrefillTokensPerSecond,
+		Seen:                   epoch.Add(c.lastVisit), Gaps: s.gaps[c.workload],
 	}
 }
 
-// stays returns how long an engine keeps a context that is not used.
-func (w *world) stays(e *engine) time.Duration {
-	if e.cache.inserted == 0 {
+// retention estimates how long an engine keeps an unused context: the time in which the
+// mean insertion rate fills the cache.
+func (s *simulation) retention(e *engine) time.Duration {
+	if e.cache.insertedTokens == 0 {
 		return time.Hour
 	}
 
-	each := w.clock.now.Seconds() / float64(e.cache.inserted)
+	secondsPerToken := s.clock.now.Seconds() / float64(e.cache.insertedTokens)
 
-	return time.Duration(float64(e.cache.room) * each * float64(time.Second))
+	return time.Duration(float64(e.cache.capacity) * secondsPerToken * float64(time.Second))
 }
 
-func (w *world) decideParking(e *engine, c *conversation) {
+func (s *simulation) decideParking(e *engine, c *conversation) {
 	tokens := e.cache.tokens(c) / blockTokens * blockTokens
 	parked := 0
-	w.rooms = w.rooms[:0]
+	s.storeViews = s.storeViews[:0]
 
 	var stores []*store
 
-	for _, s := range w.stores {
-		if n := s.tokens(c, e.version); n > parked {
-			// A copy is only added to where its beginning is.
-			parked, stores = n, append(stores[:0], s)
+	for _, st := range s.stores {
+		if n := st.tokens(c, e.version); n > parked {
+			// A stored part can only be extended in the store that has its beginning.
+			parked, stores = n, append(stores[:0], st)
 		}
 	}
 
 	if parked == 0 {
-		stores = w.stores
+		stores = s.stores
 	}
 
-	for _, s := range stores {
-		w.rooms = append(w.rooms, w.room(e, s, tokens-parked))
+	for _, st := range stores {
+		s.storeViews = append(s.storeViews, s.storeView(e, st, tokens-parked))
 	}
 
-	d := parking.Decide(w.time(), w.park, w.context(c, tokens, parked), parking.View{Stays: w.stays(e), Stores: w.rooms})
+	d := parking.Decide(s.now(), s.parkingCfg, s.parkingContext(c, tokens, parked), parking.View{Stays: s.retention(e), Stores: s.storeViews})
 	if !d.Export() {
 		return
 	}
 
-	w.export(e, c, stores[d.First()], tokens, parked)
+	s.export(e, c, stores[d.First()], tokens, parked)
 }
 
-func (w *world) room(e *engine, s *store, tokens int) parking.Room {
-	l := w.sides[e.index].Between(e.dataCentre, s.dataCentre)
+func (s *simulation) storeView(e *engine, st *store, tokens int) parking.Room {
+	l := s.exportLinks[e.index].Between(e.dataCentre, st.dataCentre)
 
 	return parking.Room{
-		Name: s.name, Free: s.room - s.used, Total: s.room, Density: s.density(),
-		Down:     !s.up || !w.reachable(e.dataCentre, s.dataCentre),
-		Transfer: l.Backlog(w.time()) + l.Estimate(w.time(), int64(tokens)*w.d.Engine.BytesPerToken),
+		Name: st.name, Free: st.capacity - st.used, Total: st.capacity, Density: st.minDensity(),
+		Down:     !st.up || !s.reachable(e.dataCentre, st.dataCentre),
+		Transfer: l.Backlog(s.now()) + l.Estimate(s.now(), int64(tokens)*s.d.Engine.BytesPerToken),
 	}
 }
 
-// export copies what a store lacks of a context, in windows behind imports.
-func (w *world) export(e *engine, c *conversation, s *store, tokens, parked int) {
-	if w.without == Segments {
+// export copies the tokens of a context that a store lacks. Its windows come after those
+// of imports.
+func (s *simulation) export(e *engine, c *conversation, st *store, tokens, parked int) {
+	if s.ablation == IncrementalCopies {
 		parked = 0
 	}
 
-	l := w.sides[e.index].Between(e.dataCentre, s.dataCentre)
-	t := &transfer{l: l, class: link.Export, pipe: w.pipes[[2]string{e.dataCentre, s.dataCentre}]}
-	t.left = int64(tokens-parked) * w.d.Engine.BytesPerToken
+	l := s.exportLinks[e.index].Between(e.dataCentre, st.dataCentre)
+	t := &transfer{link: l, class: link.Export, pipe: s.pipes[[2]string{e.dataCentre, st.dataCentre}]}
+	t.unsent = int64(tokens-parked) * s.d.Engine.BytesPerToken
 
-	if w.without != Windows {
-		t.windows = l.ReserveChunks(w.time(), link.Request{Bytes: t.left, Class: link.Export, Organisation: w.organisation(c)}, nil)
+	if s.ablation != TransferWindows {
+		t.windows = l.ReserveChunks(s.now(), link.Request{Bytes: t.unsent, Class: link.Export, Organisation: s.organisationName(c)}, nil)
 		if len(t.windows) == 0 {
 			return
 		}
 	}
 
-	w.inWindow(l, t.windows, func() {
-		// What was evicted before its window came can't be copied any more.
+	s.runInFirstWindow(l, t.windows, func() {
+		// Tokens evicted before the window began can't be copied any more.
 		n := min(tokens, e.cache.tokens(c)/blockTokens*blockTokens)
 		version := e.version
 
 		if n <= parked {
-			w.release(t)
+			s.releaseWindows(t)
 			return
 		}
 
-		t.done = func() { w.sealed(s, c, n, version) }
-		w.next(t)
+		t.done = func() { s.finishExport(st, c, n, version) }
+		s.sendNextChunk(t)
 	})
 }
 
-// sealed keeps a copy in a store and tells the directory.
-func (w *world) sealed(s *store, c *conversation, tokens, version int) {
-	if tokens <= s.tokens(c, version) || !s.put(c, tokens, int64(tokens)*w.d.Engine.BytesPerToken, version) {
+// finishExport puts a part into a store and reports it to the directory.
+func (s *simulation) finishExport(st *store, c *conversation, tokens, version int) {
+	if tokens <= st.tokens(c, version) || !st.put(c, tokens, int64(tokens)*s.d.Engine.BytesPerToken, version) {
 		return
 	}
 
-	w.clock.after(eventLag, func() {
-		w.dir.Learn(w.time(), c.anchor, c.chainTo(tokens), directory.Holding{
-			Kind: directory.Store, Name: s.name, DataCentre: s.dataCentre, Blocks: tokens / blockTokens,
+	s.clock.after(eventDelay, func() {
+		s.dir.Learn(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
+			Kind: directory.Store, Name: st.name, DataCentre: st.dataCentre, Blocks: tokens / blockTokens,
 			Source: directory.Sealed, Version: strconv.Itoa(version),
 		})
 	})
 }
 
-// value is what a copy in a store is worth.
-func (w *world) value(x *stored) float64 {
-	if w.policy == Clairvoyant {
-		return w.nextUse(x.c)
+// partValue returns the value per byte of a stored part.
+func (s *simulation) partValue(x *storedPart) float64 {
+	if s.policy == Clairvoyant {
+		return s.nextUseValue(x.c)
 	}
 
-	return parking.Density(w.time(), w.context(x.c, x.tokens, 0))
+	return parking.Density(s.now(), s.parkingContext(x.c, x.tokens, 0))
 }
 
-// nextUse is the greater the sooner a conversation returns.
-func (w *world) nextUse(c *conversation) float64 {
+// nextUseValue returns the inverse of the seconds until a conversation returns, 0 if it does
+// not return.
+func (s *simulation) nextUseValue(c *conversation) float64 {
 	for i := range c.visits {
-		if c.visits[i].at > w.clock.now {
-			return 1 / (c.visits[i].at - w.clock.now).Seconds()
+		if c.visits[i].at > s.clock.now {
+			return 1 / (c.visits[i].at - s.clock.now).Seconds()
 		}
 	}
 
--- a/experiment/pipe.go
+++ b/experiment/pipe.go
@@ -7,35 +7,37 @@
 	"boragehub/link"
 )
 
-// pipe is a link as it really is: all transfers that run share it evenly.
+// pipe models the actual link in one direction: concurrent transfers share its rate
+// evenly. The decision code sees only the estimates of package link.
 type pipe struct {
-	clock *clock
-	rate  float64
-	flows []*flow
-	since time.Duration
-	round int
-	// bytes counts what went over by class; busy is how long anything did.
-	bytes [2]float64
-	busy  time.Duration
+	clock          *clock
+	bytesPerSecond float64
+	flows          []*flow
+	updatedAt      time.Duration
+	scheduleID     int
+	// bytes counts the bytes accepted for sending by class; busyTime is the time during
+	// which at least one transfer was active.
+	bytes    [2]float64
+	busyTime time.Duration
 }
 
 type flow struct {
-	left float64
-	done func()
+	bytesLeft float64
+	done      func()
 }
 
-// send starts a transfer and calls done when it is over.
+// send starts a transfer and calls done when it is complete.
 func (p *pipe) send(class link.Class, bytes int64, done func()) *flow {
 	p.advance()
 	p.bytes[class] += float64(bytes)
-	f := &flow{left: float64(bytes), done: done}
+	f := &flow{bytesLeft: float64(bytes), done: done}
 	p.flows = append(p.flows, f)
-	p.plan()
+	p.schedule()
 
 	return f
 }
 
-// cancel ends a transfer before it is over.
+// cancel stops a transfer before it is complete; its done is not called.
 func (p *pipe) cancel(f *flow) {
 	p.advance()
 
@@ -43,67 +45,68 @@
 		p.flows = slices.Delete(p.flows, i, i+1)
 	}
 
-	p.plan()
+	p.schedule()
 }
 
 // setRate changes the rate of the pipe.
 func (p *pipe) setRate(rate float64) {
 	p.advance()
-	p.rate = rate
-	p.plan()
+	p.bytesPerSecond = rate
+	p.schedule()
 }
 
-// advance brings all transfers up to now.
+// advance updates all transfers to the current time.
 func (p *pipe) advance() {
-	passed := p.clock.now - p.since
-	p.since = p.clock.now
+	elapsed := p.clock.now - p.updatedAt
+	p.updatedAt = p.clock.now
 
 	if len(p.flows) == 0 {
 		return
 	}
 
-	p.busy += passed
-	each := passed.Seconds() * p.rate / float64(len(p.flows))
+	p.busyTime += elapsed
+	sentEach := elapsed.Seconds() * p.bytesPerSecond / float64(len(p.flows))
 
 	for _, f := range p.flows {
-		f.left -= each
+		f.bytesLeft -= sentEach
 	}
 }
 
-// plan plans the end of the transfer that ends next.
-func (p *pipe) plan() {
-	p.round++
+// schedule schedules the completion of the transfer that ends next. An event scheduled
+// before the last call of schedule is ignored.
+func (p *pipe) schedule() {
+	p.scheduleID++
 
 	if len(p.flows) == 0 {
 		return
 	}
 
-	least := p.flows[0].left
+	least := p.flows[0].bytesLeft
 	for _, f := range p.flows {
-		least = min(least, f.left)
+		least = min(least, f.bytesLeft)
 	}
 
-	round := p.round
-	wait := max(least, 0) * float64(len(p.flows)) / p.rate
+	id := p.scheduleID
+	wait := max(least, 0) * float64(len(p.flows)) / p.bytesPerSecond
 	p.clock.after(time.Duration(wait*float64(time.Second))+1, func() {
-		if p.round == round {
+		if p.scheduleID == id {
 			p.finish()
 		}
 	})
 }
 
-// finish ends the transfers that have nothing left.
+// finish completes the transfers that have no bytes left.
 func (p *pipe) finish() {
-	const rest = 1 // bytes, lost in rounding
+	const roundingError = 1 // bytes
 
 	p.advance()
 
-	var over []*flow
+	var finished []*flow
 
 	kept := p.flows[:0]
 	for _, f := range p.flows {
-		if f.left <= rest {
-			over = append(over, f)
+		if f.bytesLeft <= roundingError {
+			finished = append(finished, f)
 			continue
 		}
 
@@ -111,9 +114,9 @@
 	}
 
 	p.flows = kept
-	p.plan()
+	p.schedule()
 
-	for _, f := range over {
+	for _, f := range finished {
 		f.done()
 	}
 }
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -15,29 +15,29 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot and the gap between its panels, in points.
+// Size of a plot and gap between its panels, in points.
 const (
 	plotWidth  = vg.Length(680)
 	plotHeight = vg.Length(290)
 	plotGap    = vg.Length(28)
 )
 
-// writePlot draws, over the load, the most urgent workload's time to first token
-// at 95 percent and the share recomputed, a line for each policy.
+// writePlot plots the 95th percentile of the most urgent workload's time to first token and
+// the fraction of recomputed tokens over the load, with a line for each policy.
 func writePlot(name string, d Deployment, groups []group) error {
 	urgent := d.Workloads[0].Name
 	panels := []struct {
 		title, y string
-		of       func(*Result) float64
+		metric   func(*Result) float64
 	}{
-		{d.Name + ": " + urgent + ", time to first token, 95%", "seconds", func(r *Result) float64 { return r.Workloads[0].Quantile(95).Seconds() }},
+		{d.Name + ": " + urgent + ", time to first token, 95%", "seconds", func(r *Result) float64 { return r.Workloads[0].Percentile(95).Seconds() }},
 		{d.Name + ": share of context recomputed", "part", (*Result).RecomputedShare},
 	}
 
 	row := make([]*plot.Plot, len(panels))
 
 	for i, x := range panels {
-		p, err := panel(x.title, x.y, groups, x.of)
+		p, err := newPanel(x.title, x.y, groups, x.metric)
 		if err != nil {
 			return err
 		}
@@ -45,10 +45,10 @@
 		row[i] = p
 	}
 
-	return save(name, row)
+	return savePlot(name, row)
 }
 
-func panel(title, y string, groups []group, of func(*Result) float64) (*plot.Plot, error) {
+func newPanel(title, y string, groups []group, metric func(*Result) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "load, part of capacity without reuse"
@@ -59,7 +59,7 @@
 	var lines []any
 
 	for _, policy := range Policies() {
-		if points := pointsOf(groups, policy, of); len(points) > 0 {
+		if points := meanPoints(groups, policy, metric); len(points) > 0 {
 			lines = append(lines, policy.String(), points)
 		}
 	}
@@ -71,20 +71,20 @@
 	return p, nil
 }
 
-func pointsOf(groups []group, policy Policy, of func(*Result) float64) plotter.XYs {
+func meanPoints(groups []group, policy Policy, metric func(*Result) float64) plotter.XYs {
 	var points plotter.XYs
 
 	for _, g := range groups {
-		if g.policy == policy && g.without == Nothing {
-			points = append(points, plotter.XY{X: g.load, Y: g.span(of).mean})
+		if g.policy == policy && g.ablation == NoAblation {
+			points = append(points, plotter.XY{X: g.load, Y: g.summarise(metric).mean})
 		}
 	}
 
 	return points
 }
 
-// save writes the plots beside each other into one file.
-func save(name string, row []*plot.Plot) (err error) {
+// savePlot writes the plots side by side into one file, whose extension selects the format.
+func savePlot(name string, row []*plot.Plot) (err error) {
 	var (
 		canvas vg.CanvasWriterTo
 		sized  vg.CanvasSizer
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Policy is a way to choose an engine. The zero Policy is Ours.
+// Policy decides which engine gets a request. The zero Policy is Boragehub.
 type Policy uint8
 
-// The policies.
+// The policies, with the names of String where these differ.
 const (
-	// Ours is the decision code of the daemons.
-	Ours Policy = iota
-	// RoundRobin takes the engines in turn.
+	// Boragehub ("ours") is the decision code of the daemons.
+	Boragehub Policy = iota
+	// RoundRobin chooses the engines in turn.
 	RoundRobin
-	// LeastLoaded takes the engine with the fewest requests.
+	// LeastLoaded chooses the engine with the fewest known requests.
 	LeastLoaded
-	// StickyPrefix takes the engine that rendezvous hashing gives for the
-	// context, or the next one when it has more than its share of requests.
+	// StickyPrefix chooses the first engine in the context's rendezvous order
+	// whose load is at most about a quarter above the mean.
 	StickyPrefix
-	// Clairvoyant is Ours with the truth in place of beliefs: loads and caches
-	// as they are, exports that cost nothing, imports that never meet another
-	// transfer, stores that drop what returns last.
+	// Clairvoyant is Boragehub with perfect information: it knows current loads and
+	// cache contents, exports cost nothing, imports never share a link with
+	// another transfer, and stores evict the part that returns last.
 	Clairvoyant
-	policies int = iota
+	policyCount int = iota
 )
 
-// String returns the snake-case name of p.
+// String returns the name of p in flags and output.
 func (p Policy) String() string {
 	return [...]string{"ours", "round_robin", "least_loaded", "sticky_prefix", "clairvoyant"}[p]
 }
 
-// Policies returns all policies in order.
+// Policies returns all policies in the order of their values.
 func Policies() []Policy {
-	all := make([]Policy, policies)
+	all := make([]Policy, policyCount)
 	for i := range all {
 		all[i] = Policy(i)
 	}
@@ -41,48 +41,55 @@
 	return all
 }
 
-// Without switches one idea of Ours off. The zero Without leaves all on.
-type Without uint8
+// Ablation disables one mechanism of the Boragehub policy. The zero Ablation, NoAblation,
+// disables none.
+type Ablation uint8
 
-// The ideas that can be switched off.
+// The ablations, with the names of String where these differ. Each is named after the mechanism
+// that it disables.
 const (
-	// Nothing leaves all ideas on.
-	Nothing Without = iota
-	// Stores parks nothing, so that nothing is imported from stores.
+	// NoAblation ("nothing") disables nothing.
+	NoAblation Ablation = iota
+	// Stores disables parking, so that nothing is imported from stores.
 	Stores
-	// EngineImports imports from stores only.
+	// EngineImports disables imports from engines; imports come from stores only.
 	EngineImports
-	// Windows starts each transfer at once in place of its promised window.
-	Windows
-	// GivingUp waits for each import to its end, however slow.
-	GivingUp
-	// Measuring takes links for as fast as they are at their best.
-	Measuring
-	// Busy overlooks the chunk of a less pressing prefill that runs.
-	Busy
-	// Gates lets every request in, whatever its organisation's rate.
-	Gates
-	// Doubt takes old load reports at their word.
-	Doubt
-	// OwnSent forgets what the entry sent since the last load report.
-	OwnSent
-	// Classes counts the whole queue of an engine, whatever its classes.
-	Classes
-	// ParkWeighing parks everything that is long enough.
-	ParkWeighing
-	// ValueEviction lets stores drop the copy that was longest not used.
+	// TransferWindows ("windows") starts each transfer at once, without reserving windows.
+	TransferWindows
+	// ImportCancellation ("giving_up") waits for each import to finish, however slow it is.
+	ImportCancellation
+	// LinkMeasurement ("measuring") assumes the configured link rate in place of the measured one.
+	LinkMeasurement
+	// BusyTokens ("busy") ignores the running prefill chunk of a lower class.
+	BusyTokens
+	// AdmissionGates ("gates") admits every request, whatever its organisation's rate.
+	AdmissionGates
+	// ReportUncertainty ("doubt") ignores the age of load reports.
+	ReportUncertainty
+	// SentSinceReport ("own_sent") ignores what the entry sent since the last load report.
+	SentSinceReport
+	// ClassOrder ("classes") counts an engine's whole queue as ahead of a request, whatever the
+	// classes.
+	ClassOrder
+	// ParkingCost ("park_weighing") ignores the cost of link time, so that nearly every
+	// context that is long enough is parked.
+	ParkingCost
+	// ValueEviction evicts the least recently used part from a store in place of
+	// the least valuable one.
 	ValueEviction
-	// Segments copies the whole context at each visit, not what was added.
-	Segments
-	// OwnLinks lets all entries know all that is promised on links.
-	OwnLinks
-	// RecomputedWeight weighs time to first token only.
+	// IncrementalCopies ("segments") copies the whole context at each visit, not only what was
+	// added.
+	IncrementalCopies
+	// PerEntryLinks ("own_links") shares one table of link reservations among all entries.
+	PerEntryLinks
+	// RecomputedWeight gives recomputed tokens no weight; only time to first token
+	// counts.
 	RecomputedWeight
-	withouts int = iota
+	ablationCount int = iota
 )
 
-// String returns the snake-case name of x.
-func (x Without) String() string {
+// String returns the name of x in flags and output.
+func (x Ablation) String() string {
 	return [...]string{
 		"nothing", "stores", "engine_imports", "windows", "giving_up", "measuring", "busy", "gates", "doubt", "own_sent", "classes",
 		"park_weighing", "value_eviction", "segments", "own_links",
@@ -90,53 +97,55 @@
 	}[x]
 }
 
-// Withouts returns all ideas that can be switched off, in order.
-func Withouts() []Without {
-	all := make([]Without, withouts)
+// Ablations returns all ablations in the order of their values.
+func Ablations() []Ablation {
+	all := make([]Ablation, ablationCount)
 	for i := range all {
-		all[i] = Without(i)
+		all[i] = Ablation(i)
 	}
 
 	return all
 }
 
-// Fault is one thing that goes wrong in the middle of a run. The zero Fault is None.
+// Fault is a failure injected into a run. The zero Fault is NoFault.
 type Fault uint8
 
-// The faults.
+// The faults, with the names of String where these differ.
 const (
-	// None lets all go well.
-	None Fault = iota
-	// StoreLost loses the first store with all its copies, for good.
+	// NoFault ("none") injects nothing.
+	NoFault Fault = iota
+	// StoreLost permanently loses the first store with all its parts.
 	StoreLost
-	// LinkTenth slows all links to a tenth for FaultLength.
-	LinkTenth
-	// DataCentreCut cuts the last data centre from the others for FaultLength.
+	// LinkSlowdown ("link_tenth") reduces all links to a tenth of their rate for FaultDuration.
+	LinkSlowdown
+	// DataCentreCut partitions the last data centre from the others for
+	// FaultDuration.
 	DataCentreCut
-	// EventsLost loses all cache events for FaultLength.
+	// EventsLost drops all cache events of engines for FaultDuration.
 	EventsLost
-	// LoadOld lets load reports be five seconds old throughout.
-	LoadOld
-	// Tenfold lets one small organisation send tenfold for FaultLength.
-	Tenfold
-	// WeightSwap brings a new weight version to all engines.
+	// StaleLoad ("load_old") makes engines' load reports 5 s old during the whole run.
+	StaleLoad
+	// OrganisationBurst ("tenfold") makes one small organisation send ten times its usual load
+	// for FaultDuration.
+	OrganisationBurst
+	// WeightSwap loads a new weight version into all engines.
 	WeightSwap
-	faults int = iota
+	faultCount int = iota
 )
 
-// FaultLength is how long a fault lasts that passes.
-const FaultLength = time.Minute
+// FaultDuration is the length of a temporary fault.
+const FaultDuration = time.Minute
 
-// String returns the snake-case name of f.
+// String returns the name of f in flags and output.
 func (f Fault) String() string {
 	return [...]string{
 		"none", "store_lost", "link_tenth", "data_centre_cut", "events_lost", "load_old", "tenfold", "weight_swap",
 	}[f]
 }
 
-// Faults returns all faults in order.
+// Faults returns all faults in the order of their values.
 func Faults() []Fault {
-	all := make([]Fault, faults)
+	all := make([]Fault, faultCount)
 	for i := range all {
 		all[i] = Fault(i)
 	}
@@ -144,8 +153,9 @@
 	return all
 }
 
-// named returns the one of all with the given name.
-func named[T fmt.Stringer](all []T, name string) (T, error) {
+// byName returns the element of all with the given name, or an error that lists the
+// valid names.
+func byName[T fmt.Stringer](all []T, name string) (T, error) {
 	for _, x := range all {
 		if x.String() == name {
 			return x, nil
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -9,112 +9,120 @@
 	"boragehub/route"
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
-	// Policy, Load, Seed, Fault and Without say which run it was. Load is in
-	// parts of the deployment's capacity.
-	Policy  Policy
-	Load    float64
-	Seed    uint64
-	Fault   Fault
-	Without Without
-	// Workloads are the figures by workload.
-	Workloads []Figures
-	// Organisations are the figures of each organisation's most urgent workload.
-	Organisations []Figures
-	// Phases are the figures of the most urgent workload before the fault, while
-	// it lasts and the half minute after it, and later.
-	Phases [phases]Figures
-	// Calls are the times from arrival to answer of the plain service's calls, at
-	// the same part of its own capacity; empty at an overload, which nothing bounds.
-	Calls Figures
-	// LinkBytes is what went over links, by class.
+	// Policy, Load, Seed, Fault and Ablation identify the run. Load is a fraction of
+	// the deployment's capacity.
+	Policy   Policy
+	Load     float64
+	Seed     uint64
+	Fault    Fault
+	Ablation Ablation
+	// Workloads are the stats by workload.
+	Workloads []Stats
+	// Organisations are the stats of each organisation's most urgent workload.
+	Organisations []Stats
+	// Phases are the stats of the most urgent workload before the fault, during it and
+	// the 30 s after it, and later.
+	Phases [phaseCount]Stats
+	// Calls are the times from arrival to response of the plain service's calls, at the
+	// same fraction of its own capacity. They are empty at a load of 1 or more, at
+	// which its queues would grow without bound.
+	Calls Stats
+	// LinkBytes are the bytes sent over links by class, from the start of the run to
+	// the end of the measurement.
 	LinkBytes [2]float64
-	// LinkBusy is the mean part of the time for which links carried something.
+	// LinkBusy is the mean fraction of that time during which a link was in use.
 	LinkBusy float64
-	// Moves counts how contexts came to their engines.
-	Moves [3]int
-	// FailedImports counts imports whose source no longer had the context.
+	// Strategies counts the attempts by the strategy with which their context was to
+	// get to the engine, indexed by route.How.
+	Strategies [3]int
+	// FailedImports counts imports whose source was unreachable or no longer had the
+	// context.
 	FailedImports int
-	// StoreEvictions counts copies dropped for want of room.
+	// StoreEvictions counts the parts evicted from stores for space.
 	StoreEvictions int
-	// Retries counts requests sent to another engine after a failure.
+	// Retries counts the failed attempts, after which a request is routed again.
 	Retries int
 }
 
-// The phases of a run with a fault that passes.
+// The phases of a run with a temporary fault.
 const (
-	before = iota
-	during
-	after
-	phases
+	beforeFault = iota
+	duringFault
+	afterFault
+	phaseCount
 )
 
-// Figures are measured over a set of requests.
-type Figures struct {
-	// Name says which set.
+// Stats holds the measurements of a set of requests.
+type Stats struct {
+	// Name names the set.
 	Name string
-	// Requests is how many came, Refused how many got no first token in time.
+	// Requests is the number of requests, and Refused the number of those that ended
+	// without a first token.
 	Requests, Refused int
-	// Returned are the tokens of prompts that were computed before, Recomputed
-	// those of them that were computed again.
-	Returned, Recomputed int64
-	// TTFT is the time to first token; a refused request counts with its deadline.
+	// ReturnedTokens is the number of prompt tokens that some engine had computed
+	// before, and RecomputedTokens the number of those that were computed again.
+	ReturnedTokens, RecomputedTokens int64
+	// TTFT is the time to first token in microseconds. A refused request counts with
+	// its deadline. For calls it is the time to the response.
 	TTFT *hdrhistogram.Histogram
 }
 
-func newFigures(name string) Figures {
+func newStats(name string) Stats {
 	const (
-		longest = int64(time.Hour / time.Microsecond)
-		digits  = 3
+		maxMicroseconds = int64(time.Hour / time.Microsecond)
+		digits          = 3
 	)
 
-	return Figures{Name: name, TTFT: hdrhistogram.New(1, longest, digits)}
+	return Stats{Name: name, TTFT: hdrhistogram.New(1, maxMicroseconds, digits)}
 }
 
-// Quantile returns the time to first token that q percent stay under.
-func (f *Figures) Quantile(q float64) time.Duration {
-	return time.Duration(f.TTFT.ValueAtQuantile(q)) * time.Microsecond
+// Percentile returns the time to first token that q percent of the requests do not exceed.
+func (s *Stats) Percentile(q float64) time.Duration {
+	return time.Duration(s.TTFT.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// RecomputedShare returns the part of returned tokens that were computed again.
-func (f *Figures) RecomputedShare() float64 {
-	if f.Returned == 0 {
+// RecomputedShare returns the fraction of returned tokens that were computed again, 0 if
+// there are none.
+func (s *Stats) RecomputedShare() float64 {
+	if s.ReturnedTokens == 0 {
 		return 0
 	}
 
-	return float64(f.Recomputed) / float64(f.Returned)
+	return float64(s.RecomputedTokens) / float64(s.ReturnedTokens)
 }
 
-// RefusedShare returns the part of requests that got no first token in time.
-func (f *Figures) RefusedShare() float64 {
-	if f.Requests == 0 {
+// RefusedShare returns the fraction of requests that were refused, 0 if there are none.
+func (s *Stats) RefusedShare() float64 {
+	if s.Requests == 0 {
 		return 0
 	}
 
-	return float64(f.Refused) / float64(f.Requests)
+	return float64(s.Refused) / float64(s.Requests)
 }
 
-func (f *Figures) note(took time.Duration) {
-	f.Requests++
-	// A value over the histogram's range can't come: deadlines are shorter.
-	_ = f.TTFT.RecordValue(max(took.Microseconds(), 1))
+func (s *Stats) observe(latency time.Duration) {
+	s.Requests++
+	// The error is ignored: deadlines of minutes keep all values within the histogram's
+	// range of an hour.
+	_ = s.TTFT.RecordValue(max(latency.Microseconds(), 1))
 }
 
-// RecomputedShare returns the part of all returned tokens that were computed again.
+// RecomputedShare returns the fraction of all returned tokens that were computed again.
 func (r *Result) RecomputedShare() float64 {
-	var sum Figures
+	var sum Stats
 	for i := range r.Workloads {
-		sum.Returned += r.Workloads[i].Returned
-		sum.Recomputed += r.Workloads[i].Recomputed
+		sum.ReturnedTokens += r.Workloads[i].ReturnedTokens
+		sum.RecomputedTokens += r.Workloads[i].RecomputedTokens
 	}
 
 	return sum.RecomputedShare()
 }
 
-// RefusedShare returns the part of all requests that got no first token in time.
+// RefusedShare returns the fraction of all requests that were refused.
 func (r *Result) RefusedShare() float64 {
-	var sum Figures
+	var sum Stats
 	for i := range r.Workloads {
 		sum.Requests += r.Workloads[i].Requests
 		sum.Refused += r.Workloads[i].Refused
@@ -123,8 +131,9 @@
 	return sum.RefusedShare()
 }
 
-// Fairness returns Jain's index of the organisations' mean times to first
-// token: 1 when all are the same, 1/n when one has it all.
+// Fairness returns Jain's fairness index of the organisations' mean times to first token:
+// 1 if all are equal, and near 1/n if one of n organisations waits much longer than all
+// others.
 func (r *Result) Fairness() float64 {
 	var sum, squares, n float64
 
@@ -146,93 +155,97 @@
 	return sum * sum / (n * squares)
 }
 
-// recorder fills a Result from the requests that arrive in the measured time.
+// recorder fills a Result with the requests that arrive in the measured time. The counters
+// of failed imports and retries cover the whole run.
 type recorder struct {
 	r        *Result
 	from, to time.Duration
-	fault    time.Duration
-	// spared is the organisation left out of Phases, because it makes the fault.
-	spared int
+	faultAt  time.Duration
+	// excludedOrganisation is left out of Phases because its burst is the fault; -1 for
+	// none.
+	excludedOrganisation int
 }
 
-func newRecorder(d Deployment, r *Result, from, to, fault time.Duration) *recorder {
+func newRecorder(d Deployment, r *Result, from, to, faultAt time.Duration) *recorder {
 	for _, w := range d.Workloads {
-		r.Workloads = append(r.Workloads, newFigures(w.Name))
+		r.Workloads = append(r.Workloads, newStats(w.Name))
 	}
 
-	for range d.Organisations {
-		r.Organisations = append(r.Organisations, newFigures("organisation"))
+	for range d.OrganisationShares {
+		r.Organisations = append(r.Organisations, newStats("organisation"))
 	}
 
-	for i, name := range [phases]string{"before", "during", "after"} {
-		r.Phases[i] = newFigures(name)
+	for i, name := range [phaseCount]string{"before", "during", "after"} {
+		r.Phases[i] = newStats(name)
 	}
 
-	return &recorder{r: r, from: from, to: to, fault: fault, spared: -1}
+	return &recorder{r: r, from: from, to: to, faultAt: faultAt, excludedOrganisation: -1}
 }
 
 func (m *recorder) measured(v *visit) bool { return v.at >= m.from && v.at < m.to }
 
-// sets returns the figures that a request counts in.
-func (m *recorder) each(v *visit, do func(*Figures)) {
+// updateStats applies update to all stats in which a request counts, if it arrived in the
+// measured time.
+func (m *recorder) updateStats(v *visit, update func(*Stats)) {
 	if !m.measured(v) {
 		return
 	}
 
-	do(&m.r.Workloads[v.c.workload])
+	update(&m.r.Workloads[v.c.workload])
 
 	if v.c.workload != 0 {
 		return
 	}
 
-	do(&m.r.Organisations[v.c.organisation])
+	update(&m.r.Organisations[v.c.organisation])
 
-	if v.c.organisation != m.spared {
-		do(&m.r.Phases[m.phase(v.at)])
+	if v.c.organisation != m.excludedOrganisation {
+		update(&m.r.Phases[m.phase(v.at)])
 	}
 }
 
-// recovery is within which time after a fault all should be well again.
-const recovery = 30 * time.Second
+// recoveryTime is the time after a fault within which latency should be normal again. It
+// counts as part of the fault.
+const recoveryTime = 30 * time.Second
 
 func (m *recorder) phase(at time.Duration) int {
 	switch {
-	case at < m.fault:
-		return before
-	case at < m.fault+FaultLength+recovery:
-		return during
+	case at < m.faultAt:
+		return beforeFault
+	case at < m.faultAt+FaultDuration+recoveryTime:
+		return duringFault
 	default:
-		return after
+		return afterFault
 	}
 }
 
-func (m *recorder) first(v *visit, took time.Duration) {
-	m.each(v, func(f *Figures) { f.note(took) })
+func (m *recorder) firstToken(v *visit, ttft time.Duration) {
+	m.updateStats(v, func(s *Stats) { s.observe(ttft) })
 }
 
-func (m *recorder) refused(v *visit, deadline time.Duration) {
-	m.each(v, func(f *Figures) {
-		f.note(deadline)
+func (m *recorder) refuse(v *visit, deadline time.Duration) {
+	m.updateStats(v, func(s *Stats) {
+		s.observe(deadline)
 
-		f.Refused++
+		s.Refused++
 	})
 }
 
-func (m *recorder) computed(v *visit, known, held int) {
-	m.each(v, func(f *Figures) {
-		f.Returned += int64(known)
-		f.Recomputed += int64(max(known-held, 0))
+func (m *recorder) recordPrefill(v *visit, returned, cached int) {
+	m.updateStats(v, func(s *Stats) {
+		s.ReturnedTokens += int64(returned)
+		s.RecomputedTokens += int64(max(returned-cached, 0))
 	})
 }
 
-func (m *recorder) moved(v *visit, how route.How) {
+func (m *recorder) recordStrategy(v *visit, strategy route.How) {
 	if m.measured(v) {
-		m.r.Moves[how]++
+		m.r.Strategies[strategy]++
 	}
 }
 
-// links adds up what went over the pipes until now.
-func (m *recorder) links(pipes []*pipe, length time.Duration) {
+// recordLinks adds the use of the pipes until now; length is the time since the start.
+func (m *recorder) recordLinks(pipes []*pipe, length time.Duration) {
 	for _, p := range pipes {
 		p.advance()
 
@@ -240,6 +253,6 @@
 			m.r.LinkBytes[class] += p.bytes[class]
 		}
 
-		m.r.LinkBusy += p.busy.Seconds() / length.Seconds() / float64(len(pipes))
+		m.r.LinkBusy += p.busyTime.Seconds() / length.Seconds() / float64(len(pipes))
 	}
 }
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -6,146 +6,148 @@
 	"boragehub/directory"
 )
 
-// run describes one run.
+// run holds the parameters of one simulation run.
 type run struct {
 	d        Deployment
 	policy   Policy
 	load     float64
 	seed     uint64
 	fault    Fault
-	without  Without
+	ablation Ablation
 	warmup   time.Duration
 	measured time.Duration
 }
 
-// drain is how long after the last arrival a run goes on.
-const drain = 6 * time.Minute
+// drainTime is how long a run continues after the end of the measurement, so that the
+// requests still in flight end.
+const drainTime = 6 * time.Minute
 
-// do carries out a run.
-func (r run) do() *Result {
-	res := &Result{Policy: r.policy, Load: r.load, Seed: r.seed, Fault: r.fault, Without: r.without}
-	end := r.warmup + r.measured
-	at := r.warmup + r.measured/3
-	rec := newRecorder(r.d, res, r.warmup, end, at)
+// execute carries out the run.
+func (r run) execute() *Result {
+	res := &Result{Policy: r.policy, Load: r.load, Seed: r.seed, Fault: r.fault, Ablation: r.ablation}
+	measuredEnd := r.warmup + r.measured
+	faultAt := r.warmup + r.measured/3
+	rec := newRecorder(r.d, res, r.warmup, measuredEnd, faultAt)
 
 	var b *burst
 
-	if r.fault == Tenfold {
-		const small, times = 4, 10
+	if r.fault == OrganisationBurst {
+		const organisation, factor = 4, 10
 
-		b = &burst{small, times, at, at + FaultLength}
-		rec.spared = small
+		b = &burst{organisation, factor, faultAt, faultAt + FaultDuration}
+		rec.excludedOrganisation = organisation
 	}
 
-	all, visits := generate(r.d, r.seed, r.load*r.d.Capacity(), end, b)
-	w := newWorld(r.d, *res, rec)
-	w.all = all
+	conversations, visits := generate(r.d, r.seed, r.load*r.d.Capacity(), measuredEnd, b)
+	s := newSimulation(r.d, *res, rec)
+	s.conversations = conversations
 
-	w.feed(visits)
-	w.report(end)
-	w.clock.at(at, w.beginFault)
-	w.clock.run(end)
-	rec.links(w.listed, end)
-	w.clock.run(end + drain)
+	s.scheduleArrivals(visits)
+	s.recordReports(measuredEnd)
+	s.clock.at(faultAt, s.startFault)
+	s.clock.run(measuredEnd)
+	rec.recordLinks(s.pipeList, measuredEnd)
+	s.clock.run(measuredEnd + drainTime)
 
-	res.Calls = newFigures(r.d.Service)
+	res.Calls = newStats(r.d.Service)
 	if r.load < 1 {
 		res.Calls = r.calls()
 	}
 
-	for _, s := range w.stores {
-		res.StoreEvictions += s.evicted
+	for _, st := range s.stores {
+		res.StoreEvictions += st.evicted
 	}
 
 	return res
 }
 
-// feed plans the arrivals one after another.
-func (w *world) feed(visits []*visit) {
+// scheduleArrivals schedules the first visit, whose arrival schedules the next one.
+func (s *simulation) scheduleArrivals(visits []*visit) {
 	if len(visits) == 0 {
 		return
 	}
 
-	w.clock.at(visits[0].at, func() {
-		w.arrive(visits[0])
-		w.feed(visits[1:])
+	s.clock.at(visits[0].at, func() {
+		s.arrive(visits[0])
+		s.scheduleArrivals(visits[1:])
 	})
 }
 
-// beginFault begins the run's fault.
-func (w *world) beginFault() {
-	switch w.fault {
+// startFault injects the run's fault. StaleLoad and OrganisationBurst are part of the
+// reports and the load.
+func (s *simulation) startFault() {
+	switch s.fault {
 	case StoreLost:
-		w.loseStore()
-	case LinkTenth:
+		s.loseStore()
+	case LinkSlowdown:
 		const slow = 0.1
 
-		w.rates(slow)
-		w.clock.after(FaultLength, func() { w.rates(1) })
+		s.scaleLinkRates(slow)
+		s.clock.after(FaultDuration, func() { s.scaleLinkRates(1) })
 	case DataCentreCut:
-		w.cut = w.d.DataCentres[len(w.d.DataCentres)-1]
-		w.clock.after(FaultLength, func() { w.cut = "" })
+		s.cutDataCentre = s.d.DataCentres[len(s.d.DataCentres)-1]
+		s.clock.after(FaultDuration, func() { s.cutDataCentre = "" })
 	case EventsLost:
-		w.eventsLost = true
-		w.clock.after(FaultLength, w.resync)
+		s.eventsLost = true
+		s.clock.after(FaultDuration, s.resync)
 	case WeightSwap:
-		w.swap(0)
+		s.reloadFrom(0)
 	default:
 	}
 }
 
-// notice is after which time the side processes say that a store is dead.
-const notice = 2 * time.Second
+// storeFailureDelay is the time until the side processes report a store as lost.
+const storeFailureDelay = 2 * time.Second
 
-func (w *world) loseStore() {
-	s := w.stores[0]
-	s.lose()
-	w.clock.after(notice, func() { w.dir.ForgetHolder(directory.Store, s.name) })
+func (s *simulation) loseStore() {
+	st := s.stores[0]
+	st.fail()
+	s.clock.after(storeFailureDelay, func() { s.dir.ForgetHolder(directory.Store, st.name) })
 }
 
-func (w *world) rates(part float64) {
-	for _, p := range w.listed {
-		p.setRate(part * w.d.LinkBytesPerSecond)
+func (s *simulation) scaleLinkRates(factor float64) {
+	for _, p := range s.pipeList {
+		p.setRate(factor * s.d.LinkBytesPerSecond)
 	}
 }
 
-// resync ends the loss of events: the side processes notice the gap and tell all
-// that their engines hold.
-func (w *world) resync() {
-	w.eventsLost = false
+// resync ends the loss of events: the side processes detect the gap and report the
+// full cache contents of their engines.
+func (s *simulation) resync() {
+	s.eventsLost = false
 
-	for _, e := range w.engines {
-		w.dir.ForgetHolder(directory.Engine, e.name)
+	for _, e := range s.engines {
+		s.dir.ForgetHolder(directory.Engine, e.name)
 
-		for x := e.cache.order.Back(); x != nil; x = x.Prev() {
-			w.holds(e, x.Value.(*cached).c)
+		for x := e.cache.lru.Back(); x != nil; x = x.Prev() {
+			s.reportCached(e, x.Value.(*cached).c)
 		}
 	}
 }
 
-// swap loads new weights into the engines from i on, as many at once as the
-// weight store bears.
-func (w *world) swap(i int) {
-	for n := range w.d.Engine.ConcurrentLoads {
-		if i+n >= len(w.engines) {
+// reloadFrom loads new weights into the engines from index i on, ConcurrentLoads at a
+// time, which the weight store serves without slowing down.
+func (s *simulation) reloadFrom(i int) {
+	for n := range s.d.Engine.ConcurrentLoads {
+		if i+n >= len(s.engines) {
 			return
 		}
 
-		w.loadWeights(w.engines[i+n])
+		s.loadEngine(s.engines[i+n])
 	}
 
-	w.clock.after(w.d.Engine.Load, func() { w.swap(i + w.d.Engine.ConcurrentLoads) })
+	s.clock.after(s.d.Engine.LoadTime, func() { s.reloadFrom(i + s.d.Engine.ConcurrentLoads) })
 }
 
-func (w *world) loadWeights(e *engine) {
+func (s *simulation) loadEngine(e *engine) {
 	e.loading = true
 
-	w.clock.after(w.d.Engine.Load, func() {
+	s.clock.after(s.d.Engine.LoadTime, func() {
 		e.loading = false
 		e.version++
 		e.cache.clear()
-		w.dir.ForgetHolder(directory.Engine, e.name)
+		s.dir.ForgetHolder(directory.Engine, e.name)
 		e.admit()
-		e.prefill()
+		e.startChunk()
 	})
 }
--- a/experiment/store.go
+++ b/experiment/store.go
@@ -2,35 +2,36 @@
 
 import "math/rand/v2"
 
-// store is a cache store: copies of leading tokens by conversation.
+// store models a cache store, which holds the leading tokens of conversations.
 type store struct {
-	name       string
-	dataCentre string
-	room, used int64
-	up         bool
-	copies     map[int]*stored
-	list       []*stored
-	rng        *rand.Rand
-	// value is what a copy is worth, and rank orders copies, of which the least
-	// is dropped.
-	value, rank func(*stored) float64
-	// dropped is told of each copy that is dropped.
-	dropped func(*conversation)
+	name           string
+	dataCentre     string
+	capacity, used int64
+	up             bool
+	parts          map[int]*storedPart
+	list           []*storedPart
+	rng            *rand.Rand
+	// value returns the value per byte of a part. rank orders parts for eviction:
+	// the part of the lowest rank is evicted first.
+	value, rank func(*storedPart) float64
+	// onDrop is called for each evicted part.
+	onDrop  func(*conversation)
 	evicted int
 }
 
-// stored is one copy.
-type stored struct {
+// storedPart holds the leading tokens of one conversation.
+type storedPart struct {
 	c       *conversation
 	tokens  int
 	bytes   int64
 	version int
-	place   int
+	index   int
 }
 
-// tokens returns how many leading tokens of c the store has for a weight version.
+// tokens returns how many leading tokens of c the store has for a weight version; 0
+// while the store is down.
 func (s *store) tokens(c *conversation, version int) int {
-	x, ok := s.copies[c.id]
+	x, ok := s.parts[c.id]
 	if !ok || !s.up || x.version != version {
 		return 0
 	}
@@ -38,28 +39,29 @@
 	return x.tokens
 }
 
-// put keeps the first tokens of c, and reports whether there was room.
+// put stores the first tokens of c in place of c's previous part, evicting other parts
+// for space. It returns false if the store is down or too small.
 func (s *store) put(c *conversation, tokens int, bytes int64, version int) bool {
-	if !s.up || bytes > s.room {
+	if !s.up || bytes > s.capacity {
 		return false
 	}
 
 	s.drop(c)
 
-	x := &stored{c: c, tokens: tokens, bytes: bytes, version: version, place: len(s.list)}
-	for s.used+bytes > s.room {
+	x := &storedPart{c: c, tokens: tokens, bytes: bytes, version: version, index: len(s.list)}
+	for s.used+bytes > s.capacity {
 		s.evict()
 	}
 
-	x.place = len(s.list)
-	s.copies[c.id] = x
+	x.index = len(s.list)
+	s.parts[c.id] = x
 	s.list = append(s.list, x)
 	s.used += bytes
 
 	return true
 }
 
-// evict drops the least valuable copy.
+// evict drops the part of the lowest rank.
 func (s *store) evict() {
 	least, lowest := s.list[0], s.rank(s.list[0])
 
@@ -71,12 +73,12 @@
 
 	s.evicted++
 	s.drop(least.c)
-	s.dropped(least.c)
+	s.onDrop(least.c)
 }
 
-// density returns the value of the least valuable copy of a sample, as cheap as
-// it has to be for each decision.
-func (s *store) density() float64 {
+// minDensity returns the least value per byte in a random sample of the parts, 0 for an
+// empty store. Every parking decision calls it, so that a full scan would be too slow.
+func (s *store) minDensity() float64 {
 	const sample = 64
 
 	if len(s.list) == 0 {
@@ -92,24 +94,24 @@
 }
 
 func (s *store) drop(c *conversation) {
-	x, ok := s.copies[c.id]
+	x, ok := s.parts[c.id]
 	if !ok {
 		return
 	}
 
 	last := s.list[len(s.list)-1]
-	s.list[x.place] = last
-	last.place = x.place
+	s.list[x.index] = last
+	last.index = x.index
 	s.list = s.list[:len(s.list)-1]
 	s.used -= x.bytes
 
-	delete(s.copies, c.id)
+	delete(s.parts, c.id)
 }
 
-// lose drops everything: the VM died.
-func (s *store) lose() {
+// fail marks the store as down and drops all parts, as when its VM crashes.
+func (s *store) fail() {
 	s.up = false
 	s.used = 0
 	s.list = nil
-	clear(s.copies)
+	clear(s.parts)
 }
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -13,11 +13,11 @@
 	"boragehub/route"
 )
 
-// quantiles are the parts of a hundred that tables give.
-var quantiles = []float64{50, 95, 99}
+// percentiles are those of the time to first token in tables.
+var percentiles = []float64{50, 95, 99}
 
-// writeTable writes means over the seeds, with the least and the greatest value
-// in brackets where there are several.
+// writeTable writes means over the seeds, with the minimum and maximum in brackets if they
+// differ.
 func writeTable(w io.Writer, d Deployment, cfg Config, groups []group) error {
 	var b strings.Builder
 
@@ -27,14 +27,14 @@
 
 	for _, g := range groups {
 		for i := range d.Workloads {
-			workload(&b, g, d.Workloads[i].Name, func(r *Result) *Figures { return &r.Workloads[i] })
+			writeWorkload(&b, g, d.Workloads[i].Name, func(r *Result) *Stats { return &r.Workloads[i] })
 		}
 
-		workload(&b, g, d.Service, func(r *Result) *Figures { return &r.Calls })
+		writeWorkload(&b, g, d.Service, func(r *Result) *Stats { return &r.Calls })
 
-		if cfg.Fault != None {
-			for i := range phases {
-				workload(&b, g, d.Workloads[0].Name+" "+g.results[0].Phases[i].Name, func(r *Result) *Figures { return &r.Phases[i] })
+		if cfg.Fault != NoFault {
+			for i := range phaseCount {
+				writeWorkload(&b, g, d.Workloads[0].Name+" "+g.results[0].Phases[i].Name, func(r *Result) *Stats { return &r.Phases[i] })
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 	b.WriteString("\nload\tpolicy\twithout\trecomputed\trefused\tfairness\tlink_busy\timported_GB\texported_GB\trecompute\twarm\timport\tfailed_imports\tstore_evictions\tretries\n")
 
 	for _, g := range groups {
-		whole(&b, g)
+		writeTotals(&b, g)
 	}
 
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -53,57 +53,57 @@
 	return t.Flush()
 }
 
-func workload(w *strings.Builder, g group, name string, of func(*Result) *Figures) {
-	fmt.Fprintf(w, "%.2f\t%s\t%s\t%s", g.load, g.policy, g.without, name)
+func writeWorkload(w *strings.Builder, g group, name string, stats func(*Result) *Stats) {
+	fmt.Fprintf(w, "%.2f\t%s\t%s\t%s", g.load, g.policy, g.ablation, name)
 
-	for _, q := range quantiles {
-		fmt.Fprintf(w, "\t%s", g.span(func(r *Result) float64 { return of(r).Quantile(q).Seconds() }))
+	for _, q := range percentiles {
+		fmt.Fprintf(w, "\t%s", g.summarise(func(r *Result) float64 { return stats(r).Percentile(q).Seconds() }))
 	}
 
-	fmt.Fprintf(w, "\t%s", g.span(func(r *Result) float64 { return of(r).RecomputedShare() }))
-	fmt.Fprintf(w, "\t%s\n", g.span(func(r *Result) float64 { return of(r).RefusedShare() }))
+	fmt.Fprintf(w, "\t%s", g.summarise(func(r *Result) float64 { return stats(r).RecomputedShare() }))
+	fmt.Fprintf(w, "\t%s\n", g.summarise(func(r *Result) float64 { return stats(r).RefusedShare() }))
 }
 
-func whole(w *strings.Builder, g group) {
+func writeTotals(w *strings.Builder, g group) {
 	const giga = 1e9
 
-	fmt.Fprintf(w, "%.2f\t%s\t%s", g.load, g.policy, g.without)
+	fmt.Fprintf(w, "%.2f\t%s\t%s", g.load, g.policy, g.ablation)
 
-	for _, of := range []func(*Result) float64{
+	for _, metric := range []func(*Result) float64{
 		(*Result).RecomputedShare,
 		(*Result).RefusedShare,
 		(*Result).Fairness,
 		func(r *Result) float64 { return r.LinkBusy },
 	} {
-		fmt.Fprintf(w, "\t%s", g.span(of))
+		fmt.Fprintf(w, "\t%s", g.summarise(metric))
 	}
 
-	for _, of := range []func(*Result) float64{
+	for _, metric := range []func(*Result) float64{
 		func(r *Result) float64 { return r.LinkBytes[link.Import] / giga },
 		func(r *Result) float64 { return r.LinkBytes[link.Export] / giga },
-		func(r *Result) float64 { return float64(r.Moves[route.Recompute]) },
-		func(r *Result) float64 { return float64(r.Moves[route.Warm]) },
-		func(r *Result) float64 { return float64(r.Moves[route.Import]) },
+		func(r *Result) float64 { return float64(r.Strategies[route.Recompute]) },
+		func(r *Result) float64 { return float64(r.Strategies[route.Warm]) },
+		func(r *Result) float64 { return float64(r.Strategies[route.Import]) },
 		func(r *Result) float64 { return float64(r.FailedImports) },
 		func(r *Result) float64 { return float64(r.StoreEvictions) },
 		func(r *Result) float64 { return float64(r.Retries) },
 	} {
-		fmt.Fprintf(w, "\t%.0f", g.span(of).mean)
+		fmt.Fprintf(w, "\t%.0f", g.summarise(metric).mean)
 	}
 
 	w.WriteByte('\n')
 }
 
-// String returns the mean and, unless all are the same, the range.
-func (s span) String() string {
-	if s.least == s.most {
+// String returns the mean, followed by the range unless all values are equal.
+func (s summary) String() string {
+	if s.min == s.max {
 		return fmt.Sprintf("%.3f", s.mean)
 	}
 
-	return fmt.Sprintf("%.3f [%.3f %.3f]", s.mean, s.least, s.most)
+	return fmt.Sprintf("%.3f [%.3f %.3f]", s.mean, s.min, s.max)
 }
 
-// writeCSV writes a line for each run and workload.
+// writeCSV writes a CSV file with a row for each run and workload.
 func writeCSV(name string, groups []group) (err error) {
 	f, err := os.Create(name)
 	if err != nil {
@@ -117,19 +117,19 @@
 	}()
 
 	w := csv.NewWriter(f)
-	head := []string{
+	header := []string{
 		"load", "policy", "without", "fault", "seed", "workload", "requests", "refused",
 		"ttft_p50_s", "ttft_p95_s", "ttft_p99_s", "returned_tokens", "recomputed_tokens",
 		"fairness", "link_busy", "imported_bytes", "exported_bytes",
 	}
 
-	if err := w.Write(head); err != nil {
+	if err := w.Write(header); err != nil {
 		return err
 	}
 
 	for _, g := range groups {
 		for _, r := range g.results {
-			if err := w.WriteAll(lines(r)); err != nil {
+			if err := w.WriteAll(csvRows(r)); err != nil {
 				return err
 			}
 		}
@@ -140,28 +140,28 @@
 	return w.Error()
 }
 
-func lines(r *Result) [][]string {
-	var all [][]string
+func csvRows(r *Result) [][]string {
+	var rows [][]string
 
 	for i := range r.Workloads {
-		f := &r.Workloads[i]
-		line := []string{
-			number(r.Load), r.Policy.String(), r.Without.String(), r.Fault.String(),
-			strconv.FormatUint(r.Seed, 10), f.Name, strconv.Itoa(f.Requests), strconv.Itoa(f.Refused),
+		s := &r.Workloads[i]
+		row := []string{
+			formatNumber(r.Load), r.Policy.String(), r.Ablation.String(), r.Fault.String(),
+			strconv.FormatUint(r.Seed, 10), s.Name, strconv.Itoa(s.Requests), strconv.Itoa(s.Refused),
 		}
 
-		for _, q := range quantiles {
-			line = append(line, number(f.Quantile(q).Seconds()))
+		for _, q := range percentiles {
+			row = append(row, formatNumber(s.Percentile(q).Seconds()))
 		}
 
-		all = append(all, append(line,
-			strconv.FormatInt(f.Returned, 10), strconv.FormatInt(f.Recomputed, 10),
-			number(r.Fairness()), number(r.LinkBusy),
-			number(r.LinkBytes[link.Import]), number(r.LinkBytes[link.Export]),
+		rows = append(rows, append(row,
+			strconv.FormatInt(s.ReturnedTokens, 10), strconv.FormatInt(s.RecomputedTokens, 10),
+			formatNumber(r.Fairness()), formatNumber(r.LinkBusy),
+			formatNumber(r.LinkBytes[link.Import]), formatNumber(r.LinkBytes[link.Export]),
 		))
 	}
 
-	return all
+	return rows
 }
 
-func number(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -13,414 +13,421 @@
 	"boragehub/route"
 )
 
-// The times of the model that the users' needs do not give.
+// Times and limits of the model that do not follow from the users' requirements.
 const (
-	// reportEvery is how often an engine reports its load, loadLag how old a
-	// report is when it reaches an entry, loadLagOld the same with LoadOld.
-	reportEvery = 100 * time.Millisecond
-	loadLag     = 300 * time.Millisecond
-	loadLagOld  = 5 * time.Second
-	// eventLag is how late cache events reach the directory.
-	eventLag = 200 * time.Millisecond
-	// lookup is the time to ask the owner of a context's anchor.
-	lookup = 2 * time.Millisecond
-	// connectTimeout is after which an entry takes an engine for gone, and
-	// silentTimeout after which it abandons an answer that doesn't begin.
-	connectTimeout = 200 * time.Millisecond
-	silentTimeout  = time.Second
-	// suspicion is how long a failed engine or store is avoided.
-	suspicion = 5 * time.Second
-	// attempts bounds how often a request is sent.
-	attempts = 3
+	// reportInterval is the interval of load reports, loadReportDelay the age of a
+	// report when it reaches an entry, and staleLoadReportDelay the same age under
+	// StaleLoad.
+	reportInterval       = 100 * time.Millisecond
+	loadReportDelay      = 300 * time.Millisecond
+	staleLoadReportDelay = 5 * time.Second
+	// eventDelay is the time that a cache event takes to reach the directory.
+	eventDelay = 200 * time.Millisecond
+	// lookupDelay is the time to query the owner of a context's anchor.
+	lookupDelay = 2 * time.Millisecond
+	// connectTimeout is when an entry gives up connecting to an engine or a store,
+	// and responseTimeout when it gives up waiting for a response to begin.
+	connectTimeout  = 200 * time.Millisecond
+	responseTimeout = time.Second
+	// suspicionTime is how long a failed engine or store is not used.
+	suspicionTime = 5 * time.Second
+	// maxAttempts is how often a request is sent at most.
+	maxAttempts = 3
 )
 
-// epoch is the time of day at virtual time zero.
+// epoch is the wall-clock time at virtual time zero.
 var epoch = time.Unix(1_800_000_000, 0)
 
-// world is one run.
-type world struct {
-	d          Deployment
-	policy     Policy
-	without    Without
-	fault      Fault
-	clock      *clock
-	rng        *rand.Rand
-	all        []*conversation
-	engines    []*engine
-	stores     []*store
-	entries    []*entryModel
-	sides      []*link.Table // one for each engine, of its exports
-	pipes      map[[2]string]*pipe
-	listed     []*pipe
-	dir        *directory.Table
-	cfg        route.Config
-	park       parking.Config
-	gaps       []*parking.Gaps // by workload
-	rec        *recorder
-	seq        uint64
-	cut        string // data centre that is cut, empty for none
-	eventsLost bool   // cache events are lost
+// simulation is the state of one run.
+type simulation struct {
+	d             Deployment
+	policy        Policy
+	ablation      Ablation
+	fault         Fault
+	clock         *clock
+	rng           *rand.Rand
+	conversations []*conversation
+	engines       []*engine
+	stores        []*store
+	entries       []*entryModel
+	exportLinks   []*link.Table // by engine, for its exports; kept by its side process
+	pipes         map[[2]string]*pipe
+	pipeList      []*pipe
+	dir           *directory.Table
+	routeCfg      route.Config
+	parkingCfg    parking.Config
+	gaps          []*parking.Gaps // by workload
+	rec           *recorder
+	seq           uint64
+	cutDataCentre string // the partitioned data centre, empty for none
+	eventsLost    bool   // engines' cache events are dropped
 
 	candidates []route.Candidate
 	holdings   []directory.Holding
 	sources    []route.Source
-	rooms      []parking.Room
+	storeViews []parking.Room
 }
 
-// entryModel is one entry.
+// entryModel models one entry.
 type entryModel struct {
-	index      int
-	dataCentre string
-	turn       int
-	links      *link.Table
-	sent       [][]sending // by engine, in order of time
-	suspects   []time.Duration
-	lost       map[string]time.Duration // stores that failed, until when
-	gate       *limit.Gate
+	index            int
+	dataCentre       string
+	nextEngine       int
+	links            *link.Table
+	sent             [][]sentRequest // by engine, in the order of time
+	suspectedUntil   []time.Duration
+	unreachableUntil map[string]time.Duration // by store, after a failed import
+	gate             *limit.Gate
 }
 
-// sending is a request that an entry sent to an engine.
-type sending struct {
+// sentRequest is a request that an entry sent to an engine, with the prefill tokens that
+// the entry expected.
+type sentRequest struct {
 	at     time.Duration
 	tokens int
 	class  int
 }
 
-func newWorld(d Deployment, run Result, rec *recorder) *world {
-	w := &world{
-		d: d, policy: run.Policy, without: run.Without, fault: run.Fault, rec: rec,
+func newSimulation(d Deployment, run Result, rec *recorder) *simulation {
+	s := &simulation{
+		d: d, policy: run.Policy, ablation: run.Ablation, fault: run.Fault, rec: rec,
 		clock: &clock{}, rng: rand.New(rand.NewPCG(run.Seed, 2)),
 		pipes: map[[2]string]*pipe{},
 		dir:   directory.NewTable(directory.Config{MaxBytes: 1 << 40, Stride: 1}),
-		cfg: route.Config{
+		routeCfg: route.Config{
 			FirstTokenWeight: d.FirstTokenWeight, RecomputedWeight: d.RecomputedWeight,
 			Interference: d.Engine.Interference,
 		},
 	}
-	w.settings()
+	s.applyAblation()
 
 	for i := range d.Workloads {
-		w.gaps = append(w.gaps, parking.NewGaps(d.Workloads[i].Gap))
+		s.gaps = append(s.gaps, parking.NewGaps(d.Workloads[i].Gap))
 	}
 
 	for i := range d.Engines {
-		w.engine(i)
+		s.addEngine(i)
 	}
 
-	for _, s := range d.Stores {
-		w.store(s)
+	for _, st := range d.Stores {
+		s.addStore(st)
 	}
 
 	for _, from := range d.DataCentres {
 		for _, to := range d.DataCentres {
-			p := &pipe{clock: w.clock, rate: d.LinkBytesPerSecond}
-			w.pipes[[2]string{from, to}] = p
-			w.listed = append(w.listed, p)
+			p := &pipe{clock: s.clock, bytesPerSecond: d.LinkBytesPerSecond}
+			s.pipes[[2]string{from, to}] = p
+			s.pipeList = append(s.pipeList, p)
 		}
 	}
 
-	shared := w.links()
+	shared := s.newLinkTable()
 
-	for i := range len(d.DataCentres) * d.EntriesEach {
+	for i := range len(d.DataCentres) * d.EntriesPerDataCentre {
 		dc := d.DataCentres[i%len(d.DataCentres)]
-		e := &entryModel{index: i, dataCentre: dc, links: w.links(), lost: map[string]time.Duration{}}
+		e := &entryModel{index: i, dataCentre: dc, links: s.newLinkTable(), unreachableUntil: map[string]time.Duration{}}
 		e.gate = limit.NewGate(limit.GateConfig{
-			Seed: run.Seed, Entries: len(d.DataCentres) * d.EntriesEach, Places: w.places(),
+			Seed: run.Seed, Entries: len(d.DataCentres) * d.EntriesPerDataCentre, Places: s.gatePlaces(),
 		})
-		e.sent = make([][]sending, d.Engines)
-		e.suspects = make([]time.Duration, d.Engines)
+		e.sent = make([][]sentRequest, d.Engines)
+		e.suspectedUntil = make([]time.Duration, d.Engines)
 
-		if w.without == OwnLinks {
+		if s.ablation == PerEntryLinks {
 			e.links = shared
 		}
 
-		w.entries = append(w.entries, e)
+		s.entries = append(s.entries, e)
 	}
 
-	return w
+	return s
 }
 
-// settings puts the ideas that are switched off into the configuration.
-func (w *world) settings() {
-	const never = 1e-9
+// applyAblation configures the ablations that are settings of the decision code.
+func (s *simulation) applyAblation() {
+	const negligible = 1e-9 // zero would select the default
 
-	switch w.without {
-	case Doubt:
-		w.cfg.LoadDoubt = never
-	case ParkWeighing:
-		w.park.LinkWeight = never
+	switch s.ablation {
+	case ReportUncertainty:
+		s.routeCfg.LoadDoubt = negligible
+	case ParkingCost:
+		s.parkingCfg.LinkWeight = negligible
 	case RecomputedWeight:
-		w.cfg.FirstTokenWeight, w.cfg.RecomputedWeight = 1, 0
+		s.routeCfg.FirstTokenWeight, s.routeCfg.RecomputedWeight = 1, 0
 	default:
 	}
 
-	if w.policy == Clairvoyant {
-		w.cfg.LoadDoubt = never
+	if s.policy == Clairvoyant {
+		s.routeCfg.LoadDoubt = negligible
 	}
 }
 
-// places returns the places of one entry's gate, worked out as the entries do.
-func (w *world) places() float64 {
+// gatePlaces returns the capacity of one entry's gate, calculated as entries do.
+func (s *simulation) gatePlaces() float64 {
 	const placesPerRunning = 3
 
-	return float64(w.d.Engines*w.d.Engine.MaxRunning*placesPerRunning) / float64(len(w.d.DataCentres)*w.d.EntriesEach)
+	return float64(s.d.Engines*s.d.Engine.MaxRunning*placesPerRunning) / float64(len(s.d.DataCentres)*s.d.EntriesPerDataCentre)
 }
 
-func (w *world) links() *link.Table {
-	cfg := link.Config{BytesPerSecond: w.d.LinkBytesPerSecond, Latency: w.d.Apart}
+func (s *simulation) newLinkTable() *link.Table {
+	cfg := link.Config{BytesPerSecond: s.d.LinkBytesPerSecond, Latency: s.d.InterDataCentreDelay}
 
-	if w.without == Measuring {
+	if s.ablation == LinkMeasurement {
 		cfg.Measurable = math.MaxInt64
 	}
 
 	return link.NewTable(cfg, cfg)
 }
 
-func (w *world) engine(i int) {
+func (s *simulation) addEngine(i int) {
 	e := &engine{
-		w: w, index: i, name: "engine-" + string(rune('a'+i)), spec: w.d.Engine, up: true, version: 1,
-		dataCentre: w.d.DataCentres[i%len(w.d.DataCentres)],
+		sim: s, index: i, name: "engine-" + string(rune('a'+i)), spec: s.d.Engine, up: true, version: 1,
+		dataCentre: s.d.DataCentres[i%len(s.d.DataCentres)],
 	}
-	e.cache = newCache(w.d.Engine.CacheTokens, func(c *conversation, left int) { w.shrunk(e, c, left) })
-	w.engines = append(w.engines, e)
-	w.sides = append(w.sides, w.links())
+	e.cache = newCache(s.d.Engine.CacheTokens, func(c *conversation, left int) { s.reportEviction(e, c, left) })
+	s.engines = append(s.engines, e)
+	s.exportLinks = append(s.exportLinks, s.newLinkTable())
 }
 
-func (w *world) store(spec StoreSpec) {
-	s := &store{
-		name: spec.Name, dataCentre: w.d.DataCentres[spec.DataCentre], room: spec.Bytes, up: true,
-		copies: map[int]*stored{}, rng: w.rng,
+func (s *simulation) addStore(spec StoreSpec) {
+	st := &store{
+		name: spec.Name, dataCentre: s.d.DataCentres[spec.DataCentre], capacity: spec.CapacityBytes, up: true,
+		parts: map[int]*storedPart{}, rng: s.rng,
 	}
-	s.value, s.rank = w.value, w.value
+	st.value, st.rank = s.partValue, s.partValue
 
-	if w.without == ValueEviction {
-		s.rank = func(x *stored) float64 { return x.c.seenAt.Seconds() }
+	if s.ablation == ValueEviction {
+		st.rank = func(x *storedPart) float64 { return x.c.lastVisit.Seconds() }
 	}
 
-	s.dropped = func(c *conversation) {
-		w.clock.after(eventLag, func() { w.dir.Forget(c.anchor, directory.Store, s.name, "") })
+	st.onDrop = func(c *conversation) {
+		s.clock.after(eventDelay, func() { s.dir.Forget(c.anchor, directory.Store, st.name, "") })
 	}
-	w.stores = append(w.stores, s)
+	s.stores = append(s.stores, st)
 }
 
-// time returns the time of day.
-func (w *world) time() time.Time { return epoch.Add(w.clock.now) }
+// now returns the current virtual time as a wall-clock time.
+func (s *simulation) now() time.Time { return epoch.Add(s.clock.now) }
 
-// delay returns the delay between two data centres, one way.
-func (w *world) delay(from, to string) time.Duration {
+// delay returns the one-way delay between two data centres, or within one.
+func (s *simulation) delay(from, to string) time.Duration {
 	const local = 100 * time.Microsecond
 
 	if from == to {
 		return local
 	}
 
-	return w.d.Apart
+	return s.d.InterDataCentreDelay
 }
 
-func (w *world) reachable(from, to string) bool {
-	return from == to || (w.cut != from && w.cut != to)
+func (s *simulation) reachable(from, to string) bool {
+	return from == to || (s.cutDataCentre != from && s.cutDataCentre != to)
 }
 
-// version returns the newest weight version that an engine has.
-func (w *world) version() int {
+// newestVersion returns the newest weight version that any engine has loaded.
+func (s *simulation) newestVersion() int {
 	newest := 0
-	for _, e := range w.engines {
+	for _, e := range s.engines {
 		newest = max(newest, e.version)
 	}
 
 	return newest
 }
 
-// arrive takes a request from its client.
-func (w *world) arrive(v *visit) {
+// arrive handles the arrival of a request from its client.
+func (s *simulation) arrive(v *visit) {
 	c := v.c
-	w.learn(c)
-	spec := &w.d.Workloads[c.workload]
-	j := &job{v: v, class: order(spec.Class), due: w.clock.now + spec.Deadline, known: min(c.computed, v.prompt)}
+	s.recordVisit(c)
+	spec := &s.d.Workloads[c.workload]
+	j := &job{v: v, class: classRank(spec.Class), deadline: s.clock.now + spec.Deadline, computedBefore: min(c.computedTokens, v.promptTokens)}
 
-	// The balancer sends nobody to an entry that is cut off.
-	for w.cut == w.entries[v.entry].dataCentre {
-		v.entry = (v.entry + 1) % len(w.entries)
+	// The balancer sends no requests to an entry in a partitioned data centre.
+	for s.cutDataCentre == s.entries[v.entry].dataCentre {
+		v.entry = (v.entry + 1) % len(s.entries)
 	}
 
-	wait := w.d.Clients
-	if w.policy == Ours {
-		wait += lookup
+	wait := s.d.ClientDelay
+	if s.policy == Boragehub {
+		wait += lookupDelay
 	}
 
-	w.clock.after(wait, func() { w.admit(j) })
+	s.clock.after(wait, func() { s.admit(j) })
 }
 
-// The rates that operators would set: an organisation may send generous times
-// its usual load at the fleet's whole capacity, and burst seconds of it at once.
+// Rate limits as operators would set them: an organisation may send rateFactor times its
+// usual share of the fleet's capacity, and burstSeconds of that share in one burst.
 const (
-	generous = 2
-	burstFor = 5
+	rateFactor   = 2
+	burstSeconds = 5
 )
 
-// admit passes the gate of the entry, as the daemons do.
-func (w *world) admit(j *job) {
-	if w.policy != Ours || w.without == Gates {
-		w.route(j)
+// admit asks the entry's gate for admission, as the daemons do. The other policies have no
+// gate.
+func (s *simulation) admit(j *job) {
+	if s.policy != Boragehub || s.ablation == AdmissionGates {
+		s.route(j)
 		return
 	}
 
 	c := j.v.c
-	usual := w.d.Capacity() * w.d.Organisations[c.organisation]
-	gate := w.entries[j.v.entry].gate
+	usualRate := s.d.Capacity() * s.d.OrganisationShares[c.organisation]
+	gate := s.entries[j.v.entry].gate
 
-	p, err := gate.Admit(w.time(), limit.Request{
-		Organisation: w.organisation(c), Class: w.d.Workloads[c.workload].Class,
-		Rate: generous * usual, Burst: int(burstFor*usual) + 1,
+	p, err := gate.Admit(s.now(), limit.Request{
+		Organisation: s.organisationName(c), Class: s.d.Workloads[c.workload].Class,
+		Rate: rateFactor * usualRate, Burst: int(burstSeconds*usualRate) + 1,
 	})
 	if err != nil {
-		w.refused(j)
+		s.refuse(j)
 		return
 	}
 
-	j.release = func() { gate.Release(w.time(), p) }
-	w.route(j)
+	j.releasePermit = func() { gate.Release(s.now(), p) }
+	s.route(j)
 }
 
-// learn notes a visit.
-func (w *world) learn(c *conversation) {
-	g := w.gaps[c.workload]
+// recordVisit updates the gap statistics of the conversation's workload with a visit.
+func (s *simulation) recordVisit(c *conversation) {
+	g := s.gaps[c.workload]
 	g.Visited()
 
-	if c.seen > 0 {
-		g.Returned(w.clock.now - c.seenAt)
+	if c.visitCount > 0 {
+		g.Returned(s.clock.now - c.lastVisit)
 	}
 
-	c.seen++
-	c.seenAt = w.clock.now
+	c.visitCount++
+	c.lastVisit = s.clock.now
 }
 
-// route sends a job to an engine.
-func (w *world) route(j *job) {
-	if j.attempts >= attempts || w.clock.now > j.due {
-		w.refused(j)
+// route sends a job to the engine that the policy chooses, or refuses it if there is none,
+// its deadline has passed or its attempts are used up.
+func (s *simulation) route(j *job) {
+	if j.attempts >= maxAttempts || s.clock.now > j.deadline {
+		s.refuse(j)
 		return
 	}
 
 	j.attempts++
-	e := w.entries[j.v.entry]
+	e := s.entries[j.v.entry]
 
-	p := w.choose(e, j)
+	p := s.choose(e, j)
 	if p.engine == nil {
-		w.refused(j)
+		s.refuse(j)
 		return
 	}
 
-	held := p.held
-	j.expect = max(j.v.prompt-held, 1)
-	e.sent[p.engine.index] = append(e.sent[p.engine.index], sending{w.clock.now, j.expect, j.class})
+	cached := p.cachedTokens
+	j.expectedPrefill = max(j.v.promptTokens-cached, 1)
+	e.sent[p.engine.index] = append(e.sent[p.engine.index], sentRequest{s.clock.now, j.expectedPrefill, j.class})
 
-	w.rec.moved(j.v, p.how)
+	s.rec.recordStrategy(j.v, p.strategy)
 
-	if !w.reachable(e.dataCentre, p.engine.dataCentre) {
-		w.unreserve(e, p)
-		w.clock.after(connectTimeout, func() { w.failed(e, j, p.engine) })
+	if !s.reachable(e.dataCentre, p.engine.dataCentre) {
+		s.releaseImport(e, p)
+		s.clock.after(connectTimeout, func() { s.retry(e, j, p.engine) })
 
 		return
 	}
 
-	if p.how == route.Import {
+	if p.strategy == route.Import {
 		j.importing = true
-		w.reserve(e, j, p)
+		s.startImport(e, j, p)
 	}
 
-	w.clock.after(w.delay(e.dataCentre, p.engine.dataCentre), func() { p.engine.enqueue(j) })
+	s.clock.after(s.delay(e.dataCentre, p.engine.dataCentre), func() { p.engine.enqueue(j) })
 }
 
-// failed notes that an engine didn't answer and sends the request elsewhere.
-func (w *world) failed(e *entryModel, j *job, x *engine) {
-	e.suspects[x.index] = w.clock.now + suspicion
-	w.rec.r.Retries++
+// retry marks an engine that did not respond as suspected and routes the request again.
+func (s *simulation) retry(e *entryModel, j *job, x *engine) {
+	e.suspectedUntil[x.index] = s.clock.now + suspicionTime
+	s.rec.r.Retries++
 
-	again := &job{v: j.v, class: j.class, due: j.due, known: j.known, attempts: j.attempts, release: j.release}
-	j.release = nil
-	w.route(again)
+	retried := &job{v: j.v, class: j.class, deadline: j.deadline, computedBefore: j.computedBefore, attempts: j.attempts, releasePermit: j.releasePermit}
+	j.releasePermit = nil
+	s.route(retried)
 }
 
-// refused ends a request that got no first token in time.
-func (w *world) refused(j *job) {
-	j.free()
-	w.rec.refused(j.v, w.d.Workloads[j.v.c.workload].Deadline)
+// refuse ends a request without a first token; it counts with its deadline.
+func (s *simulation) refuse(j *job) {
+	j.releaseGate()
+	s.rec.refuse(j.v, s.d.Workloads[j.v.c.workload].Deadline)
 }
 
-// computed notes how much of a prompt was held when its prefill began.
-func (w *world) computed(j *job, held int) {
-	w.rec.computed(j.v, j.known, held)
+// recordPrefill records how many tokens of a prompt were cached when its prefill began.
+func (s *simulation) recordPrefill(j *job, cached int) {
+	s.rec.recordPrefill(j.v, j.computedBefore, cached)
 }
 
-// first brings the first token to the client.
-func (w *world) first(j *job, e *engine) {
-	entry := w.entries[j.v.entry]
+// firstToken delivers the first token to the client. If the entry can't reach the engine,
+// the request is retried after responseTimeout.
+func (s *simulation) firstToken(j *job, e *engine) {
+	entry := s.entries[j.v.entry]
 
-	if !w.reachable(entry.dataCentre, e.dataCentre) {
-		w.clock.after(silentTimeout, func() { w.failed(entry, j, e) })
+	if !s.reachable(entry.dataCentre, e.dataCentre) {
+		s.clock.after(responseTimeout, func() { s.retry(entry, j, e) })
 		return
 	}
 
-	back := w.delay(entry.dataCentre, e.dataCentre) + w.d.Clients
-	w.rec.first(j.v, w.clock.now+back-j.v.at)
+	returnDelay := s.delay(entry.dataCentre, e.dataCentre) + s.d.ClientDelay
+	s.rec.firstToken(j.v, s.clock.now+returnDelay-j.v.at)
 }
 
-// finished ends a request: its context is now held, and parked where it pays.
-func (w *world) finished(j *job, e *engine) {
-	j.free()
+// finish ends a request: the engine now caches its context, which is parked if that pays
+// off.
+func (s *simulation) finish(j *job, e *engine) {
+	j.releaseGate()
 
 	c := j.v.c
-	tokens := j.v.prompt + j.v.answer
-	c.computed = max(c.computed, tokens)
-	w.holds(e, c)
-	w.keep(e, j)
+	tokens := j.v.promptTokens + j.v.answerTokens
+	c.computedTokens = max(c.computedTokens, tokens)
+	s.reportCached(e, c)
+	s.parkAfterVisit(e, j)
 }
 
-// event brings an engine's cache event to the directory, late, unless it is lost.
-// What becomes of copies in stores the side processes tell themselves.
-func (w *world) event(do func()) {
-	if !w.eventsLost {
-		w.clock.after(eventLag, do)
+// sendEvent runs do, which applies an engine's cache event to the directory, after
+// eventDelay, or drops it while events are lost. Changes in stores don't pass through it:
+// the side processes report them themselves.
+func (s *simulation) sendEvent(do func()) {
+	if !s.eventsLost {
+		s.clock.after(eventDelay, do)
 	}
 }
 
-// holds tells the directory what an engine holds of c.
-func (w *world) holds(e *engine, c *conversation) {
-	if w.policy != Ours {
+// reportCached reports to the directory how many tokens of c an engine has cached.
+func (s *simulation) reportCached(e *engine, c *conversation) {
+	if s.policy != Boragehub {
 		return
 	}
 
 	tokens := e.cache.tokens(c)
 
-	w.event(func() {
-		w.dir.Learn(w.time(), c.anchor, c.chainTo(tokens), directory.Holding{
+	s.sendEvent(func() {
+		s.dir.Learn(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
 			Kind: directory.Engine, Name: e.name, DataCentre: e.dataCentre, Blocks: tokens / blockTokens,
 			Source: directory.Reported, Version: strconv.Itoa(e.version),
 		})
 	})
 }
 
-func (w *world) shrunk(e *engine, c *conversation, left int) {
-	if w.policy != Ours {
+func (s *simulation) reportEviction(e *engine, c *conversation, left int) {
+	if s.policy != Boragehub {
 		return
 	}
 
 	if left > 0 {
-		w.holds(e, c)
+		s.reportCached(e, c)
 		return
 	}
 
-	w.event(func() { w.dir.Forget(c.anchor, directory.Engine, e.name, "") })
+	s.sendEvent(func() { s.dir.Forget(c.anchor, directory.Engine, e.name, "") })
 }
 
-// report keeps the load reports of all engines, as long as there is load.
-func (w *world) report(end time.Duration) {
-	for _, e := range w.engines {
-		e.report()
+// recordReports records load reports of all engines every reportInterval until end.
+func (s *simulation) recordReports(end time.Duration) {
+	for _, e := range s.engines {
+		e.recordReport()
 	}
 
-	if w.clock.now < end {
-		w.clock.after(reportEvery, func() { w.report(end) })
+	if s.clock.now < end {
+		s.clock.after(reportInterval, func() { s.recordReports(end) })
 	}
 }
