--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -16,16 +16,16 @@
 	"boragehub/standin"
 )
 
-// The types of cache events.
+// Types of cache events.
 const (
 	eventStored  = "stored"
 	eventRemoved = "removed"
 	eventCleared = "cleared"
 )
 
-// lookAgain is how often a long poll looks again, since late events become
-// visible with time alone.
-const lookAgain = 10 * time.Millisecond
+// pollInterval is how often a long poll checks for events, because delayed events become
+// visible without a request that could wake the poll.
+const pollInterval = 10 * time.Millisecond
 
 // cacheEvent is one cache event.
 type cacheEvent struct {
@@ -38,73 +38,73 @@
 	lost bool
 }
 
-// emit adds an event. The caller holds mu.
-func (s *Server) emit(now time.Time, kind string, hashes []prompt.Hash) {
-	s.seq++
+// addEvent appends an event. The caller holds mu.
+func (s *Server) addEvent(now time.Time, kind string, hashes []prompt.Hash) {
+	s.lastSeq++
 	s.events = append(s.events, cacheEvent{
-		Seq: s.seq, Type: kind, Hashes: hashes, WeightVersion: s.version,
+		Seq: s.lastSeq, Type: kind, Hashes: hashes, WeightVersion: s.version,
 		at: now, lost: s.rng.Float64() < s.Faults().EventsLost,
 	})
 
-	if n := len(s.events) - s.cfg.KeepEvents; n > 0 {
+	if n := len(s.events) - s.cfg.MaxEvents; n > 0 {
 		s.events = s.events[n:]
 	}
 
-	close(s.grown)
-	s.grown = make(chan struct{})
-	s.report(now)
+	close(s.eventAdded)
+	s.eventAdded = make(chan struct{})
+	s.recordLoad(now)
 }
 
-// clear drops all blocks. The caller holds mu.
-func (s *Server) clear(now time.Time) {
+// clearCache evicts all blocks. The caller holds mu.
+func (s *Server) clearCache(now time.Time) {
 	s.blocks.Purge()
 	s.evicted = nil
-	s.emit(now, eventCleared, []prompt.Hash{})
+	s.addEvent(now, eventCleared, []prompt.Hash{})
 }
 
-// keep stores the blocks of a chain, those at its end as the oldest, so that a
+// storeBlocks caches the blocks of a chain, the last ones as least recently used, so that a
 // chain is evicted from its end. The caller holds mu.
-func (s *Server) keep(now time.Time, chain prompt.Chain, sound func(i int) bool) {
+func (s *Server) storeBlocks(now time.Time, chain prompt.Chain, intact func(i int) bool) {
 	chain = chain[:min(len(chain), s.cfg.CacheBlocks)]
 	added := []prompt.Hash{}
 
 	for i := len(chain) - 1; i >= 0; i-- {
-		was, held := s.blocks.Get(chain[i])
-		if !held {
+		wasIntact, cached := s.blocks.Get(chain[i])
+		if !cached {
 			added = append(added, chain[i])
 		}
 
-		s.blocks.Add(chain[i], was || sound(i))
+		s.blocks.Add(chain[i], wasIntact || intact(i))
 	}
 
 	if len(added) > 0 {
-		s.emit(now, eventStored, added)
+		s.addEvent(now, eventStored, added)
 	}
 
 	if len(s.evicted) > 0 {
-		s.emit(now, eventRemoved, s.evicted)
+		s.addEvent(now, eventRemoved, s.evicted)
 		s.evicted = nil
 	}
 }
 
-// cached returns how many leading blocks of chain are held, and whether all of
-// them are sound. The caller holds mu.
-func (s *Server) cached(chain []prompt.Hash) (int, bool) {
-	sound := true
+// cachedPrefix returns how many leading blocks of chain are cached, and whether all of them
+// are intact. The caller holds mu.
+func (s *Server) cachedPrefix(chain []prompt.Hash) (int, bool) {
+	intact := true
 
 	for i, h := range chain {
-		ok, held := s.blocks.Peek(h)
-		if !held {
-			return i, sound
+		blockIntact, cached := s.blocks.Peek(h)
+		if !cached {
+			return i, intact
 		}
 
-		sound = sound && ok
+		intact = intact && blockIntact
 	}
 
-	return len(chain), sound
+	return len(chain), intact
 }
 
-// eventPage is the answer to GET /events.
+// eventPage is the response to GET /events.
 type eventPage struct {
 	BootID string       `json:"boot_id"`
 	First  uint64       `json:"first_seq"`
@@ -113,30 +113,30 @@
 }
 
 func (s *Server) listEvents(q *restful.Request, w *restful.Response) {
-	ctx, cancel := s.Wait(q.Request)
+	ctx, cancel := s.LongPollContext(q.Request)
 	defer cancel()
 
-	after := standin.Number(q.Request, "after", 0)
+	after := standin.QueryUint(q.Request, "after", 0)
 
 	for {
-		p := s.page(time.Now(), after)
+		p := s.eventsAfter(time.Now(), after)
 		if p.Next > after+1 || ctx.Err() != nil {
-			standin.Reply(w, http.StatusOK, p)
+			standin.WriteJSON(w, http.StatusOK, p)
 			return
 		}
 
-		pause.For(ctx, lookAgain)
+		pause.For(ctx, pollInterval)
 	}
 }
 
-// page returns the events after a number that can be seen now.
-func (s *Server) page(now time.Time, after uint64) eventPage {
+// eventsAfter returns the events with numbers above after that are visible at now.
+func (s *Server) eventsAfter(now time.Time, after uint64) eventPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	p := eventPage{BootID: s.boot, First: s.seq + 1 - uint64(len(s.events)), Events: []cacheEvent{}}
+	p := eventPage{BootID: s.bootID, First: s.lastSeq + 1 - uint64(len(s.events)), Events: []cacheEvent{}}
 	p.Next = p.First
-	visible := now.Add(-standin.Millis(s.Faults().EventsDelayMS))
+	visible := now.Add(-standin.Milliseconds(s.Faults().EventsDelayMS))
 
 	for _, e := range s.events {
 		if e.at.After(visible) {
@@ -156,30 +156,30 @@
 func (s *Server) listBlocks(_ *restful.Request, w *restful.Response) {
 	s.mu.Lock()
 	hashes := s.blocks.Keys()
-	seq, version := s.seq, s.version
+	seq, version := s.lastSeq, s.version
 	s.mu.Unlock()
 
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		BootID        string        `json:"boot_id"`
 		Seq           uint64        `json:"seq"`
 		WeightVersion string        `json:"weight_version"`
 		Hashes        []prompt.Hash `json:"hashes"`
-	}{s.boot, seq, version, hashes})
+	}{s.bootID, seq, version, hashes})
 }
 
-// sealed is the head of exported bytes; the blocks' content follows.
-type sealed struct {
+// exportHeader is the first line of an export; the content of the blocks follows.
+type exportHeader struct {
 	WeightVersion string        `json:"weight_version"`
 	Hashes        []prompt.Hash `json:"hashes"`
 }
 
-// content returns what a block holds.
-func (s *Server) content(h prompt.Hash) []byte {
+// blockContent returns the content of a block.
+func (s *Server) blockContent(h prompt.Hash) []byte {
 	return bytes.Repeat(h[:], s.cfg.BlockTokens*s.cfg.BytesPerToken/len(h))
 }
 
-func (s *Server) export(q *restful.Request, w *restful.Response) {
-	in, ok := standin.Decode[struct {
+func (s *Server) exportBlocks(q *restful.Request, w *restful.Response) {
+	in, ok := standin.DecodeBody[struct {
 		Hashes []prompt.Hash `json:"hashes"`
 	}](w, q.Request)
 	if !ok {
@@ -187,12 +187,12 @@
 	}
 
 	s.mu.Lock()
-	n, _ := s.cached(in.Hashes)
+	n, _ := s.cachedPrefix(in.Hashes)
 	version := s.version
 	s.mu.Unlock()
 
 	if n == 0 {
-		standin.Fail(w, http.StatusNotFound, "not_found", "the first block is not held")
+		standin.WriteError(w, http.StatusNotFound, "not_found", "the first block is not cached")
 		return
 	}
 
@@ -200,58 +200,58 @@
 	w.Header().Set("X-Block-Count", strconv.Itoa(n))
 	w.Header().Set("X-Weight-Version", version)
 
-	if err := json.NewEncoder(w).Encode(sealed{version, in.Hashes[:n]}); err != nil {
+	if err := json.NewEncoder(w).Encode(exportHeader{version, in.Hashes[:n]}); err != nil {
 		return
 	}
 
 	for _, h := range in.Hashes[:n] {
-		if _, err := w.Write(s.content(h)); err != nil {
+		if _, err := w.Write(s.blockContent(h)); err != nil {
 			return
 		}
 	}
 }
 
-// bring imports what export gave. Like a real engine it believes the bytes: a
-// block that was altered or cut is kept, and a run that reads it answers wrong.
-func (s *Server) bring(q *restful.Request, w *restful.Response) {
-	body, ok := standin.Body(w, q.Request)
+// importBlocks imports an export. Like a real engine it does not verify the content: an
+// altered or truncated block is cached, and a run that uses it gives a wrong completion.
+func (s *Server) importBlocks(q *restful.Request, w *restful.Response) {
+	body, ok := standin.ReadBody(w, q.Request)
 	if !ok {
 		return
 	}
 
 	r := bufio.NewReader(bytes.NewReader(body))
 
-	head, err := r.ReadBytes('\n')
+	header, err := r.ReadBytes('\n')
 	if err != nil {
-		standin.Fail(w, http.StatusBadRequest, "bad_request", "no head")
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", "the header line is missing")
 		return
 	}
 
-	var in sealed
-	if err := json.Unmarshal(head, &in); err != nil {
-		standin.Fail(w, http.StatusBadRequest, "bad_request", err.Error())
+	var in exportHeader
+	if err := json.Unmarshal(header, &in); err != nil {
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 
-	sound := make([]bool, len(in.Hashes))
+	intact := make([]bool, len(in.Hashes))
 
 	for i, h := range in.Hashes {
-		want := s.content(h)
+		want := s.blockContent(h)
 		got := make([]byte, len(want))
 		_, err := io.ReadFull(r, got)
-		sound[i] = err == nil && bytes.Equal(got, want)
+		intact[i] = err == nil && bytes.Equal(got, want)
 	}
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	if in.WeightVersion != s.version || s.state != stateReady {
-		standin.Fail(w, http.StatusConflict, "wrong_version", "loaded is "+s.version)
+		standin.WriteError(w, http.StatusConflict, "wrong_version", "the loaded version is "+s.version)
 		return
 	}
 
-	s.keep(time.Now(), in.Hashes, func(i int) bool { return sound[i] })
-	standin.Reply(w, http.StatusOK, struct {
+	s.storeBlocks(time.Now(), in.Hashes, func(i int) bool { return intact[i] })
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Imported int `json:"imported_blocks"`
 	}{min(len(in.Hashes), s.cfg.CacheBlocks)})
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -16,8 +16,9 @@
 	"boragehub/prompt"
 )
 
-// fast is an engine whose work takes no time worth mentioning.
-func fast() Config {
+// fastConfig returns the configuration of an engine whose prefill and decode take
+// negligible time.
+func fastConfig() Config {
 	return Config{Model: "casemodel", WeightVersion: "v1", PrefillTokensPerSecond: 1e9, DecodeTokensPerSecond: 1e9}
 }
 
@@ -31,7 +32,7 @@
 	return s, ts.URL
 }
 
-// call sends v and returns the status and the body.
+// call sends v, as JSON unless it is a []byte, and returns the status and the body.
 func call(t *testing.T, method, url string, v any) (int, []byte) {
 	t.Helper()
 
@@ -59,7 +60,7 @@
 	return w.StatusCode, b
 }
 
-// get decodes the answer to a GET.
+// get decodes the response to a GET.
 func get[T any](t *testing.T, url string) T {
 	t.Helper()
 
@@ -73,8 +74,8 @@
 	return v
 }
 
-// whole completes a request without streaming.
-func whole(t *testing.T, url string, r Request) (string, usage) {
+// complete sends r without streaming and returns the completion and its usage.
+func complete(t *testing.T, url string, r Request) (string, usage) {
 	t.Helper()
 
 	status, b := call(t, http.MethodPost, url+"/v1/completions", r)
@@ -87,8 +88,9 @@
 	return c.Choices[0].Text, *c.Usage
 }
 
-// eventually waits until ok holds; the test's own deadline ends a wait in vain.
-func eventually(t *testing.T, what string, ok func() bool) {
+// waitFor polls until ok returns true; it fails the test with what when the context of
+// the test ends first.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 
 	for !ok() {
@@ -100,15 +102,15 @@
 	}
 }
 
-var file = strings.Repeat("case file 4711, ", 40)
+var filePrompt = strings.Repeat("case file 4711, ", 40)
 
 func TestSecondTimeIsCached(t *testing.T) {
-	s, url := start(t, fast())
-	r := Request{Model: "casemodel", Prompt: file, MaxTokens: 20}
-	_, first := whole(t, url, r)
-	text, second := whole(t, url, r)
+	s, url := start(t, fastConfig())
+	r := Request{Model: "casemodel", Prompt: filePrompt, MaxTokens: 20}
+	_, first := complete(t, url, r)
+	text, second := complete(t, url, r)
 
-	if got, want := text, Answer(file, 20); got != want {
+	if got, want := text, Answer(filePrompt, 20); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
@@ -120,7 +122,7 @@
 		t.Errorf("second: got %d cached tokens, want %d", got, want)
 	}
 
-	whole(t, url, Request{Model: "casemodel", Prompt: file, CacheSalt: "other"})
+	complete(t, url, Request{Model: "casemodel", Prompt: filePrompt, CacheSalt: "other"})
 
 	if got, want := s.runs[2].CachedTokens, 0; got != want {
 		t.Errorf("another salt: got %d cached tokens, want %d", got, want)
@@ -128,12 +130,12 @@
 }
 
 func TestStreamAndResume(t *testing.T) {
-	_, url := start(t, fast())
-	want := Answer(file, 9)
+	_, url := start(t, fastConfig())
+	want := Answer(filePrompt, 9)
 
 	for _, produced := range []int{0, 1, 4, 7, 12, 35, 36} {
 		_, b := call(t, http.MethodPost, url+"/v1/completions", Request{
-			Model: "casemodel", Prompt: file, MaxTokens: 9, Stream: true, ResumeText: want[:produced],
+			Model: "casemodel", Prompt: filePrompt, MaxTokens: 9, Stream: true, ResumeText: want[:produced],
 		})
 
 		var text string
@@ -157,25 +159,25 @@
 		}
 
 		if last.Usage == nil || last.Choices[0].FinishReason == nil || !bytes.HasSuffix(b, []byte("data: [DONE]\n\n")) {
-			t.Errorf("resumed after %d: got no proper end in %s", produced, b)
+			t.Errorf("resumed after %d: incomplete end of stream in %s", produced, b)
 		}
 	}
 }
 
-// The caller of a long answer hangs up. Its place has to go to the one that
-// waits, or the engine fills up with answers that nobody reads.
+// The client of a long completion disconnects. Its batch slot must be released, or the
+// engine fills up with completions that no client reads.
 func TestCancelFreesThePlace(t *testing.T) {
-	cfg := fast()
+	cfg := fastConfig()
 	cfg.MaxRunning = 1
 	cfg.DecodeTokensPerSecond = 1
 	s, url := start(t, cfg)
 	ctx, cancel := context.WithCancel(t.Context())
-	body, _ := json.Marshal(Request{Model: "casemodel", Prompt: file, MaxTokens: 1000, Stream: true})
+	body, _ := json.Marshal(Request{Model: "casemodel", Prompt: filePrompt, MaxTokens: 1000, Stream: true})
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", bytes.NewReader(body))
-	gone := make(chan struct{})
+	ended := make(chan struct{})
 
 	go func() {
-		defer close(gone)
+		defer close(ended)
 
 		if w, err := http.DefaultClient.Do(r); err == nil {
 			_, _ = io.Copy(io.Discard, w.Body)
@@ -183,33 +185,33 @@
 		}
 	}()
 
-	eventually(t, "the long answer never ran", func() bool { return get[loadReport](t, url+"/load").Running == 1 })
+	waitFor(t, "the long completion never started", func() bool { return get[loadReport](t, url+"/load").Running == 1 })
 	cancel()
-	<-gone
-	eventually(t, "the place was not freed", func() bool { return get[loadReport](t, url+"/load").Running == 0 })
+	<-ended
+	waitFor(t, "the batch slot was not released", func() bool { return get[loadReport](t, url+"/load").Running == 0 })
 
-	if got, want := len(s.queue), 0; got != want {
+	if got, want := len(s.waiting), 0; got != want {
 		t.Errorf("got %d waiting, want %d", got, want)
 	}
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	s := New(fast())
+	s := New(fastConfig())
 	s.running = s.cfg.MaxRunning
 	first := make(chan int, 3)
 
 	for i, priority := range []int{5, 1, 5} {
 		go func() {
-			s.enter(t.Context(), priority)
+			s.acquireSlot(t.Context(), priority)
 			first <- i
 		}()
 
-		eventually(t, "nobody waits", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == i+1 })
+		waitFor(t, "the request was not queued", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.waiting) == i+1 })
 	}
 
 	for _, want := range []int{1, 0, 2} {
 		s.mu.Lock()
-		s.release(time.Now())
+		s.releaseSlot(time.Now())
 		s.mu.Unlock()
 
 		if got := <-first; got != want {
@@ -218,12 +220,12 @@
 	}
 }
 
-// A prompt brings its engine down each time it runs. Whoever counts engines has
-// to see each crash and no answer.
+// A prompt crashes its engine each time it runs. The client must get no response, so that
+// each crash is visible to a gateway that counts them.
 func TestCrashPrompt(t *testing.T) {
 	var crashes atomic.Int32
 
-	cfg := fast()
+	cfg := fastConfig()
 	cfg.Crash = func() { crashes.Add(1) }
 	cfg.Faults.CrashPrompt = "poison"
 	_, url := start(t, cfg)
@@ -232,7 +234,7 @@
 	w, err := http.Post(url+"/v1/completions", "application/json", bytes.NewReader(body))
 	if err == nil {
 		_ = w.Body.Close()
-		t.Errorf("got status %d, want a cut connection", w.StatusCode)
+		t.Errorf("got status %d, want a closed connection", w.StatusCode)
 	}
 
 	if got, want := crashes.Load(), int32(1); got != want {
@@ -241,7 +243,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	_, url := start(t, fast())
+	_, url := start(t, fastConfig())
 	cases := []struct {
 		name string
 		r    Request
@@ -260,37 +262,37 @@
 	}
 }
 
-// Cache events get lost. A reader has to see that numbers are missing, or it
-// believes in blocks that are gone.
+// Cache events get lost. A reader must be able to detect the gap in the sequence numbers,
+// or it takes evicted blocks for cached ones.
 func TestLostEventsLeaveAGap(t *testing.T) {
-	s, url := start(t, fast())
-	whole(t, url, Request{Model: "casemodel", Prompt: file})
+	s, url := start(t, fastConfig())
+	complete(t, url, Request{Model: "casemodel", Prompt: filePrompt})
 	call(t, http.MethodPost, url+"/faults", map[string]any{"events_lost": 1, "evict_all": true})
 	call(t, http.MethodPost, url+"/faults", map[string]any{"events_lost": 0})
 
 	p := get[eventPage](t, url+"/events?after=0")
-	if got, want := p.Next, s.seq+1; got != want {
+	if got, want := p.Next, s.lastSeq+1; got != want {
 		t.Errorf("next: got %d, want %d", got, want)
 	}
 
-	if got, want := len(p.Events), int(s.seq)-1; got != want {
+	if got, want := len(p.Events), int(s.lastSeq)-1; got != want {
 		t.Errorf("got %d events, want %d", got, want)
 	}
 
 	call(t, http.MethodPost, url+"/faults", map[string]any{"events_delay_ms": 3_600_000})
 
 	if got, want := len(get[eventPage](t, url+"/events?after=0").Events), 0; got != want {
-		t.Errorf("late: got %d events, want %d", got, want)
+		t.Errorf("delayed: got %d events, want %d", got, want)
 	}
 }
 
-// A copy of cached blocks was altered or cut on its way. The engine believes
-// it, and the caller's answer is wrong.
+// A copy of cached blocks is altered or truncated in transit. The engine imports it
+// without verification, and the completion is wrong.
 func TestImportOfATornCopyShows(t *testing.T) {
-	_, from := start(t, fast())
-	whole(t, from, Request{Model: "casemodel", Prompt: file})
+	_, from := start(t, fastConfig())
+	complete(t, from, Request{Model: "casemodel", Prompt: filePrompt})
 
-	chain := prompt.Scope{Model: "casemodel", Version: "v1"}.Chain(file, prompt.DefaultBlockTokens)
+	chain := prompt.Scope{Model: "casemodel", Version: "v1"}.Chain(filePrompt, prompt.DefaultBlockTokens)
 	status, copied := call(t, http.MethodPost, from+"/cache/export", map[string]any{"hashes": chain})
 
 	if got, want := status, http.StatusOK; got != want {
@@ -300,30 +302,30 @@
 	flipped := bytes.Clone(copied)
 	flipped[len(flipped)-9] ^= 1
 	cases := []struct {
-		name  string
-		copy  []byte
-		sound bool
+		name   string
+		copy   []byte
+		intact bool
 	}{
-		{"whole", copied, true},
-		{"cut", copied[:len(copied)-100], false},
+		{"complete", copied, true},
+		{"truncated", copied[:len(copied)-100], false},
 		{"flipped", flipped, false},
 	}
 
 	for _, c := range cases {
-		_, to := start(t, fast())
+		_, to := start(t, fastConfig())
 		call(t, http.MethodPost, to+"/cache/import", c.copy)
 
-		text, u := whole(t, to, Request{Model: "casemodel", Prompt: file})
+		text, u := complete(t, to, Request{Model: "casemodel", Prompt: filePrompt})
 		if got, want := u.Details.CachedTokens, 160; got != want {
 			t.Errorf("%s: got %d cached tokens, want %d", c.name, got, want)
 		}
 
-		if got := text == Answer(file, defaultMaxTokens); got != c.sound {
-			t.Errorf("%s: got a sound answer %v, want %v", c.name, got, c.sound)
+		if got := text == Answer(filePrompt, defaultMaxTokens); got != c.intact {
+			t.Errorf("%s: got a correct completion %v, want %v", c.name, got, c.intact)
 		}
 	}
 
-	cfg := fast()
+	cfg := fastConfig()
 	cfg.WeightVersion = "v2"
 	_, other := start(t, cfg)
 
@@ -332,10 +334,10 @@
 	}
 }
 
-// An order that was sent before a newer one arrives late. Carrying it out
-// would bring back the old weights.
+// An order arrives after a newer one that was sent later. Applying it would restore the
+// old weights.
 func TestOldOrderIsRefused(t *testing.T) {
-	_, url := start(t, fast())
+	_, url := start(t, fastConfig())
 	cases := []struct {
 		fence  uint64
 		ignore bool
@@ -351,5 +353,5 @@
 	}
 
 	call(t, http.MethodPost, url+"/orders", Order{Fence: 6, Kind: "load_weights", WeightVersion: "v2"})
-	eventually(t, "v2 was never loaded", func() bool { return get[Info](t, url+"/info").WeightVersion == "v2" })
+	waitFor(t, "v2 was never loaded", func() bool { return get[Info](t, url+"/info").WeightVersion == "v2" })
 }
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxLoadTries is how often a load is tried before the order counts as failed.
-	maxLoadTries = 50
-	loadPause    = 100 * time.Millisecond
+	// maxLoadAttempts is how often a load is attempted before the order fails.
+	maxLoadAttempts   = 50
+	loadRetryInterval = 100 * time.Millisecond
 )
 
 // Order is the body of POST /orders.
 type Order struct {
-	// Fence is the fencing number; an older one than seen before is refused.
+	// Fence is the fencing number; one lower than the highest seen is rejected.
 	Fence uint64 `json:"fence"`
 	// Kind is "load_weights", "load_adapter" or "set_role".
 	Kind string `json:"kind"`
@@ -31,12 +31,12 @@
 	WeightVersion string `json:"weight_version,omitempty"`
 	// Adapter is the adapter to load.
 	Adapter string `json:"adapter,omitempty"`
-	// Role is the role to take.
+	// Role is the role to assume.
 	Role string `json:"role,omitempty"`
 }
 
-func (s *Server) order(q *restful.Request, w *restful.Response) {
-	o, ok := standin.Decode[Order](w, q.Request)
+func (s *Server) postOrder(q *restful.Request, w *restful.Response) {
+	o, ok := standin.DecodeBody[Order](w, q.Request)
 	if !ok {
 		return
 	}
@@ -44,33 +44,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if o.Fence < s.fence && !s.Faults().IgnoresFence {
-		standin.Fail(w, http.StatusConflict, "stale_fence", fmt.Sprintf("%d is older than %d", o.Fence, s.fence))
+	if o.Fence < s.highestFence && !s.Faults().IgnoresFence {
+		standin.WriteError(w, http.StatusConflict, "stale_fence", fmt.Sprintf("fence %d is older than %d", o.Fence, s.highestFence))
 		return
 	}
 
-	s.fence = max(s.fence, o.Fence)
+	s.highestFence = max(s.highestFence, o.Fence)
 
 	switch o.Kind {
 	case "set_role":
 		s.role = o.Role
 	case "load_weights":
 		s.state = stateLoading
-		s.attempt++
+		s.loadGeneration++
 
-		go s.fetch(o, s.attempt, o.WeightVersion)
+		go s.runLoad(o, s.loadGeneration, o.WeightVersion)
 	case "load_adapter":
-		go s.fetch(o, 0, o.Adapter)
+		go s.runLoad(o, 0, o.Adapter)
 	default:
-		standin.Fail(w, http.StatusBadRequest, "bad_request", "unknown kind "+o.Kind)
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", "unknown order kind "+o.Kind)
 		return
 	}
 
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// fetch loads a name from the weight store and puts the order into force.
-func (s *Server) fetch(o Order, attempt int, name string) {
+// runLoad downloads a weight version or adapter by name from the weight store and applies
+// the order. If the server stops first, it applies nothing.
+func (s *Server) runLoad(o Order, generation int, name string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
@@ -82,9 +83,9 @@
 		}
 	}()
 
-	ok := s.cfg.WeightStore == ""
-	for i := 0; i < maxLoadTries && !ok; i++ {
-		if ok = s.try(ctx, name); !ok && !pause.For(ctx, loadPause) {
+	loaded := s.cfg.WeightStore == ""
+	for i := 0; i < maxLoadAttempts && !loaded; i++ {
+		if loaded = s.download(ctx, name); !loaded && !pause.For(ctx, loadRetryInterval) {
 			return
 		}
 	}
@@ -92,52 +93,52 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.finish(time.Now(), o, attempt, ok)
+	s.finishLoad(time.Now(), o, generation, loaded)
 }
 
-// try fetches once and reports whether all bytes came.
-func (s *Server) try(ctx context.Context, name string) bool {
-	at, err := url.JoinPath(s.cfg.WeightStore, "weights", s.cfg.Model, name)
+// download makes one download attempt and reports whether all bytes arrived.
+func (s *Server) download(ctx context.Context, name string) bool {
+	target, err := url.JoinPath(s.cfg.WeightStore, "weights", s.cfg.Model, name)
 	if err != nil {
 		return false
 	}
 
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return false
 	}
 
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }()
 
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, resp.Body)
 
-	return err == nil && answer.StatusCode == http.StatusOK
+	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// finish ends a load. A load that failed leaves the old version in force, and
-// one that a later order overtook changes nothing. The caller holds mu.
-func (s *Server) finish(now time.Time, o Order, attempt int, ok bool) {
+// finishLoad ends a load. A failed load leaves the old version in use, and a load of weights
+// superseded by a later order changes nothing. The caller holds mu.
+func (s *Server) finishLoad(now time.Time, o Order, generation int, loaded bool) {
 	if o.Kind == "load_adapter" {
-		if ok && !slices.Contains(s.adapters, o.Adapter) {
+		if loaded && !slices.Contains(s.adapters, o.Adapter) {
 			s.adapters = append(s.adapters, o.Adapter)
 		}
 
 		return
 	}
 
-	if attempt != s.attempt {
+	if generation != s.loadGeneration {
 		return
 	}
 
-	if ok && s.version != o.WeightVersion {
+	if loaded && s.version != o.WeightVersion {
 		s.version = o.WeightVersion
-		s.clear(now)
+		s.clearCache(now)
 	}
 
 	s.state = stateReady
-	s.start(now)
+	s.admitWaiting(now)
 }
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -23,8 +23,8 @@
 	defaultMaxTokens = 16
 	finishLength     = "length"
 	objectName       = "text_completion"
-	// shortest is the shortest wait that is worth a timer.
-	shortest = 50 * time.Microsecond
+	// minTimerWait is the shortest wait for which decode starts a timer.
+	minTimerWait = 50 * time.Microsecond
 )
 
 // Request is the body of POST /v1/completions.
@@ -41,19 +41,19 @@
 	ResumeText    string `json:"resume_text,omitempty"`
 }
 
-// Run is one request that was started, for tests.
+// Run describes one started request, for tests.
 type Run struct {
-	// RequestID is the request's id.
+	// RequestID is the ID of the request.
 	RequestID string `json:"request_id"`
-	// CacheSalt is the request's salt.
+	// CacheSalt is the cache salt of the request.
 	CacheSalt string `json:"cache_salt"`
-	// WeightVersion is what it ran on.
+	// WeightVersion is the version that it ran on.
 	WeightVersion string `json:"weight_version"`
 	// PromptTokens is the length of its prompt and resumed text.
 	PromptTokens int `json:"prompt_tokens"`
-	// CachedTokens is how many of them were cached.
+	// CachedTokens is how many of those tokens were cached.
 	CachedTokens int `json:"cached_tokens"`
-	// AtMS is when it started.
+	// AtMS is when it started, in Unix ms.
 	AtMS int64 `json:"at_ms"`
 }
 
@@ -83,7 +83,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// Answer returns the first tokens of the answer to a prompt.
+// Answer returns the first tokens of the completion of a prompt.
 func Answer(text string, tokens int) string {
 	seed := xxh3.HashString(text)
 
@@ -95,7 +95,7 @@
 	return b.String()
 }
 
-// token returns one token of an answer: three letters and a space.
+// token returns one token of a completion: three letters and a space.
 func token(seed uint64, i int) string {
 	n := rand.NewPCG(seed, uint64(i)).Uint64()
 	letter := func(shift int) byte { return 'a' + byte(n>>shift)%26 }
@@ -103,21 +103,21 @@
 	return string([]byte{letter(0), letter(8), letter(16), ' '})
 }
 
-// waiter is a request that waits for its place.
+// waiter is a request that waits for a batch slot.
 type waiter struct {
 	priority int
 	arrival  uint64
-	place    chan struct{}
+	admitted chan struct{}
 }
 
-// queue orders waiters by priority, then arrival.
-type queue []*waiter
+// waitQueue is a heap of waiters, ordered by priority (lowest number first), then arrival.
+type waitQueue []*waiter
 
-// Len returns how many wait.
-func (q queue) Len() int { return len(q) }
+// Len returns the number of waiters.
+func (q waitQueue) Len() int { return len(q) }
 
-// Less reports whether i goes before j.
-func (q queue) Less(i, j int) bool {
+// Less reports whether i is admitted before j.
+func (q waitQueue) Less(i, j int) bool {
 	if q[i].priority != q[j].priority {
 		return q[i].priority < q[j].priority
 	}
@@ -126,40 +126,40 @@
 }
 
 // Swap swaps i and j.
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q waitQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds a *waiter at the end.
-func (q *queue) Push(x any) { *q = append(*q, x.(*waiter)) }
+// Push appends a *waiter, for container/heap.
+func (q *waitQueue) Push(x any) { *q = append(*q, x.(*waiter)) }
 
-// Pop takes the last.
-func (q *queue) Pop() any {
+// Pop removes the last waiter, for container/heap.
+func (q *waitQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 
 	return last
 }
 
-// start gives places to those that wait. The caller holds mu.
-func (s *Server) start(now time.Time) {
-	for s.state == stateReady && s.running < s.cfg.MaxRunning && len(s.queue) > 0 {
+// admitWaiting gives free batch slots to waiters. The caller holds mu.
+func (s *Server) admitWaiting(now time.Time) {
+	for s.state == stateReady && s.running < s.cfg.MaxRunning && len(s.waiting) > 0 {
 		s.running++
-		close(heap.Pop(&s.queue).(*waiter).place)
+		close(heap.Pop(&s.waiting).(*waiter).admitted)
 	}
 
-	s.report(now)
+	s.recordLoad(now)
 }
 
-// enter waits for a place and reports whether it got one before ctx ended.
-func (s *Server) enter(ctx context.Context, priority int) bool {
+// acquireSlot waits for a batch slot and reports whether it got one before ctx ended.
+func (s *Server) acquireSlot(ctx context.Context, priority int) bool {
 	s.mu.Lock()
 	s.arrivals++
-	me := &waiter{priority: priority, arrival: s.arrivals, place: make(chan struct{})}
-	heap.Push(&s.queue, me)
-	s.start(time.Now())
+	self := &waiter{priority: priority, arrival: s.arrivals, admitted: make(chan struct{})}
+	heap.Push(&s.waiting, self)
+	s.admitWaiting(time.Now())
 	s.mu.Unlock()
 
 	select {
-	case <-me.place:
+	case <-self.admitted:
 		return true
 	case <-ctx.Done():
 	}
@@ -167,48 +167,49 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if i := slices.Index(s.queue, me); i >= 0 {
-		heap.Remove(&s.queue, i)
-		s.report(time.Now())
+	if i := slices.Index(s.waiting, self); i >= 0 {
+		heap.Remove(&s.waiting, i)
+		s.recordLoad(time.Now())
 	} else {
-		s.release(time.Now())
+		s.releaseSlot(time.Now())
 	}
 
 	return false
 }
 
-// release gives a place back. The caller holds mu.
-func (s *Server) release(now time.Time) {
+// releaseSlot releases a batch slot. The caller holds mu.
+func (s *Server) releaseSlot(now time.Time) {
 	s.running--
-	s.start(now)
+	s.admitWaiting(now)
 }
 
-// run is one request that has its place.
+// run is one request that holds a batch slot.
 type run struct {
 	Request
-	id     string
-	seed   uint64
-	sound  bool
-	scope  prompt.Scope
-	chain  prompt.Chain
-	first  int
-	usage  usage
-	writer http.ResponseWriter
-	flush  func()
+	completionID  string
+	seed          uint64
+	intact        bool
+	scope         prompt.Scope
+	chain         prompt.Chain
+	resumedTokens int
+	usage         usage
+	writer        http.ResponseWriter
+	flush         func()
 }
 
-// refuse answers a request that can't run on what is loaded. The caller holds mu.
-func (s *Server) refuse(w http.ResponseWriter, r Request) bool {
+// rejectUnservable writes an error and returns true if weights are loading, or if r needs a
+// model, version or adapter that is not loaded. The caller holds mu.
+func (s *Server) rejectUnservable(w http.ResponseWriter, r Request) bool {
 	switch {
 	case r.Model != s.cfg.Model:
-		standin.Fail(w, http.StatusNotFound, "model_not_found", "the model is "+s.cfg.Model)
+		standin.WriteError(w, http.StatusNotFound, "model_not_found", "the engine serves model "+s.cfg.Model)
 	case s.state != stateReady:
 		w.Header().Set("Retry-After", "1")
-		standin.Fail(w, http.StatusServiceUnavailable, stateLoading, "weights are being loaded")
+		standin.WriteError(w, http.StatusServiceUnavailable, stateLoading, "weights are loading")
 	case r.WeightVersion != "" && r.WeightVersion != s.version:
-		standin.Fail(w, http.StatusConflict, "wrong_version", "loaded is "+s.version)
+		standin.WriteError(w, http.StatusConflict, "wrong_version", "the loaded version is "+s.version)
 	case r.Adapter != "" && !slices.Contains(s.adapters, r.Adapter):
-		standin.Fail(w, http.StatusConflict, "wrong_adapter", r.Adapter+" is not loaded")
+		standin.WriteError(w, http.StatusConflict, "wrong_adapter", r.Adapter+" is not a loaded adapter")
 	default:
 		return false
 	}
@@ -216,31 +217,31 @@
 	return true
 }
 
-// owe adds to the prefill that is waiting. The caller holds mu.
-func (s *Server) owe(now time.Time, tokens int) {
-	s.owed += tokens
-	s.report(now)
+// addPrefillTokens adds to the outstanding prefill tokens. The caller holds mu.
+func (s *Server) addPrefillTokens(now time.Time, tokens int) {
+	s.waitingPrefillTokens += tokens
+	s.recordLoad(now)
 }
 
-func (s *Server) complete(q *restful.Request, w *restful.Response) {
-	in, ok := standin.Decode[Request](w, q.Request)
+func (s *Server) postCompletions(q *restful.Request, w *restful.Response) {
+	in, ok := standin.DecodeBody[Request](w, q.Request)
 	if !ok {
 		return
 	}
 
 	if in.MaxTokens < 0 {
-		standin.Fail(w, http.StatusBadRequest, "bad_request", "max_tokens is negative")
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", "max_tokens is negative")
 		return
 	}
 
-	def(&in.MaxTokens, defaultMaxTokens)
-	def(&in.RequestID, uuid.NewString())
+	setDefault(&in.MaxTokens, defaultMaxTokens)
+	setDefault(&in.RequestID, uuid.NewString())
 
 	s.mu.Lock()
-	refused := s.refuse(w, in)
+	refused := s.rejectUnservable(w, in)
 	s.mu.Unlock()
 
-	if refused || !s.enter(q.Request.Context(), in.Priority) {
+	if refused || !s.acquireSlot(q.Request.Context(), in.Priority) {
 		return
 	}
 
@@ -248,7 +249,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 
-		s.release(time.Now())
+		s.releaseSlot(time.Now())
 	}()
 
 	if f := s.Faults(); f.CrashPrompt != "" && strings.Contains(in.Prompt, f.CrashPrompt) {
@@ -256,98 +257,99 @@
 		panic(http.ErrAbortHandler)
 	}
 
-	if r := s.begin(w, in); r != nil && s.fillCache(q.Request.Context(), r) {
+	if r := s.startRun(w, in); r != nil && s.prefill(q.Request.Context(), r) {
 		s.decode(q.Request.Context(), r)
 	}
 }
 
-// begin prepares a run that has its place; nil when what is loaded has changed
-// while it waited.
-func (s *Server) begin(w *restful.Response, in Request) *run {
+// startRun prepares the run of an admitted request. It writes an error and returns nil if
+// what is loaded changed while the request waited and can't serve it.
+func (s *Server) startRun(w *restful.Response, in Request) *run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.refuse(w, in) {
+	if s.rejectUnservable(w, in) {
 		return nil
 	}
 
 	now := time.Now()
 	text := in.Prompt + in.ResumeText
 	r := &run{
-		Request: in, id: in.RequestID, seed: xxh3.HashString(in.Prompt), writer: w, flush: w.Flush,
-		scope: prompt.Scope{Salt: in.CacheSalt, Model: in.Model, Version: s.version, Adapter: in.Adapter},
-		first: prompt.Tokens(in.ResumeText),
+		Request: in, completionID: in.RequestID, seed: xxh3.HashString(in.Prompt), writer: w, flush: w.Flush,
+		scope:         prompt.Scope{Salt: in.CacheSalt, Model: in.Model, Version: s.version, Adapter: in.Adapter},
+		resumedTokens: prompt.Tokens(in.ResumeText),
 	}
 	r.chain = r.scope.Chain(text, s.cfg.BlockTokens)
 
-	n, sound := s.cached(r.chain)
-	if r.sound = sound; !sound {
+	n, intact := s.cachedPrefix(r.chain)
+	if r.intact = intact; !intact {
 		r.seed = ^r.seed
 	}
 
 	r.usage = usage{
 		PromptTokens:     prompt.Tokens(text),
-		CompletionTokens: max(in.MaxTokens, r.first),
+		CompletionTokens: max(in.MaxTokens, r.resumedTokens),
 		Details:          details{CachedTokens: n * s.cfg.BlockTokens},
 	}
-	r.usage.TotalTokens = r.usage.PromptTokens + r.usage.CompletionTokens - r.first
+	r.usage.TotalTokens = r.usage.PromptTokens + r.usage.CompletionTokens - r.resumedTokens
 	s.runs = append(s.runs, Run{
 		RequestID: in.RequestID, CacheSalt: in.CacheSalt, WeightVersion: s.version,
 		PromptTokens: r.usage.PromptTokens, CachedTokens: r.usage.Details.CachedTokens, AtMS: now.UnixMilli(),
 	})
-	s.keep(now, r.chain[:n], func(int) bool { return sound })
-	s.owe(now, r.missing())
+	s.storeBlocks(now, r.chain[:n], func(int) bool { return intact })
+	s.addPrefillTokens(now, r.prefillTokens())
 
 	return r
 }
 
-// missing returns how many tokens have to be computed before the first one.
-func (r *run) missing() int { return r.usage.PromptTokens - r.usage.Details.CachedTokens }
+// prefillTokens returns how many tokens have to be prefilled before decoding.
+func (r *run) prefillTokens() int { return r.usage.PromptTokens - r.usage.Details.CachedTokens }
 
-// work returns how long so many tokens take at a speed.
-func (s *Server) work(tokens int, speed float64) time.Duration {
+// workTime returns how long tokens take at speed, in tokens per second.
+func (s *Server) workTime(tokens int, speed float64) time.Duration {
 	factor := s.Faults().SlowFactor
-	def(&factor, 1)
+	setDefault(&factor, 1)
 
 	return time.Duration(float64(tokens) / speed * factor * float64(time.Second))
 }
 
-// fillCache computes what is not cached, one run at a time.
-func (s *Server) fillCache(ctx context.Context, r *run) bool {
+// prefill waits for its turn, since one run prefills at a time, and then for the time of the
+// uncached tokens. It reports whether it finished before ctx ended.
+func (s *Server) prefill(ctx context.Context, r *run) bool {
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 
-		s.owe(time.Now(), -r.missing())
+		s.addPrefillTokens(time.Now(), -r.prefillTokens())
 	}()
 
 	select {
-	case s.prefill <- struct{}{}:
+	case s.prefillSlot <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
 
-	done := pause.For(ctx, s.work(r.missing(), s.cfg.PrefillTokensPerSecond))
-	<-s.prefill
+	done := pause.For(ctx, s.workTime(r.prefillTokens(), s.cfg.PrefillTokensPerSecond))
+	<-s.prefillSlot
 
 	if done {
-		s.remember(time.Now(), r, r.chain)
+		s.cacheRun(time.Now(), r, r.chain)
 	}
 
 	return done
 }
 
-// remember caches the blocks of a run, unless its weights are no longer loaded.
-func (s *Server) remember(now time.Time, r *run, chain prompt.Chain) {
+// cacheRun caches the blocks of a run, unless its weights are no longer loaded.
+func (s *Server) cacheRun(now time.Time, r *run, chain prompt.Chain) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	if r.scope.Version == s.version {
-		s.keep(now, chain, func(int) bool { return r.sound })
+		s.storeBlocks(now, chain, func(int) bool { return r.intact })
 	}
 }
 
-// decode gives out the answer at the engine's speed.
+// decode generates the completion at the engine's speed and writes it.
 func (s *Server) decode(ctx context.Context, r *run) {
 	var text strings.Builder
 
@@ -359,8 +361,8 @@
 	}
 
 	for i := len(r.ResumeText) / prompt.TokenBytes; i < r.MaxTokens; i++ {
-		due = due.Add(s.work(1, s.cfg.DecodeTokensPerSecond))
-		if wait := time.Until(due); wait > shortest && !pause.For(ctx, wait) {
+		due = due.Add(s.workTime(1, s.cfg.DecodeTokensPerSecond))
+		if wait := time.Until(due); wait > minTimerWait && !pause.For(ctx, wait) {
 			break
 		}
 
@@ -369,32 +371,32 @@
 
 		text.WriteString(t)
 
-		if r.Stream && i < r.MaxTokens-1 && !r.send(t, false) {
+		if r.Stream && i < r.MaxTokens-1 && !r.sendEvent(t, false) {
 			break
 		}
 	}
 
-	answer := text.String()
-	s.remember(time.Now(), r, r.scope.Chain(r.Prompt+r.ResumeText+answer, s.cfg.BlockTokens))
+	completed := text.String()
+	s.cacheRun(time.Now(), r, r.scope.Chain(r.Prompt+r.ResumeText+completed, s.cfg.BlockTokens))
 
 	if ctx.Err() != nil {
 		return
 	}
 
 	if !r.Stream {
-		standin.Reply(r.writer, http.StatusOK, r.chunk(answer, true))
+		standin.WriteJSON(r.writer, http.StatusOK, r.chunk(completed, true))
 		return
 	}
 
-	if r.send(answer[max(len(answer)-prompt.TokenBytes, 0):], true) {
+	if r.sendEvent(completed[max(len(completed)-prompt.TokenBytes, 0):], true) {
 		_, _ = r.writer.Write([]byte("data: [DONE]\n\n"))
 		r.flush()
 	}
 }
 
-// chunk returns a piece of the answer; the last one has the usage.
+// chunk returns a part of the completion; the last one carries finish reason and usage.
 func (r *run) chunk(text string, last bool) completion {
-	c := completion{ID: r.id, Object: objectName, Created: time.Now().Unix(), Model: r.Model}
+	c := completion{ID: r.completionID, Object: objectName, Created: time.Now().Unix(), Model: r.Model}
 	c.Choices = []choice{{Text: text}}
 
 	if last {
@@ -406,9 +408,9 @@
 	return c
 }
 
-// send writes one server-sent event and reports whether it could.
-func (r *run) send(text string, last bool) bool {
-	// A completion has nothing that can't be encoded.
+// sendEvent writes one server-sent event and reports whether that succeeded.
+func (r *run) sendEvent(text string, last bool) bool {
+	// A completion can always be encoded.
 	b, _ := json.Marshal(r.chunk(text, last))
 
 	if _, err := r.writer.Write([]byte("data: " + string(b) + "\n\n")); err != nil {
@@ -420,7 +422,7 @@
 	return true
 }
 
-// Runs returns the runs that began, in order.
+// Runs returns the started runs, in order.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -433,10 +435,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.seq
+	return s.lastSeq
 }
 
-// Running returns how many requests have a place.
+// Running returns how many requests hold a batch slot.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -445,5 +447,5 @@
 }
 
 func (s *Server) listRuns(_ *restful.Request, w *restful.Response) {
-	standin.Reply(w, http.StatusOK, s.Runs())
+	standin.WriteJSON(w, http.StatusOK, s.Runs())
 }
--- a/standin/lagged.go
+++ b/standin/lagged.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// maxLag is how far back a Lagged remembers.
-const maxLag = 10 * time.Minute
+// lagHistory is how long a Lagged keeps past values.
+const lagHistory = 10 * time.Minute
 
-// Lagged holds a value whose readers see it as it was some time ago. The zero
-// value is ready.
+// Lagged holds a value that readers see with a delay. The zero value is ready to use.
 type Lagged[T any] struct {
 	mu      sync.Mutex
 	entries []laggedEntry[T]
@@ -20,25 +19,26 @@
 	value T
 }
 
-// Set sets the value as of now.
+// Set records v as the value from now on.
 func (l *Lagged[T]) Set(now time.Time, v T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.entries = append(l.entries, laggedEntry[T]{at: now, value: v})
 
-	// The newest entry that is too old is still what a reader sees.
-	keep := 0
-	for keep+1 < len(l.entries) && now.Sub(l.entries[keep+1].at) > maxLag {
-		keep++
+	// The newest entry older than lagHistory is still visible to a reader.
+	first := 0
+	for first+1 < len(l.entries) && now.Sub(l.entries[first+1].at) > lagHistory {
+		first++
 	}
 
-	if keep > len(l.entries)/2 {
-		l.entries = append([]laggedEntry[T](nil), l.entries[keep:]...)
+	if first > len(l.entries)/2 {
+		l.entries = append([]laggedEntry[T](nil), l.entries[first:]...)
 	}
 }
 
-// Get returns the value as it was at now less lag, and since when it was so.
+// Get returns the value as it was lag before now, and the time it was set. Both are zero
+// if nothing had been set by then.
 func (l *Lagged[T]) Get(now time.Time, lag time.Duration) (T, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/logservice/logservice.go
+++ b/standin/logservice/logservice.go
@@ -1,11 +1,11 @@
-// Package logservice is the stand-in of the platform's append-only log service.
+// Package logservice is the stand-in for the platform's append-only log service.
 //
 // # Model
 //
-// A stream is a list of records with offsets from 1 on, kept in memory. A read
-// waits until there is something to give. The switches make the service slow or
-// down, limit the rate of appends, drop old records, and lose the answer to an
-// append that has taken effect, so that its writer can't know:
+// A stream is a list of records, kept in memory, with offsets from 1. A read can wait until a
+// record is available. Faults make the service slow or unavailable, limit the rate of
+// appends, drop old records, and lose the response to an append that has taken effect, so
+// that the writer can't know its outcome:
 //
 //	s := logservice.New(logservice.Config{})
 //	err := s.Serve(ctx, "127.0.0.1:7700")
@@ -25,47 +25,48 @@
 )
 
 const (
-	// MaxAppend is the most bytes of records in one append.
-	MaxAppend = 1 << 20
-	// maxAnswer is about the most bytes of records in one answer.
-	maxAnswer = 4 << 20
-	// defaultMost is how many records an answer holds where the reader doesn't say.
-	defaultMost = 1000
-	// defaultRate is the appends a second where nothing is set.
-	defaultRate = 400
+	// MaxAppendBytes is the maximum size of the records in one append.
+	MaxAppendBytes = 1 << 20
+	// maxResponseBytes limits the records in one response; the last record may exceed it.
+	maxResponseBytes = 4 << 20
+	// defaultMaxRecords is the maximum number of records in one response, and the default.
+	defaultMaxRecords = 1000
+	// defaultAppendsPerSecond applies if AppendsPerSecond is zero.
+	defaultAppendsPerSecond = 400
 )
 
-// Faults are the switches of the log service.
+// Faults are the fault settings of the log service.
 type Faults struct {
-	standin.Silent
-	// Down answers every call with 503.
+	standin.ConnectionFaults
+	// Down makes requests fail with 503.
 	Down bool `json:"down"`
-	// DelayMS is how long each call takes, in ms. An append takes effect after
-	// it, also when its writer has given up by then.
+	// DelayMS is how long each request is delayed, in ms. An append takes effect after the
+	// delay even if its writer has disconnected.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseAnswers is the share of appends that take effect and whose answer is cut.
-	LoseAnswers float64 `json:"lose_answers"`
-	// RetainRecords keeps only the newest records of each stream; 0 keeps all.
+	// LoseResponses is the fraction of appends that take effect and get no response.
+	LoseResponses float64 `json:"lose_answers"`
+	// RetainRecords is how many of the newest records each stream keeps; 0 keeps all.
 	RetainRecords int `json:"retain_records"`
-	// AppendsPerSecond is the rate over which appends get 429; 0 is 400, less than 0 no limit.
+	// AppendsPerSecond is the rate above which appends get 429; 0 is 400, negative means no
+	// limit.
 	AppendsPerSecond float64 `json:"appends_per_second"`
 }
 
 // Config configures a Server.
 type Config struct {
-	// Retention is how long records are kept; zero keeps them for ever.
+	// Retention is how long records are kept; zero keeps them indefinitely.
 	Retention time.Duration
-	// Seed seeds the choice of lost answers.
+	// Seed seeds the choice of lost responses.
 	Seed uint64
-	// Faults are the switches at the start.
+	// Faults are the initial fault settings.
 	Faults Faults
 }
 
 // Record is one record of a stream.
 type Record struct {
-	// Offset is its place in the stream, from 1 on.
+	// Offset is its position in the stream, from 1.
 	Offset uint64 `json:"offset"`
-	// AtMS is when it was appended.
+	// AtMS is when it was appended, in Unix ms.
 	AtMS int64 `json:"at_ms"`
 	// Data is its content.
 	Data []byte `json:"data"`
@@ -73,17 +74,17 @@
 
 // stream is one stream: records[i] has the offset first+i.
 type stream struct {
-	first   uint64
-	records []Record
-	grown   chan struct{}
+	first    uint64
+	records  []Record
+	appended chan struct{}
 }
 
-// next returns the offset that the next record gets.
-func (s *stream) next() uint64 { return s.first + uint64(len(s.records)) }
+// nextOffset returns the offset of the next record to be appended.
+func (s *stream) nextOffset() uint64 { return s.first + uint64(len(s.records)) }
 
-// Server is the stand-in. Use New.
+// Server is the stand-in. Create it with New.
 type Server struct {
-	*standin.Host[Faults]
+	*standin.BaseServer[Faults]
 	cfg Config
 
 	mu      sync.Mutex
@@ -99,27 +100,28 @@
 		rng:     rand.New(rand.NewPCG(cfg.Seed, 0)),
 		streams: map[string]*stream{},
 	}
-	s.Host = standin.New(standin.Config[Faults]{Faults: cfg.Faults, Changed: s.changed, Routes: s.routes})
-	s.changed(cfg.Faults)
+	s.BaseServer = standin.New(standin.Config[Faults]{Faults: cfg.Faults, OnFaultsPosted: s.applyFaults, AddRoutes: s.routes})
+	s.applyFaults(cfg.Faults)
 
 	return s
 }
 
 func (s *Server) routes(ws *restful.WebService) {
-	ws.Route(ws.GET("/streams").To(s.list))
-	ws.Route(ws.POST("/streams/{name}/records").To(s.append))
-	ws.Route(ws.GET("/streams/{name}/records").To(s.read))
+	ws.Route(ws.GET("/streams").To(s.listStreams))
+	ws.Route(ws.POST("/streams/{name}/records").To(s.postRecords))
+	ws.Route(ws.GET("/streams/{name}/records").To(s.getRecords))
 }
 
-// changed puts the rate in force, with a second's worth of appends to begin with.
-func (s *Server) changed(f Faults) {
+// applyFaults sets the rate limit of appends, with a burst of one second's worth. An
+// unchanged limit keeps its limiter and what is left of the burst.
+func (s *Server) applyFaults(f Faults) {
 	limit := rate.Limit(f.AppendsPerSecond)
 
 	switch {
 	case limit < 0:
 		limit = rate.Inf
 	case limit == 0:
-		limit = defaultRate
+		limit = defaultAppendsPerSecond
 	}
 
 	s.mu.Lock()
@@ -130,31 +132,31 @@
 	}
 }
 
-// allow reports whether the rate of appends has room for one more.
-func (s *Server) allow() bool {
+// allowAppend reports whether the rate limit admits one more append.
+func (s *Server) allowAppend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	return s.limiter.Allow()
 }
 
-// available delays the call and answers it when the service is down.
-func (s *Server) available(w http.ResponseWriter) bool {
-	time.Sleep(standin.Millis(s.Faults().DelayMS))
+// checkAvailable delays the request, and writes a 503 and returns false if the service is down.
+func (s *Server) checkAvailable(w http.ResponseWriter) bool {
+	time.Sleep(standin.Milliseconds(s.Faults().DelayMS))
 
 	if s.Faults().Down {
-		standin.Fail(w, http.StatusServiceUnavailable, "down", "the log service is down")
+		standin.WriteError(w, http.StatusServiceUnavailable, "down", "the log service is unavailable")
 		return false
 	}
 
 	return true
 }
 
-func (s *Server) append(q *restful.Request, w *restful.Response) {
-	in, ok := standin.Decode[struct {
+func (s *Server) postRecords(q *restful.Request, w *restful.Response) {
+	in, ok := standin.DecodeBody[struct {
 		Records [][]byte `json:"records"`
 	}](w, q.Request)
-	if !ok || !s.available(w) {
+	if !ok || !s.checkAvailable(w) {
 		return
 	}
 
@@ -165,57 +167,57 @@
 
 	switch {
 	case len(in.Records) == 0:
-		standin.Fail(w, http.StatusBadRequest, "bad_request", "no records")
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", "records is empty")
 		return
-	case size > MaxAppend:
-		standin.Fail(w, http.StatusRequestEntityTooLarge, "too_large", "over 1 MiB of records")
+	case size > MaxAppendBytes:
+		standin.WriteError(w, http.StatusRequestEntityTooLarge, "too_large", "records exceed 1 MiB")
 		return
-	case !s.allow():
+	case !s.allowAppend():
 		w.Header().Set("Retry-After", "1")
-		standin.Fail(w, http.StatusTooManyRequests, "rate_limited", "too many appends")
+		standin.WriteError(w, http.StatusTooManyRequests, "rate_limited", "append rate limit exceeded")
 
 		return
 	}
 
-	offset, lost := s.add(time.Now(), q.PathParameter("name"), in.Records)
-	if lost {
+	offset, loseResponse := s.appendRecords(time.Now(), q.PathParameter("name"), in.Records)
+	if loseResponse {
 		panic(http.ErrAbortHandler)
 	}
 
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Offset uint64 `json:"offset"`
 	}{offset})
 }
 
-// add appends records and returns the offset of the first, and whether the
-// answer is to be lost.
-func (s *Server) add(now time.Time, name string, records [][]byte) (uint64, bool) {
+// appendRecords appends records. It returns the offset of the first one and whether the
+// response is to be lost.
+func (s *Server) appendRecords(now time.Time, name string, records [][]byte) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	st, ok := s.streams[name]
 	if !ok {
-		st = &stream{first: 1, grown: make(chan struct{})}
+		st = &stream{first: 1, appended: make(chan struct{})}
 		s.streams[name] = st
 	}
 
-	offset := st.next()
+	offset := st.nextOffset()
 	for _, b := range records {
-		st.records = append(st.records, Record{Offset: st.next(), AtMS: now.UnixMilli(), Data: b})
+		st.records = append(st.records, Record{Offset: st.nextOffset(), AtMS: now.UnixMilli(), Data: b})
 	}
 
-	close(st.grown)
-	st.grown = make(chan struct{})
+	close(st.appended)
+	st.appended = make(chan struct{})
 
-	return offset, s.rng.Float64() < s.Faults().LoseAnswers
+	return offset, s.rng.Float64() < s.Faults().LoseResponses
 }
 
-// trim drops what is no longer kept.
+// trim drops the records that RetainRecords and Retention no longer keep. The caller holds mu.
 func (s *Server) trim(now time.Time, st *stream) {
 	drop := 0
 
-	if keep := s.Faults().RetainRecords; keep > 0 {
-		drop = max(len(st.records)-keep, 0)
+	if retain := s.Faults().RetainRecords; retain > 0 {
+		drop = max(len(st.records)-retain, 0)
 	}
 
 	if s.cfg.Retention > 0 {
@@ -229,100 +231,100 @@
 	st.records = st.records[drop:]
 }
 
-// page is the answer to a read.
+// page is the response to a read.
 type page struct {
 	First   uint64   `json:"first_offset"`
 	Next    uint64   `json:"next_offset"`
 	Records []Record `json:"records"`
 }
 
-func (s *Server) read(q *restful.Request, w *restful.Response) {
-	if !s.available(w) {
+func (s *Server) getRecords(q *restful.Request, w *restful.Response) {
+	if !s.checkAvailable(w) {
 		return
 	}
 
-	ctx, cancel := s.Wait(q.Request)
+	ctx, cancel := s.LongPollContext(q.Request)
 	defer cancel()
 
-	from := max(standin.Number(q.Request, "from", 1), 1)
-	most := int(min(standin.Number(q.Request, "max", defaultMost), defaultMost))
+	from := max(standin.QueryUint(q.Request, "from", 1), 1)
+	maxRecords := int(min(standin.QueryUint(q.Request, "max", defaultMaxRecords), defaultMaxRecords))
 
 	for {
-		p, grown := s.page(time.Now(), q.PathParameter("name"), from, most)
+		p, appended := s.readPage(time.Now(), q.PathParameter("name"), from, maxRecords)
 		if from < p.First {
-			standin.Reply(w, http.StatusGone, p)
+			standin.WriteJSON(w, http.StatusGone, p)
 			return
 		}
 
 		if len(p.Records) > 0 || ctx.Err() != nil || s.Faults().Down {
-			standin.Reply(w, http.StatusOK, p)
+			standin.WriteJSON(w, http.StatusOK, p)
 			return
 		}
 
 		select {
-		case <-grown:
+		case <-appended:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// page returns what a read gets now, and a channel that is closed when the
-// stream grows.
-func (s *Server) page(now time.Time, name string, from uint64, most int) (page, <-chan struct{}) {
+// readPage returns the records available to a read now, and a channel that is closed when
+// the stream grows.
+func (s *Server) readPage(now time.Time, name string, from uint64, maxRecords int) (page, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	st, ok := s.streams[name]
 	if !ok {
-		st = &stream{first: 1, grown: make(chan struct{})}
+		st = &stream{first: 1, appended: make(chan struct{})}
 		s.streams[name] = st
 	}
 
 	s.trim(now, st)
 
-	p := page{First: st.first, Next: st.next(), Records: []Record{}}
+	p := page{First: st.first, Next: st.nextOffset(), Records: []Record{}}
 	if from < p.First {
-		return p, st.grown
+		return p, st.appended
 	}
 
 	size := 0
 
-	for i := from - p.First; i < uint64(len(st.records)) && len(p.Records) < most && size < maxAnswer; i++ {
+	for i := from - p.First; i < uint64(len(st.records)) && len(p.Records) < maxRecords && size < maxResponseBytes; i++ {
 		p.Records = append(p.Records, st.records[i])
 		size += len(st.records[i].Data)
 	}
 
-	return p, st.grown
+	return p, st.appended
 }
 
-// summary is one stream in the list of streams.
-type summary struct {
+// streamSummary is one stream in the list of streams.
+type streamSummary struct {
 	Name  string `json:"name"`
 	First uint64 `json:"first_offset"`
 	Next  uint64 `json:"next_offset"`
 }
 
-func (s *Server) list(_ *restful.Request, w *restful.Response) {
-	if !s.available(w) {
+func (s *Server) listStreams(_ *restful.Request, w *restful.Response) {
+	if !s.checkAvailable(w) {
 		return
 	}
 
-	standin.Reply(w, http.StatusOK, struct {
-		Streams []summary `json:"streams"`
-	}{s.summaries(time.Now())})
+	standin.WriteJSON(w, http.StatusOK, struct {
+		Streams []streamSummary `json:"streams"`
+	}{s.streamSummaries(time.Now())})
 }
 
-func (s *Server) summaries(now time.Time) []summary {
+func (s *Server) streamSummaries(now time.Time) []streamSummary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	all := []summary{}
+	all := []streamSummary{}
 
 	for name, st := range s.streams {
 		s.trim(now, st)
 
-		if st.next() > 1 {
-			all = append(all, summary{Name: name, First: st.first, Next: st.next()})
+		if st.nextOffset() > 1 {
+			all = append(all, streamSummary{Name: name, First: st.first, Next: st.nextOffset()})
 		}
 	}
 
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,10 +1,10 @@
-// Package plain is the stand-in of a plain service beside the model engines,
-// such as a booking desk whose calls may not be repeated.
+// Package plain is the stand-in for a plain service, that is, one other than the model
+// engines, such as a booking system whose requests must not be repeated.
 //
 // # Model
 //
-// Each call that is carried out gets the next run number and is kept in a list,
-// so that a test can tell how often a booking was made:
+// Each request that is executed gets the next run number and is recorded, so that a test can
+// count how often a booking was made:
 //
 //	s := plain.New(plain.Config{Service: "booking-api", VM: "booking-1"})
 //	err := s.Serve(ctx, "127.0.0.1:7800")
@@ -24,50 +24,50 @@
 	"boragehub/standin"
 )
 
-// The headers that a call is known by in the list of runs.
+// Headers that the list of runs records.
 const (
-	HeaderKey          = "Idempotency-Key"
-	HeaderOrganisation = "X-Organisation"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderOrganisation   = "X-Organisation"
 )
 
-// crashStatus is the exit status of a crash.
+// crashStatus is the exit status of a simulated crash.
 const crashStatus = 134
 
-// heldEvery is the pause between two looks of a call that is held.
-const heldEvery = 5 * time.Millisecond
+// heldPollInterval is how often a held request checks whether Held is still set.
+const heldPollInterval = 5 * time.Millisecond
 
-// Faults are the switches of a plain service.
+// Faults are the fault settings of a plain service.
 type Faults struct {
-	standin.Silent
-	// DelayMS is how long a call takes before it is carried out, in ms.
+	standin.ConnectionFaults
+	// DelayMS is how long a request is delayed before it is executed, in ms.
 	DelayMS int64 `json:"delay_ms"`
-	// Held keeps all calls from being carried out for as long as it is set.
+	// Held keeps requests from being executed while it is set.
 	Held bool `json:"held"`
-	// CrashBody ends the process when a body contains this text; empty is none.
+	// CrashBody ends the process when a body contains this text; empty disables it.
 	CrashBody string `json:"crash_body"`
-	// FailStatus is answered in place of carrying out the call; 0 is none.
+	// FailStatus is the status to respond with instead of executing the request; 0 disables it.
 	FailStatus int `json:"fail_status"`
-	// DropAnswer carries out the call and closes the connection without an answer.
-	DropAnswer bool `json:"drop_answer"`
+	// DropResponse executes the request and closes the connection without a response.
+	DropResponse bool `json:"drop_answer"`
 }
 
 // Config configures a Server.
 type Config struct {
-	// Service is the service's name.
+	// Service is the name of the service.
 	Service string
 	// VM is the name of its VM.
 	VM string
-	// MaxRunning is how many calls run at once, the others wait; zero is no limit.
+	// MaxRunning is how many requests run concurrently; others wait. Zero is no limit.
 	MaxRunning int
-	// LoadLag is how late a load report is.
+	// LoadLag is the delay of load reports.
 	LoadLag time.Duration
-	// Crash is called when the service crashes; nil ends the process.
+	// Crash is called to simulate a crash; nil ends the process.
 	Crash func()
-	// Faults are the switches at the start.
+	// Faults are the initial fault settings.
 	Faults Faults
 }
 
-// Run is one call that was carried out.
+// Run is one executed request.
 type Run struct {
 	// Key is its Idempotency-Key.
 	Key string `json:"idempotency_key"`
@@ -75,43 +75,43 @@
 	Organisation string `json:"organisation"`
 	// Path is its path.
 	Path string `json:"path"`
-	// AtMS is when it was carried out.
+	// AtMS is when it was executed, in Unix ms.
 	AtMS int64 `json:"at_ms"`
 }
 
-// Answer is the answer to a call.
-type Answer struct {
-	// Service is the service's name.
+// Response is the body of a response.
+type Response struct {
+	// Service is the name of the service.
 	Service string `json:"service"`
-	// VM is the VM that carried the call out.
+	// VM is the VM that executed the request.
 	VM string `json:"vm"`
-	// Run is the number of the run.
+	// Run is the number of the run, from 1.
 	Run int `json:"run"`
-	// Method is the call's method.
+	// Method is the method of the request.
 	Method string `json:"method"`
-	// Path is the call's path.
+	// Path is the path of the request.
 	Path string `json:"path"`
-	// Body is the call's body.
+	// Body is the body of the request.
 	Body string `json:"body"`
 }
 
-// load is the load report.
-type load struct {
+// loadReport is the response to GET /load.
+type loadReport struct {
 	Running int   `json:"running"`
 	Waiting int   `json:"waiting"`
 	AtMS    int64 `json:"at_ms"`
 }
 
-// Server is the stand-in. Use New.
+// Server is the stand-in. Create it with New.
 type Server struct {
-	*standin.Host[Faults]
-	cfg    Config
-	places chan struct{}
-	loads  standin.Lagged[load]
-
-	mu   sync.Mutex
-	now  load
-	runs []Run
+	*standin.BaseServer[Faults]
+	cfg         Config
+	slots       chan struct{}
+	loadHistory standin.Lagged[loadReport]
+
+	mu      sync.Mutex
+	current loadReport
+	runs    []Run
 }
 
 // New returns a Server for cfg.
@@ -122,49 +122,49 @@
 
 	s := &Server{cfg: cfg, runs: []Run{}}
 	if cfg.MaxRunning > 0 {
-		s.places = make(chan struct{}, cfg.MaxRunning)
+		s.slots = make(chan struct{}, cfg.MaxRunning)
 	}
 
-	s.Host = standin.New(standin.Config[Faults]{Faults: cfg.Faults, Routes: s.routes})
+	s.BaseServer = standin.New(standin.Config[Faults]{Faults: cfg.Faults, AddRoutes: s.routes})
 
 	return s
 }
 
 func (s *Server) routes(ws *restful.WebService) {
-	ws.Route(ws.GET("/load").To(s.load))
-	ws.Route(ws.GET("/runs").To(s.list))
+	ws.Route(ws.GET("/load").To(s.getLoad))
+	ws.Route(ws.GET("/runs").To(s.listRuns))
 
 	for _, method := range []string{
 		http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions,
 	} {
-		ws.Route(ws.Method(method).Path("/").To(s.call))
-		ws.Route(ws.Method(method).Path("/{path:*}").To(s.call))
+		ws.Route(ws.Method(method).Path("/").To(s.handle))
+		ws.Route(ws.Method(method).Path("/{path:*}").To(s.handle))
 	}
 }
 
-// count changes the load by so many running and waiting calls.
-func (s *Server) count(now time.Time, running, waiting int) {
+// addLoad adds to the numbers of running and waiting requests.
+func (s *Server) addLoad(now time.Time, running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.now.Running += running
-	s.now.Waiting += waiting
-	s.loads.Set(now, s.now)
+	s.current.Running += running
+	s.current.Waiting += waiting
+	s.loadHistory.Set(now, s.current)
 }
 
-func (s *Server) load(_ *restful.Request, w *restful.Response) {
+func (s *Server) getLoad(_ *restful.Request, w *restful.Response) {
 	now := time.Now()
-	l, _ := s.loads.Get(now, s.cfg.LoadLag)
+	l, _ := s.loadHistory.Get(now, s.cfg.LoadLag)
 	l.AtMS = now.Add(-s.cfg.LoadLag).UnixMilli()
-	standin.Reply(w, http.StatusOK, l)
+	standin.WriteJSON(w, http.StatusOK, l)
 }
 
-func (s *Server) list(_ *restful.Request, w *restful.Response) {
-	standin.Reply(w, http.StatusOK, s.Runs())
+func (s *Server) listRuns(_ *restful.Request, w *restful.Response) {
+	standin.WriteJSON(w, http.StatusOK, s.Runs())
 }
 
-// Runs returns the calls carried out, in order.
+// Runs returns the executed requests, in order.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,56 +172,56 @@
 	return append([]Run{}, s.runs...)
 }
 
-// Running returns how many calls run.
+// Running returns how many requests are running.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.now.Running
+	return s.current.Running
 }
 
-// enter waits for a place and reports whether it got one before ctx ended.
-func (s *Server) enter(ctx context.Context) bool {
-	s.count(time.Now(), 0, 1)
-	defer s.count(time.Now(), 0, -1)
+// acquireSlot waits for a slot and reports whether it got one before ctx ended.
+func (s *Server) acquireSlot(ctx context.Context) bool {
+	s.addLoad(time.Now(), 0, 1)
+	defer s.addLoad(time.Now(), 0, -1)
 
-	if s.places == nil {
+	if s.slots == nil {
 		return true
 	}
 
 	select {
-	case s.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (s *Server) leave() {
-	if s.places != nil {
-		<-s.places
+func (s *Server) releaseSlot() {
+	if s.slots != nil {
+		<-s.slots
 	}
 }
 
-func (s *Server) call(q *restful.Request, w *restful.Response) {
+func (s *Server) handle(q *restful.Request, w *restful.Response) {
 	r := q.Request
 
-	body, ok := standin.Body(w, r)
-	if !ok || !s.enter(r.Context()) {
+	body, ok := standin.ReadBody(w, r)
+	if !ok || !s.acquireSlot(r.Context()) {
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 
-	s.count(time.Now(), 1, 0)
-	defer func() { s.count(time.Now(), -1, 0) }()
+	s.addLoad(time.Now(), 1, 0)
+	defer func() { s.addLoad(time.Now(), -1, 0) }()
 
 	f := s.Faults()
-	if !pause.For(r.Context(), standin.Millis(f.DelayMS)) {
+	if !pause.For(r.Context(), standin.Milliseconds(f.DelayMS)) {
 		return
 	}
 
 	for s.Faults().Held {
-		if !pause.For(r.Context(), heldEvery) {
+		if !pause.For(r.Context(), heldPollInterval) {
 			return
 		}
 	}
@@ -232,29 +232,29 @@
 	}
 
 	if f.FailStatus != 0 {
-		standin.Fail(w, f.FailStatus, "failed", "the service fails on demand")
+		standin.WriteError(w, f.FailStatus, "failed", "failure requested by fail_status")
 		return
 	}
 
-	n := s.carryOut(time.Now(), r)
+	n := s.recordRun(time.Now(), r)
 
-	if f.DropAnswer {
+	if f.DropResponse {
 		panic(http.ErrAbortHandler)
 	}
 
-	standin.Reply(w, http.StatusOK, Answer{
+	standin.WriteJSON(w, http.StatusOK, Response{
 		Service: s.cfg.Service, VM: s.cfg.VM, Run: n,
 		Method: r.Method, Path: r.URL.Path, Body: string(body),
 	})
 }
 
-// carryOut does the work of a call, which is to be counted.
-func (s *Server) carryOut(now time.Time, r *http.Request) int {
+// recordRun executes r, which only records it, and returns the run number.
+func (s *Server) recordRun(now time.Time, r *http.Request) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	s.runs = append(s.runs, Run{
-		Key:          r.Header.Get(HeaderKey),
+		Key:          r.Header.Get(HeaderIdempotencyKey),
 		Organisation: r.Header.Get(HeaderOrganisation),
 		Path:         r.URL.Path,
 		AtMS:         now.UnixMilli(),
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -13,9 +13,9 @@
 	headerTimeout      = 10 * time.Second
 )
 
-// Serve listens on addr and serves until ctx ends, then lets open requests
-// finish.
-func (h *Host[F]) Serve(ctx context.Context, addr string) error {
+// Serve listens on the TCP address addr until ctx ends, then shuts down: it waits up to
+// Config.StopTimeout for active requests. It returns nil after a clean shutdown or Abort.
+func (b *BaseServer[F]) Serve(ctx context.Context, addr string) error {
 	var lc net.ListenConfig
 
 	l, err := lc.Listen(ctx, "tcp", addr)
@@ -23,49 +23,49 @@
 		return err
 	}
 
-	return h.ServeListener(ctx, l)
+	return b.ServeListener(ctx, l)
 }
 
-// ServeListener is Serve on a listener, which it closes.
-func (h *Host[F]) ServeListener(ctx context.Context, l net.Listener) error {
+// ServeListener is Serve on an existing listener, which it closes.
+func (b *BaseServer[F]) ServeListener(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{
-		Handler:           h.Handler(),
+		Handler:           b.Handler(),
 		ReadHeaderTimeout: headerTimeout,
-		ConnContext:       h.silence.connContext,
+		ConnContext:       b.connections.connContext,
 	}
-	srv.RegisterOnShutdown(func() { h.stop.Do(func() { close(h.stopping) }) })
+	srv.RegisterOnShutdown(func() { b.stopOnce.Do(func() { close(b.stopping) }) })
 
-	h.mu.Lock()
-	h.server = srv
-	h.mu.Unlock()
+	b.mu.Lock()
+	b.server = srv
+	b.mu.Unlock()
 
-	served := make(chan error, 1)
+	serveErr := make(chan error, 1)
 
-	go func() { served <- srv.Serve(h.silence.listen(l)) }()
+	go func() { serveErr <- srv.Serve(b.connections.wrapListener(l)) }()
 
 	select {
-	case err := <-served:
-		return ended(err)
+	case err := <-serveErr:
+		return ignoreServerClosed(err)
 	case <-ctx.Done():
 	}
 
-	timeout := h.cfg.StopTimeout
+	timeout := b.cfg.StopTimeout
 	if timeout == 0 {
 		timeout = defaultStopTimeout
 	}
 
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 
-	if err := srv.Shutdown(limit); err != nil {
+	if err := srv.Shutdown(shutdownCtx); err != nil {
 		return errors.Join(err, srv.Close())
 	}
 
-	return ended(<-served)
+	return ignoreServerClosed(<-serveErr)
 }
 
-// ended returns nil for the error by which a server says that it was told to stop.
-func ended(err error) error {
+// ignoreServerClosed returns nil for http.ErrServerClosed, which a requested stop yields.
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -73,15 +73,15 @@
 	return err
 }
 
-// Abort closes the listener and all connections at once, as the death of the
-// process would. Serve then returns.
-func (h *Host[F]) Abort() {
-	h.mu.Lock()
-	srv := h.server
-	h.mu.Unlock()
+// Abort closes the listener and all connections immediately, to simulate a crash of the
+// process. Serve then returns.
+func (b *BaseServer[F]) Abort() {
+	b.mu.Lock()
+	srv := b.server
+	b.mu.Unlock()
 
 	if srv != nil {
-		// What can't be closed is closed already.
+		// An error here means that the listener or a connection was already closed.
 		_ = srv.Close()
 	}
 }
--- a/standin/silence.go
+++ b/standin/silence.go
@@ -10,83 +10,83 @@
 	"time"
 )
 
-// silence keeps the open connections so that they can fall silent. A middlebox
-// that has lost track of a connection drops what comes in either direction, and
-// neither end is told; new connections work. The zero value is ready.
-type silence struct {
-	mu    sync.Mutex
-	conns map[*conn]struct{}
-	lost  []*conn
+// connTracker tracks the open connections so that they can be made unresponsive, as when a
+// middlebox loses its state for a connection: it drops packets in both directions and
+// notifies neither end, while new connections work. The zero value is ready to use.
+type connTracker struct {
+	mu       sync.Mutex
+	open     map[*trackedConn]struct{}
+	retained []*trackedConn
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// conn is a connection that may be dead.
-type conn struct {
+// trackedConn is a connection that may be made unresponsive.
+type trackedConn struct {
 	net.Conn
-	owner  *silence
-	dead   atomic.Bool
-	once   sync.Once
-	closed chan struct{}
-	woken  chan struct{}
+	tracker      *connTracker
+	unresponsive atomic.Bool
+	closeOnce    sync.Once
+	closed       chan struct{}
+	deadlineSet  chan struct{}
 }
 
-// listener gives out connections that its silence knows.
-type listener struct {
+// trackingListener adds the connections that it accepts to its tracker.
+type trackingListener struct {
 	net.Listener
-	owner *silence
+	tracker *connTracker
 }
 
-func (s *silence) listen(l net.Listener) net.Listener {
-	return &listener{Listener: l, owner: s}
+func (t *connTracker) wrapListener(l net.Listener) net.Listener {
+	return &trackingListener{Listener: l, tracker: t}
 }
 
-func (s *silence) connContext(ctx context.Context, c net.Conn) context.Context {
+func (t *connTracker) connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// fall makes all connections silent but the one that ctx belongs to.
-func (s *silence) fall(ctx context.Context) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// makeUnresponsive makes every open connection unresponsive except the one that ctx belongs to.
+func (t *connTracker) makeUnresponsive(ctx context.Context) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	own, _ := ctx.Value(connKey{}).(net.Conn)
+	requestConn, _ := ctx.Value(connKey{}).(net.Conn)
 
-	for c := range s.conns {
-		if net.Conn(c) != own {
-			c.dead.Store(true)
+	for c := range t.open {
+		if net.Conn(c) != requestConn {
+			c.unresponsive.Store(true)
 		}
 	}
 }
 
-// Accept waits for the next connection.
-func (l *listener) Accept() (net.Conn, error) {
-	nc, err := l.Listener.Accept()
+// Accept waits for the next connection and tracks it.
+func (l *trackingListener) Accept() (net.Conn, error) {
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 
-	c := &conn{Conn: nc, owner: l.owner, closed: make(chan struct{}), woken: make(chan struct{}, 1)}
+	c := &trackedConn{Conn: inner, tracker: l.tracker, closed: make(chan struct{}), deadlineSet: make(chan struct{}, 1)}
 
-	l.owner.mu.Lock()
-	defer l.owner.mu.Unlock()
+	l.tracker.mu.Lock()
+	defer l.tracker.mu.Unlock()
 
-	if l.owner.conns == nil {
-		l.owner.conns = map[*conn]struct{}{}
+	if l.tracker.open == nil {
+		l.tracker.open = map[*trackedConn]struct{}{}
 	}
 
-	l.owner.conns[c] = struct{}{}
+	l.tracker.open[c] = struct{}{}
 
 	return c, nil
 }
 
-// Read returns nothing more once the connection is dead, not even its end. Only
-// a deadline is still kept, since the server uses one to stop a read of its own.
-func (c *conn) Read(b []byte) (int, error) {
+// Read returns neither data nor EOF once the connection is unresponsive. Read deadlines still
+// apply, because net/http sets one to interrupt its own background read.
+func (c *trackedConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if !c.dead.Load() || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !c.unresponsive.Load() || errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
 
@@ -97,17 +97,17 @@
 		select {
 		case <-c.closed:
 			return 0, net.ErrClosed
-		case <-c.woken:
+		case <-c.deadlineSet:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
 }
 
-// SetReadDeadline wakes a Read that waits on a dead connection.
-func (c *conn) SetReadDeadline(t time.Time) error {
-	if c.dead.Load() {
+// SetReadDeadline interrupts a Read that is blocked on an unresponsive connection.
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
+	if c.unresponsive.Load() {
 		select {
-		case c.woken <- struct{}{}:
+		case c.deadlineSet <- struct{}{}:
 		default:
 		}
 	}
@@ -115,39 +115,39 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write drops what it gets once the connection is dead, and doesn't say so.
-func (c *conn) Write(b []byte) (int, error) {
-	if c.dead.Load() {
+// Write discards b and reports success once the connection is unresponsive.
+func (c *trackedConn) Write(b []byte) (int, error) {
+	if c.unresponsive.Load() {
 		return len(b), nil
 	}
 
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection on this side. The other end of a dead connection
-// isn't told: its socket is kept open.
-func (c *conn) Close() error {
-	c.once.Do(func() {
+// Close closes the connection on this side. The socket of an unresponsive connection stays
+// open, so that the peer sees no FIN or RST.
+func (c *trackedConn) Close() error {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.owner.forget(c)
+		c.tracker.remove(c)
 	})
 
-	if c.dead.Load() {
+	if c.unresponsive.Load() {
 		return nil
 	}
 
 	return c.Conn.Close()
 }
 
-// forget takes c off the open connections. A dead one moves to the lost ones,
-// so that its socket is not closed by the garbage collector.
-func (s *silence) forget(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// remove removes c from the open connections. An unresponsive one is retained so that the
+// garbage collector does not close its socket.
+func (t *connTracker) remove(c *trackedConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 
-	delete(s.conns, c)
+	delete(t.open, c)
 
-	if c.dead.Load() {
-		s.lost = append(s.lost, c)
+	if c.unresponsive.Load() {
+		t.retained = append(t.retained, c)
 	}
 }
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,20 +1,19 @@
-// Package standin is what the small stand-ins of the platform share: fault
-// switches, health, connections that fall silent, and serving with a graceful
-// stop. Each stand-in lives in a package of its own below this one and speaks
-// its protocol as docs/PLATFORM.md gives it.
+// Package standin holds what the stand-ins for the platform's systems share: fault settings,
+// a health check, unresponsive connections, and an HTTP server with graceful shutdown. Each
+// stand-in is a subpackage and implements its protocol as described in docs/PLATFORM.md.
 //
 // # Model
 //
-// A Host serves the calls of one stand-in, and besides them GET /healthz and
-// GET|POST /faults. The switches are one flat struct for each stand-in; a POST
-// sets those it names and leaves the others. A stand-in reads them at each call:
+// A BaseServer serves the routes of one stand-in, and also GET /healthz and GET and POST
+// /faults. Fault settings are one flat struct per stand-in; a POST changes the fields that it
+// names and leaves the others. A stand-in reads them on each request:
 //
-//	host := standin.New(standin.Config[Faults]{Routes: s.routes})
-//	if host.Faults().Down {
+//	s := standin.New(standin.Config[Faults]{AddRoutes: addRoutes})
+//	if s.Faults().Down {
 //		return
 //	}
 //
-// A Host is an http.Handler, for httptest, and serves an address by Serve.
+// Handler returns the http.Handler, for httptest; Serve listens on an address.
 package standin
 
 import (
@@ -29,119 +28,121 @@
 	"github.com/emicklei/go-restful/v3"
 )
 
-// MaxBody is the size over which the body of a call is refused, in bytes.
-const MaxBody = 256 << 20
+// MaxBodyBytes is the maximum size of a request body; larger ones are rejected.
+const MaxBodyBytes = 256 << 20
 
-// maxWait bounds a long poll.
-const maxWait = time.Minute
+// maxLongPoll is the maximum duration of a long poll.
+const maxLongPoll = time.Minute
 
-// Silent is the switch that every stand-in has. It acts once: connections
-// accepted before it are dead from then on, and later ones work.
-type Silent struct {
-	// Silent makes every open connection but the one that set it fall silent.
-	Silent bool `json:"silent"`
+// ConnectionFaults holds the fault that every stand-in supports. It acts once: it affects
+// connections that are open when it is set, and later ones work normally.
+type ConnectionFaults struct {
+	// UnresponsiveConnections makes every open connection unresponsive except the one that
+	// set it.
+	UnresponsiveConnections bool `json:"silent"`
 }
 
-// silenced reports whether the switch was set.
-func (s *Silent) silenced() bool { return s.Silent }
+// makesUnresponsive reports whether the fault is set.
+func (f *ConnectionFaults) makesUnresponsive() bool { return f.UnresponsiveConnections }
 
-// Reset resets the switch, since it acts once.
-func (s *Silent) Reset() { s.Silent = false }
+// Reset clears the fault after it has acted.
+func (f *ConnectionFaults) Reset() { f.UnresponsiveConnections = false }
 
-// Config configures a Host. F is the struct of the stand-in's switches; it
-// embeds Silent.
+// Config configures a BaseServer. F is the struct of the stand-in's fault settings; it embeds
+// ConnectionFaults.
 type Config[F any] struct {
-	// Faults are the switches at the start.
+	// Faults are the initial fault settings.
 	Faults F
-	// Changed is called after each change with the switches as they were posted.
-	// Switches that act once are reset by a method Reset of *F. Nil does nothing.
-	Changed func(f F)
-	// Routes adds the stand-in's own calls.
-	Routes func(ws *restful.WebService)
-	// StopTimeout is how long Serve waits for open requests; zero is 30 s.
+	// OnFaultsPosted is called after each POST /faults with the settings before one-shot
+	// faults are cleared; a Reset method of *F clears those. Nil does nothing.
+	OnFaultsPosted func(f F)
+	// AddRoutes adds the stand-in's own routes.
+	AddRoutes func(ws *restful.WebService)
+	// StopTimeout is the maximum wait for active requests at shutdown; zero is 30 s.
 	StopTimeout time.Duration
 }
 
-// Host serves one stand-in. Use New.
-type Host[F any] struct {
-	cfg       Config[F]
-	container *restful.Container
-	silence   silence
-	stopping  chan struct{}
-	stop      sync.Once
+// BaseServer is the HTTP server that each stand-in embeds. Create it with New.
+type BaseServer[F any] struct {
+	cfg         Config[F]
+	container   *restful.Container
+	connections connTracker
+	stopping    chan struct{}
+	stopOnce    sync.Once
 
 	mu     sync.Mutex
 	faults F
 	server *http.Server
 }
 
-// New returns a Host for cfg.
-func New[F any](cfg Config[F]) *Host[F] {
-	h := &Host[F]{
+// New returns a BaseServer for cfg.
+func New[F any](cfg Config[F]) *BaseServer[F] {
+	b := &BaseServer[F]{
 		cfg:       cfg,
 		container: restful.NewContainer(),
 		faults:    cfg.Faults,
 		stopping:  make(chan struct{}),
 	}
-	// Without it a call that accepts only JSON would be refused with 406.
+	// Without this, go-restful responds with 406 to requests that accept only JSON.
 	ws := new(restful.WebService).Produces("*/*")
-	ws.Route(ws.GET("/healthz").To(h.health))
-	ws.Route(ws.GET("/faults").To(h.show))
-	ws.Route(ws.POST("/faults").To(h.change))
-	cfg.Routes(ws)
-	h.container.Add(ws)
+	ws.Route(ws.GET("/healthz").To(b.getHealth))
+	ws.Route(ws.GET("/faults").To(b.getFaults))
+	ws.Route(ws.POST("/faults").To(b.postFaults))
+	cfg.AddRoutes(ws)
+	b.container.Add(ws)
 
-	return h
+	return b
 }
 
-// Handler returns the handler of all calls.
-func (h *Host[F]) Handler() http.Handler { return h.container }
+// Handler returns the handler of all routes.
+func (b *BaseServer[F]) Handler() http.Handler { return b.container }
 
-// Faults returns the switches as they are now.
-func (h *Host[F]) Faults() F {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Faults returns the current fault settings.
+func (b *BaseServer[F]) Faults() F {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
-	return h.faults
+	return b.faults
 }
 
-// Stopping returns a channel that is closed when a stop begins. Long polls end then.
-func (h *Host[F]) Stopping() <-chan struct{} { return h.stopping }
+// Stopping returns a channel that is closed when shutdown begins, which ends long polls.
+func (b *BaseServer[F]) Stopping() <-chan struct{} { return b.stopping }
 
-func (h *Host[F]) health(_ *restful.Request, w *restful.Response) {
-	Reply(w, http.StatusOK, struct {
+func (b *BaseServer[F]) getHealth(_ *restful.Request, w *restful.Response) {
+	WriteJSON(w, http.StatusOK, struct {
 		Status string `json:"status"`
 	}{"ok"})
 }
 
-func (h *Host[F]) show(_ *restful.Request, w *restful.Response) {
-	Reply(w, http.StatusOK, h.Faults())
+func (b *BaseServer[F]) getFaults(_ *restful.Request, w *restful.Response) {
+	WriteJSON(w, http.StatusOK, b.Faults())
 }
 
-func (h *Host[F]) change(q *restful.Request, w *restful.Response) {
-	posted, err := h.set(q.Request.Body)
+func (b *BaseServer[F]) postFaults(q *restful.Request, w *restful.Response) {
+	posted, err := b.updateFaults(q.Request.Body)
 	if err != nil {
-		Fail(w, http.StatusBadRequest, "bad_faults", err.Error())
+		WriteError(w, http.StatusBadRequest, "bad_faults", err.Error())
 		return
 	}
 
-	if s, ok := any(&posted).(interface{ silenced() bool }); ok && s.silenced() {
-		h.silence.fall(q.Request.Context())
+	if s, ok := any(&posted).(interface{ makesUnresponsive() bool }); ok && s.makesUnresponsive() {
+		b.connections.makeUnresponsive(q.Request.Context())
 	}
 
-	if h.cfg.Changed != nil {
-		h.cfg.Changed(posted)
+	if b.cfg.OnFaultsPosted != nil {
+		b.cfg.OnFaultsPosted(posted)
 	}
 
-	Reply(w, http.StatusOK, h.Faults())
+	WriteJSON(w, http.StatusOK, b.Faults())
 }
 
-// set sets the switches that body names and returns them all as posted.
-func (h *Host[F]) set(body io.Reader) (F, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// updateFaults applies the JSON in body and returns the settings before one-shot faults are
+// cleared. It returns an error for invalid JSON or an unknown field.
+func (b *BaseServer[F]) updateFaults(body io.Reader) (F, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 
-	posted := h.faults
+	posted := b.faults
 	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
 
@@ -149,74 +150,74 @@
 		return posted, err
 	}
 
-	h.faults = posted
-	if r, ok := any(&h.faults).(interface{ Reset() }); ok {
+	b.faults = posted
+	if r, ok := any(&b.faults).(interface{ Reset() }); ok {
 		r.Reset()
 	}
 
 	return posted, nil
 }
 
-// Problem is the error shape of a stand-in, the one of the OpenAI API.
-type Problem struct {
-	// Error is the error.
-	Error Detail `json:"error"`
+// ErrorResponse is the body of an error response, in the shape of the OpenAI API.
+type ErrorResponse struct {
+	// Error describes the error.
+	Error ErrorDetail `json:"error"`
 }
 
-// Detail is the inside of a Problem.
-type Detail struct {
-	// Message is for people.
+// ErrorDetail is the content of an ErrorResponse.
+type ErrorDetail struct {
+	// Message is a description for people.
 	Message string `json:"message"`
-	// Type is the HTTP status in words.
+	// Type is the HTTP status text.
 	Type string `json:"type"`
-	// Code is a snake-case word for programs.
+	// Code is a snake_case identifier for programs.
 	Code string `json:"code"`
 }
 
-// Reply writes v as JSON.
-func Reply[T any](w http.ResponseWriter, status int, v T) {
+// WriteJSON writes v as JSON with the given status.
+func WriteJSON[T any](w http.ResponseWriter, status int, v T) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; there is no one else to tell.
+	// The client may have disconnected; there is no one to report the error to.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Fail writes a Problem.
-func Fail(w http.ResponseWriter, status int, code, message string) {
-	Reply(w, status, Problem{Detail{Message: message, Type: http.StatusText(status), Code: code}})
+// WriteError writes an ErrorResponse.
+func WriteError(w http.ResponseWriter, status int, code, message string) {
+	WriteJSON(w, status, ErrorResponse{ErrorDetail{Message: message, Type: http.StatusText(status), Code: code}})
 }
 
-// Decode reads the whole body as JSON. When it can't, it answers and returns
-// false. Reading to the end also lets the server notice a caller that goes away.
-func Decode[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
+// DecodeBody reads the whole body as JSON. On failure it writes a 400 response and returns
+// false. Reading to the end also lets net/http detect a client that disconnects.
+func DecodeBody[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var v T
 
-	b, ok := Body(w, r)
+	b, ok := ReadBody(w, r)
 	if !ok {
 		return v, false
 	}
 
 	if err := json.Unmarshal(b, &v); err != nil {
-		Fail(w, http.StatusBadRequest, "bad_request", err.Error())
+		WriteError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return v, false
 	}
 
 	return v, true
 }
 
-// Body reads the whole body. When it can't, it answers and returns false.
-func Body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+// ReadBody reads the whole body. On failure it writes a 400 response and returns false.
+func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
-		Fail(w, http.StatusBadRequest, "bad_request", err.Error())
+		WriteError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return nil, false
 	}
 
 	return b, true
 }
 
-// Number returns a query parameter as a number, or fallback when it is missing or wrong.
-func Number(r *http.Request, name string, fallback uint64) uint64 {
+// QueryUint returns a query parameter as a number, or fallback if it is missing or invalid.
+func QueryUint(r *http.Request, name string, fallback uint64) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return fallback
@@ -225,15 +226,15 @@
 	return n
 }
 
-// Wait returns a context that ends with r, with the stop of the host or after
-// the call's wait_ms.
-func (h *Host[F]) Wait(r *http.Request) (context.Context, context.CancelFunc) {
-	wait := min(time.Duration(Number(r, "wait_ms", 0))*time.Millisecond, maxWait)
+// LongPollContext returns a context that ends with r's, when shutdown begins, or after the
+// query parameter wait_ms, which maxLongPoll limits.
+func (b *BaseServer[F]) LongPollContext(r *http.Request) (context.Context, context.CancelFunc) {
+	wait := min(time.Duration(QueryUint(r, "wait_ms", 0))*time.Millisecond, maxLongPoll)
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 
 	go func() {
 		select {
-		case <-h.stopping:
+		case <-b.stopping:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -242,5 +243,5 @@
 	return ctx, cancel
 }
 
-// Millis returns n milliseconds.
-func Millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+// Milliseconds returns n milliseconds as a time.Duration.
+func Milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -20,70 +20,70 @@
 	"boragehub/standin/weightstore"
 )
 
-// cut is the status of a call that got no answer.
-const cut = -1
+// noResponse is the status of a request without a complete response.
+const noResponse = -1
 
-// bench calls one stand-in.
-type bench struct {
+// client sends requests to one stand-in.
+type client struct {
 	t      *testing.T
 	url    string
 	client *http.Client
 }
 
-func start(t *testing.T, h http.Handler) bench {
+func start(t *testing.T, h http.Handler) client {
 	t.Helper()
 
 	ts := httptest.NewServer(h)
 	t.Cleanup(ts.Close)
 
-	return bench{t: t, url: ts.URL, client: ts.Client()}
+	return client{t: t, url: ts.URL, client: ts.Client()}
 }
 
-// call returns the status, or cut, and the body.
-func (b bench) call(ctx context.Context, method, path, body string) (int, string) {
-	b.t.Helper()
+// call sends a request and returns the status, or noResponse, and the body.
+func (c client) call(ctx context.Context, method, path, body string) (int, string) {
+	c.t.Helper()
 
-	r, err := http.NewRequestWithContext(ctx, method, b.url+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, c.url+path, strings.NewReader(body))
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 
 	r.Header.Set("Accept", "application/json")
 
-	w, err := b.client.Do(r)
+	w, err := c.client.Do(r)
 	if err != nil {
-		return cut, ""
+		return noResponse, ""
 	}
 	defer func() { _ = w.Body.Close() }()
 
 	got, err := io.ReadAll(w.Body)
 	if err != nil {
-		return cut, string(got)
+		return noResponse, string(got)
 	}
 
 	return w.StatusCode, string(got)
 }
 
-// step is one call and what is wanted of its answer.
+// step is one request, the wanted status and a text that the body must contain.
 type step struct {
 	method, path, body string
 	status             int
-	holds              string
+	contains           string
 }
 
-func (b bench) walk(steps []step) {
-	b.t.Helper()
+func (c client) runSteps(steps []step) {
+	c.t.Helper()
 
 	for i, s := range steps {
-		status, body := b.call(b.t.Context(), s.method, s.path, s.body)
-		if status != s.status || !strings.Contains(body, s.holds) {
-			b.t.Errorf("step %d %s %s: got %d %s, want %d with %s", i, s.method, s.path, status, body, s.status, s.holds)
+		status, body := c.call(c.t.Context(), s.method, s.path, s.body)
+		if status != s.status || !strings.Contains(body, s.contains) {
+			c.t.Errorf("step %d %s %s: got %d %s, want %d containing %s", i, s.method, s.path, status, body, s.status, s.contains)
 		}
 	}
 }
 
 func TestSwitches(t *testing.T) {
-	start(t, logservice.New(logservice.Config{}).Handler()).walk([]step{
+	start(t, logservice.New(logservice.Config{}).Handler()).runSteps([]step{
 		{"GET", "/healthz", "", 200, `"ok"`},
 		{"POST", "/faults", `{"delay_ms":1}`, 200, `"delay_ms":1`},
 		{"POST", "/faults", `{"down":true,"silent":true}`, 200, `"silent":false,"down":true,"delay_ms":1`},
@@ -92,8 +92,8 @@
 }
 
 func TestLogOffsets(t *testing.T) {
-	b := start(t, logservice.New(logservice.Config{}).Handler())
-	b.walk([]step{
+	c := start(t, logservice.New(logservice.Config{}).Handler())
+	c.runSteps([]step{
 		{"GET", "/streams/claims/records?from=1", "", 200, `"first_offset":1,"next_offset":1,"records":[]`},
 		{"POST", "/streams/claims/records", `{"records":["YQ==","Yg=="]}`, 200, `{"offset":1}`},
 		{"POST", "/streams/claims/records", `{"records":["Yw=="]}`, 200, `{"offset":3}`},
@@ -105,34 +105,34 @@
 		{"GET", "/streams/claims/records?from=2", "", 410, `"first_offset":3`},
 	})
 
-	large, _ := json.Marshal(map[string]any{"records": [][]byte{make([]byte, logservice.MaxAppend+1)}})
-	b.walk([]step{{"POST", "/streams/claims/records", string(large), 413, ""}})
+	large, _ := json.Marshal(map[string]any{"records": [][]byte{make([]byte, logservice.MaxAppendBytes+1)}})
+	c.runSteps([]step{{"POST", "/streams/claims/records", string(large), 413, ""}})
 }
 
-// A reader waits for the next record and another process appends it. The reader
-// must get it at once and not when its wait ends.
+// A reader long-polls for the next record while another client appends it. The response
+// must come with the append, not when the wait time ends.
 func TestLogWakesAReader(t *testing.T) {
-	b := start(t, logservice.New(logservice.Config{}).Handler())
+	c := start(t, logservice.New(logservice.Config{}).Handler())
 	got := make(chan string)
 
 	go func() {
-		_, body := b.call(t.Context(), "GET", "/streams/s/records?from=1&wait_ms=60000", "")
+		_, body := c.call(t.Context(), "GET", "/streams/s/records?from=1&wait_ms=60000", "")
 		got <- body
 	}()
 
-	b.walk([]step{{"POST", "/streams/s/records", `{"records":["YQ=="]}`, 200, ""}})
+	c.runSteps([]step{{"POST", "/streams/s/records", `{"records":["YQ=="]}`, 200, ""}})
 
 	if got, want := <-got, `"offset":1`; !strings.Contains(got, want) {
-		t.Errorf("got %s, want it with %s", got, want)
+		t.Errorf("got %s, want it to contain %s", got, want)
 	}
 }
 
-// The log service takes an append and the answer gets lost. The writer sees a
-// broken connection, and the record stands all the same.
+// The log service applies an append and its response is lost: the writer sees a broken
+// connection, but the record is stored.
 func TestLogLosesAnswersAfterTheEffect(t *testing.T) {
-	start(t, logservice.New(logservice.Config{}).Handler()).walk([]step{
+	start(t, logservice.New(logservice.Config{}).Handler()).runSteps([]step{
 		{"POST", "/faults", `{"lose_answers":1}`, 200, ""},
-		{"POST", "/streams/s/records", `{"records":["YQ=="]}`, cut, ""},
+		{"POST", "/streams/s/records", `{"records":["YQ=="]}`, noResponse, ""},
 		{"POST", "/faults", `{"lose_answers":0,"down":true}`, 200, ""},
 		{"POST", "/streams/s/records", `{"records":["Yg=="]}`, 503, ""},
 		{"POST", "/faults", `{"down":false,"appends_per_second":0.001}`, 200, ""},
@@ -142,11 +142,11 @@
 	})
 }
 
-// A store fills up, and what it gives back is cut or altered without its saying
-// so. Whoever reads a copy has to notice that by the copy itself.
+// A store fills up, and it returns altered objects without an error, so that a reader can
+// detect the damage only from the object itself.
 func TestStoreFaults(t *testing.T) {
-	b := start(t, vault.New(vault.Config{TotalBytes: 10}).Handler())
-	b.walk([]step{
+	c := start(t, vault.New(vault.Config{TotalBytes: 10}).Handler())
+	c.runSteps([]step{
 		{"PUT", "/objects/a", "0123456", 201, ""},
 		{"PUT", "/objects/b", "0123", 507, ""},
 		{"PUT", "/objects/a", "012345678", 201, ""},
@@ -164,46 +164,46 @@
 	})
 }
 
-// A store cuts a copy short, and its answer looks whole.
+// A store truncates an object, and its response looks complete.
 func TestStoreCuts(t *testing.T) {
-	b := start(t, vault.New(vault.Config{}).Handler())
-	b.walk([]step{{"PUT", "/objects/a", "0123456", 201, ""}, {"POST", "/faults", `{"cut_bytes":3}`, 200, ""}})
+	c := start(t, vault.New(vault.Config{}).Handler())
+	c.runSteps([]step{{"PUT", "/objects/a", "0123456", 201, ""}, {"POST", "/faults", `{"cut_bytes":3}`, 200, ""}})
 
-	status, body := b.call(t.Context(), "GET", "/objects/a", "")
+	status, body := c.call(t.Context(), "GET", "/objects/a", "")
 	if got, want := body, "012"; got != want || status != http.StatusOK {
 		t.Errorf("got %d %q, want 200 %q", status, got, want)
 	}
 }
 
-// A store is dead: its caller waits until it gives up.
+// A request to an unresponsive store waits until its client cancels it.
 func TestDeadStore(t *testing.T) {
-	b := start(t, vault.New(vault.Config{Faults: vault.Faults{Dead: true}}).Handler())
+	c := start(t, vault.New(vault.Config{Faults: vault.Faults{Unresponsive: true}}).Handler())
 	ctx, cancel := context.WithCancel(t.Context())
 	got := make(chan int)
 
 	go func() {
-		status, _ := b.call(ctx, "GET", "/space", "")
+		status, _ := c.call(ctx, "GET", "/space", "")
 		got <- status
 	}()
 
-	b.walk([]step{{"GET", "/faults", "", 200, `"dead":true`}})
+	c.runSteps([]step{{"GET", "/faults", "", 200, `"dead":true`}})
 	cancel()
 
-	if got, want := <-got, cut; got != want {
+	if got, want := <-got, noResponse; got != want {
 		t.Errorf("got %d, want %d", got, want)
 	}
 }
 
-// A booking is made and its answer is lost, or the service fails before it. Only
-// the list of runs can tell the two apart.
+// The service fails before it makes a booking, or makes one whose response is lost. Only
+// the list of runs tells the two cases apart.
 func TestPlainCountsWhatItRan(t *testing.T) {
 	s := plain.New(plain.Config{Service: "booking-api", VM: "booking-1"})
-	start(t, s.Handler()).walk([]step{
+	start(t, s.Handler()).runSteps([]step{
 		{"POST", "/bookings?seat=4", "one", 200, `"run":1,"method":"POST","path":"/bookings","body":"one"`},
 		{"POST", "/faults", `{"fail_status":503}`, 200, ""},
 		{"POST", "/bookings", "two", 503, ""},
 		{"POST", "/faults", `{"fail_status":0,"drop_answer":true}`, 200, ""},
-		{"POST", "/bookings", "three", cut, ""},
+		{"POST", "/bookings", "three", noResponse, ""},
 		{"GET", "/load", "", 200, `"running":0,"waiting":0`},
 	})
 
@@ -214,7 +214,7 @@
 
 func TestVMListLags(t *testing.T) {
 	s := vmlist.New(vmlist.Config{VMs: []vmlist.VM{{VM: "engine-1", State: vmlist.Live}}})
-	start(t, s.Handler()).walk([]step{
+	start(t, s.Handler()).runSteps([]step{
 		{"GET", "/vms", "", 200, `"version":1`},
 		{"GET", "/vms?after=1", "", 204, ""},
 		{"PUT", "/vms/engine-1", `{"state":"leaving"}`, 200, ""},
@@ -230,8 +230,8 @@
 }
 
 func TestWeightStoreLimitsLoads(t *testing.T) {
-	b := start(t, weightstore.New(weightstore.Config{Bytes: 100, LoadBytesPerSecond: 1 << 40}).Handler())
-	b.walk([]step{
+	c := start(t, weightstore.New(weightstore.Config{Bytes: 100, LoadBytesPerSecond: 1 << 40}).Handler())
+	c.runSteps([]step{
 		{"GET", "/weights/casemodel/v1", "", 200, ""},
 		{"POST", "/faults", `{"max_concurrent":-1}`, 200, ""},
 		{"GET", "/weights/casemodel/v1", "", 429, ""},
@@ -240,8 +240,8 @@
 	})
 }
 
-// Something between two ends loses track of an open connection. The one end
-// waits for an answer that never comes, while a new connection works.
+// A middlebox loses its state for an open connection: a client on it waits for a response
+// that never arrives, while a new connection works.
 func TestSilentConnection(t *testing.T) {
 	var lc net.ListenConfig
 
@@ -251,36 +251,36 @@
 	}
 
 	ctx, stop := context.WithCancel(t.Context())
-	served := make(chan error, 1)
+	serveErr := make(chan error, 1)
 
-	go func() { served <- vault.New(vault.Config{}).ServeListener(ctx, l) }()
+	go func() { serveErr <- vault.New(vault.Config{}).ServeListener(ctx, l) }()
 
-	old := bench{t: t, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}}}
-	fresh := old
-	fresh.client = &http.Client{Transport: &http.Transport{}}
+	first := client{t: t, url: "http://" + l.Addr().String(), client: &http.Client{Transport: &http.Transport{}}}
+	second := first
+	second.client = &http.Client{Transport: &http.Transport{}}
 
-	old.walk([]step{{"GET", "/space", "", 200, ""}})
-	fresh.walk([]step{{"POST", "/faults", `{"silent":true}`, 200, ""}})
+	first.runSteps([]step{{"GET", "/space", "", 200, ""}})
+	second.runSteps([]step{{"POST", "/faults", `{"silent":true}`, 200, ""}})
 
-	limit, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 
-	r, _ := http.NewRequestWithContext(limit, http.MethodGet, old.url+"/space", bytes.NewReader(nil))
+	r, _ := http.NewRequestWithContext(shortCtx, http.MethodGet, first.url+"/space", bytes.NewReader(nil))
 
-	w, err := old.client.Do(r)
+	w, err := first.client.Do(r)
 	if err == nil {
 		_ = w.Body.Close()
 	}
 
 	if got, want := err, context.DeadlineExceeded; !errors.Is(got, want) {
-		t.Errorf("old connection: got %v, want %v", got, want)
+		t.Errorf("first connection: got %v, want %v", got, want)
 	}
 
-	fresh.walk([]step{{"GET", "/space", "", 200, ""}})
-	fresh.client.CloseIdleConnections()
+	second.runSteps([]step{{"GET", "/space", "", 200, ""}})
+	second.client.CloseIdleConnections()
 	stop()
 
-	if got := <-served; got != nil {
-		t.Errorf("stop: got %v, want nil", got)
+	if got := <-serveErr; got != nil {
+		t.Errorf("ServeListener after stop: got %v, want nil", got)
 	}
 }
--- a/standin/vault/vault.go
+++ b/standin/vault/vault.go
@@ -1,10 +1,10 @@
-// Package vault is the stand-in of a store VM: objects in memory, behind a link.
+// Package vault is the stand-in for a store VM: objects in memory, behind a link.
 //
 // # Model
 //
-// An object is whole or absent: it appears when its last byte has come. The
-// switches fill the store, kill it, slow its link, and cut or alter what it
-// answers without saying so, which its readers have to notice:
+// An object is complete or absent: it appears once its last byte has arrived. Faults fill the
+// store, make it unresponsive, slow its link, and truncate or alter the objects that it
+// returns without an error, which readers have to detect themselves:
 //
 //	s := vault.New(vault.Config{TotalBytes: 64 << 20})
 //	err := s.Serve(ctx, "127.0.0.1:7900")
@@ -26,37 +26,37 @@
 )
 
 const (
-	defaultTotal = 256 << 20
-	chunk        = 16 << 10
+	defaultTotalBytes = 256 << 20
+	chunkBytes        = 16 << 10
 )
 
-// Faults are the switches of a store VM.
+// Faults are the fault settings of a store VM.
 type Faults struct {
-	standin.Silent
-	// Full refuses every new object.
+	standin.ConnectionFaults
+	// Full rejects every new object.
 	Full bool `json:"full"`
-	// Dead gives no answers; callers wait until they give up.
-	Dead bool `json:"dead"`
-	// BytesPerSecond is the rate of the link, both ways together; 0 is free.
+	// Unresponsive sends no responses; clients wait until they time out.
+	Unresponsive bool `json:"dead"`
+	// BytesPerSecond is the rate of the link, shared by both directions; 0 is unlimited.
 	BytesPerSecond int64 `json:"bytes_per_second"`
-	// CutBytes ends each object that is read after so many bytes, as though it
-	// were whole; 0 doesn't.
+	// CutBytes truncates each object that is read to that many bytes, with a response that
+	// looks complete; 0 doesn't truncate.
 	CutBytes int `json:"cut_bytes"`
-	// Flip alters one bit in the middle of each object that is read.
-	Flip bool `json:"flip"`
+	// FlipBit flips one bit in the middle of each object that is read.
+	FlipBit bool `json:"flip"`
 }
 
 // Config configures a Server.
 type Config struct {
-	// TotalBytes is how much the store holds; zero is 256 MiB.
+	// TotalBytes is the capacity of the store; zero is 256 MiB.
 	TotalBytes int64
-	// Faults are the switches at the start.
+	// Faults are the initial fault settings.
 	Faults Faults
 }
 
-// Server is the stand-in. Use New.
+// Server is the stand-in. Create it with New.
 type Server struct {
-	*standin.Host[Faults]
+	*standin.BaseServer[Faults]
 	cfg  Config
 	link *rate.Limiter
 
@@ -68,27 +68,27 @@
 // New returns an empty Server.
 func New(cfg Config) *Server {
 	if cfg.TotalBytes == 0 {
-		cfg.TotalBytes = defaultTotal
+		cfg.TotalBytes = defaultTotalBytes
 	}
 
-	s := &Server{cfg: cfg, link: rate.NewLimiter(rate.Inf, chunk), objects: map[string][]byte{}}
-	s.Host = standin.New(standin.Config[Faults]{Faults: cfg.Faults, Changed: s.changed, Routes: s.routes})
-	s.changed(cfg.Faults)
+	s := &Server{cfg: cfg, link: rate.NewLimiter(rate.Inf, chunkBytes), objects: map[string][]byte{}}
+	s.BaseServer = standin.New(standin.Config[Faults]{Faults: cfg.Faults, OnFaultsPosted: s.applyFaults, AddRoutes: s.routes})
+	s.applyFaults(cfg.Faults)
 
 	return s
 }
 
 func (s *Server) routes(ws *restful.WebService) {
-	ws.Filter(s.alive)
-	ws.Route(ws.GET("/objects").To(s.list))
-	ws.Route(ws.PUT("/objects/{id}").To(s.put))
-	ws.Route(ws.GET("/objects/{id}").To(s.get))
-	ws.Route(ws.DELETE("/objects/{id}").To(s.remove))
-	ws.Route(ws.GET("/space").To(s.space))
+	ws.Filter(s.blockIfUnresponsive)
+	ws.Route(ws.GET("/objects").To(s.listObjects))
+	ws.Route(ws.PUT("/objects/{id}").To(s.putObject))
+	ws.Route(ws.GET("/objects/{id}").To(s.getObject))
+	ws.Route(ws.DELETE("/objects/{id}").To(s.deleteObject))
+	ws.Route(ws.GET("/space").To(s.getSpace))
 }
 
-// changed puts the rate of the link in force.
-func (s *Server) changed(f Faults) {
+// applyFaults sets the rate of the link.
+func (s *Server) applyFaults(f Faults) {
 	limit := rate.Limit(f.BytesPerSecond)
 	if f.BytesPerSecond == 0 {
 		limit = rate.Inf
@@ -97,10 +97,11 @@
 	s.link.SetLimit(limit)
 }
 
-// alive lets no call but those of tests through to a dead store.
-func (s *Server) alive(q *restful.Request, w *restful.Response, next *restful.FilterChain) {
-	if s.Faults().Dead && q.Request.URL.Path != "/faults" {
-		// The server notices a caller that goes away only once the body is read.
+// blockIfUnresponsive blocks requests to an unresponsive store until the client disconnects.
+// It lets /faults through, so that a test can change the setting.
+func (s *Server) blockIfUnresponsive(q *restful.Request, w *restful.Response, next *restful.FilterChain) {
+	if s.Faults().Unresponsive && q.Request.URL.Path != "/faults" {
+		// net/http detects that a client disconnects only once the body is read.
 		_, _ = io.Copy(io.Discard, q.Request.Body)
 		<-q.Request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -109,17 +110,17 @@
 	next.ProcessFilter(q, w)
 }
 
-// linked reads and writes at the rate of the link.
-type linked struct {
+// throttled limits reads and writes to the rate of the link.
+type throttled struct {
 	ctx  context.Context
 	link *rate.Limiter
 	r    io.Reader
 	http.ResponseWriter
 }
 
-// Read reads at most a chunk, once the link has room.
-func (l linked) Read(b []byte) (int, error) {
-	n, err := l.r.Read(b[:min(len(b), chunk)])
+// Read reads at most chunkBytes and waits until the link has transferred them.
+func (l throttled) Read(b []byte) (int, error) {
+	n, err := l.r.Read(b[:min(len(b), chunkBytes)])
 	if werr := l.link.WaitN(l.ctx, n); werr != nil {
 		return 0, werr
 	}
@@ -127,11 +128,11 @@
 	return n, err
 }
 
-// Write writes chunk after chunk, each when the link has room.
-func (l linked) Write(b []byte) (int, error) {
+// Write writes in chunks, each once the link has capacity.
+func (l throttled) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		n := min(len(b)-done, chunk)
+		n := min(len(b)-done, chunkBytes)
 		if err := l.link.WaitN(l.ctx, n); err != nil {
 			return done, err
 		}
@@ -147,25 +148,25 @@
 	return done, nil
 }
 
-func (s *Server) put(q *restful.Request, w *restful.Response) {
+func (s *Server) putObject(q *restful.Request, w *restful.Response) {
 	ctx := q.Request.Context()
 
-	body, err := io.ReadAll(linked{ctx: ctx, link: s.link, r: http.MaxBytesReader(w, q.Request.Body, s.cfg.TotalBytes)})
+	body, err := io.ReadAll(throttled{ctx: ctx, link: s.link, r: http.MaxBytesReader(w, q.Request.Body, s.cfg.TotalBytes)})
 	if err != nil {
-		standin.Fail(w, http.StatusBadRequest, "bad_request", err.Error())
+		standin.WriteError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 
-	if !s.keep(q.PathParameter("id"), body) {
-		standin.Fail(w, http.StatusInsufficientStorage, "full", "the store is full")
+	if !s.storeObject(q.PathParameter("id"), body) {
+		standin.WriteError(w, http.StatusInsufficientStorage, "full", "the store is full")
 		return
 	}
 
 	w.WriteHeader(http.StatusCreated)
 }
 
-// keep stores an object when there is room.
-func (s *Server) keep(id string, body []byte) bool {
+// storeObject stores an object and reports whether there was space for it.
+func (s *Server) storeObject(id string, body []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -180,7 +181,7 @@
 	return true
 }
 
-func (s *Server) get(q *restful.Request, w *restful.Response) {
+func (s *Server) getObject(q *restful.Request, w *restful.Response) {
 	id := q.PathParameter("id")
 
 	s.mu.Lock()
@@ -188,7 +189,7 @@
 	s.mu.Unlock()
 
 	if !ok {
-		standin.Fail(w, http.StatusNotFound, "not_found", "no object "+id)
+		standin.WriteError(w, http.StatusNotFound, "not_found", "no object "+id)
 		return
 	}
 
@@ -197,18 +198,18 @@
 		body = body[:min(len(body), f.CutBytes)]
 	}
 
-	if f.Flip && len(body) > 0 {
+	if f.FlipBit && len(body) > 0 {
 		body = bytes.Clone(body)
 		body[len(body)/2] ^= 1
 	}
 
 	w.Header().Set("Content-Type", "application/octet-stream")
 
-	out := linked{ctx: q.Request.Context(), link: s.link, ResponseWriter: w}
+	out := throttled{ctx: q.Request.Context(), link: s.link, ResponseWriter: w}
 	http.ServeContent(out, q.Request, "", time.Time{}, bytes.NewReader(body))
 }
 
-func (s *Server) remove(q *restful.Request, w *restful.Response) {
+func (s *Server) deleteObject(q *restful.Request, w *restful.Response) {
 	id := q.PathParameter("id")
 
 	s.mu.Lock()
@@ -224,7 +225,7 @@
 	Bytes int    `json:"bytes"`
 }
 
-func (s *Server) list(_ *restful.Request, w *restful.Response) {
+func (s *Server) listObjects(_ *restful.Request, w *restful.Response) {
 	all := []object{}
 
 	s.mu.Lock()
@@ -234,17 +235,17 @@
 	s.mu.Unlock()
 
 	sort.Slice(all, func(i, j int) bool { return all[i].ID < all[j].ID })
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Objects []object `json:"objects"`
 	}{all})
 }
 
-func (s *Server) space(_ *restful.Request, w *restful.Response) {
+func (s *Server) getSpace(_ *restful.Request, w *restful.Response) {
 	s.mu.Lock()
 	used := s.used
 	s.mu.Unlock()
 
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Used  int64 `json:"used_bytes"`
 		Total int64 `json:"total_bytes"`
 	}{used, s.cfg.TotalBytes})
--- a/standin/vmlist/vmlist.go
+++ b/standin/vmlist/vmlist.go
@@ -1,9 +1,9 @@
-// Package vmlist is the stand-in of the platform's list of VMs.
+// Package vmlist is the stand-in for the platform's list of VMs.
 //
 // # Model
 //
-// Each change makes a new version of the whole list. Readers see the list as it
-// was some time ago and may wait for one that is newer than what they have:
+// Each change creates a new version of the whole list. Readers see the list with a
+// configurable lag and can long-poll for a version newer than the one they have:
 //
 //	s := vmlist.New(vmlist.Config{VMs: []vmlist.VM{{VM: "engine-1", State: vmlist.Live}}})
 //	err := s.Serve(ctx, "127.0.0.1:7701")
@@ -21,27 +21,27 @@
 	"boragehub/standin"
 )
 
-// The states of a VM.
+// States of a VM.
 const (
 	Live    = "live"
 	Leaving = "leaving"
 )
 
-// look is how often a waiting reader looks again, since a lagging list changes
-// with time alone.
-const look = 20 * time.Millisecond
+// pollInterval is how often a long poll checks the list, because with a lag the visible
+// version changes without a request that could wake the poll.
+const pollInterval = 20 * time.Millisecond
 
 // VM is one VM of the list.
 type VM struct {
 	// VM is its name.
 	VM string `json:"vm"`
-	// DataCentre is where it runs.
+	// DataCentre is the data centre that it runs in.
 	DataCentre string `json:"data_centre"`
 	// Kind is "entry", "engine", "plain" or "store".
 	Kind string `json:"kind"`
-	// Service is what it offers.
+	// Service is the service that it offers.
 	Service string `json:"service"`
-	// Address is where its target or own duty listens.
+	// Address is where its target or store listens, or where an entry's callers connect.
 	Address string `json:"address"`
 	// SideAddress is where its side process listens.
 	SideAddress string `json:"side_address"`
@@ -49,20 +49,20 @@
 	State string `json:"state"`
 }
 
-// Faults are the switches of the list.
+// Faults are the fault settings of the list.
 type Faults struct {
-	standin.Silent
-	// LagMS is how far the list is behind, in ms.
+	standin.ConnectionFaults
+	// LagMS is the delay before readers see a change, in ms.
 	LagMS int64 `json:"lag_ms"`
-	// Down answers reads with 503.
+	// Down makes reads fail with 503.
 	Down bool `json:"down"`
 }
 
 // Config configures a Server.
 type Config struct {
-	// VMs are in the list at the start, seen without lag.
+	// VMs is the initial list, visible immediately whatever the lag.
 	VMs []VM
-	// Faults are the switches at the start.
+	// Faults are the initial fault settings.
 	Faults Faults
 }
 
@@ -72,10 +72,10 @@
 	VMs     []VM   `json:"vms"`
 }
 
-// Server is the stand-in. Use New.
+// Server is the stand-in. Create it with New.
 type Server struct {
-	*standin.Host[Faults]
-	seen standin.Lagged[list]
+	*standin.BaseServer[Faults]
+	history standin.Lagged[list]
 
 	mu      sync.Mutex
 	version uint64
@@ -90,18 +90,18 @@
 	}
 
 	s.publish(time.Time{})
-	s.Host = standin.New(standin.Config[Faults]{Faults: cfg.Faults, Routes: s.routes})
+	s.BaseServer = standin.New(standin.Config[Faults]{Faults: cfg.Faults, AddRoutes: s.routes})
 
 	return s
 }
 
 func (s *Server) routes(ws *restful.WebService) {
-	ws.Route(ws.GET("/vms").To(s.read))
-	ws.Route(ws.PUT("/vms/{vm}").To(s.put))
-	ws.Route(ws.DELETE("/vms/{vm}").To(s.remove))
+	ws.Route(ws.GET("/vms").To(s.getVMs))
+	ws.Route(ws.PUT("/vms/{vm}").To(s.putVM))
+	ws.Route(ws.DELETE("/vms/{vm}").To(s.deleteVM))
 }
 
-// publish makes a new version of the list as of now. The caller holds mu.
+// publish creates a new version of the list as of now. The caller holds mu.
 func (s *Server) publish(now time.Time) {
 	s.version++
 	l := list{Version: s.version, VMs: []VM{}}
@@ -111,11 +111,11 @@
 	}
 
 	sort.Slice(l.VMs, func(i, j int) bool { return l.VMs[i].VM < l.VMs[j].VM })
-	s.seen.Set(now, l)
+	s.history.Set(now, l)
 }
 
-func (s *Server) put(q *restful.Request, w *restful.Response) {
-	vm, ok := standin.Decode[VM](w, q.Request)
+func (s *Server) putVM(q *restful.Request, w *restful.Response) {
+	vm, ok := standin.DecodeBody[VM](w, q.Request)
 	if !ok {
 		return
 	}
@@ -129,10 +129,10 @@
 	s.vms[vm.VM] = vm
 	s.publish(time.Now())
 	s.mu.Unlock()
-	standin.Reply(w, http.StatusOK, vm)
+	standin.WriteJSON(w, http.StatusOK, vm)
 }
 
-func (s *Server) remove(q *restful.Request, w *restful.Response) {
+func (s *Server) deleteVM(q *restful.Request, w *restful.Response) {
 	s.mu.Lock()
 	delete(s.vms, q.PathParameter("vm"))
 	s.publish(time.Now())
@@ -140,25 +140,25 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) read(q *restful.Request, w *restful.Response) {
-	ctx, cancel := s.Wait(q.Request)
+func (s *Server) getVMs(q *restful.Request, w *restful.Response) {
+	ctx, cancel := s.LongPollContext(q.Request)
 	defer cancel()
 
-	after := standin.Number(q.Request, "after", 0)
+	after := standin.QueryUint(q.Request, "after", 0)
 
 	for {
 		f := s.Faults()
 		if f.Down {
-			standin.Fail(w, http.StatusServiceUnavailable, "down", "the VM list is down")
+			standin.WriteError(w, http.StatusServiceUnavailable, "down", "the VM list is unavailable")
 			return
 		}
 
-		if l, _ := s.seen.Get(time.Now(), standin.Millis(f.LagMS)); l.Version > after {
-			standin.Reply(w, http.StatusOK, l)
+		if l, _ := s.history.Get(time.Now(), standin.Milliseconds(f.LagMS)); l.Version > after {
+			standin.WriteJSON(w, http.StatusOK, l)
 			return
 		}
 
-		if !pause.For(ctx, look) {
+		if !pause.For(ctx, pollInterval) {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
