--- a/cmd/boragehub/bounded.go
+++ b/cmd/boragehub/bounded.go
@@ -8,31 +8,31 @@
 	"boragehub/drain"
 )
 
-// recountEvery is the pause between two counts while no connection may be accepted.
-const recountEvery = 50 * time.Millisecond
+// recountInterval is the pause between two counts of open connections at the limit.
+const recountInterval = 50 * time.Millisecond
 
-// boundedListener keeps the connections that are open at once within a bound; those beyond
-// it wait to be accepted. It returns connections as they are: one that is wrapped, as
-// by netutil.LimitListener, hides its socket, and a planned stop that can't look for
-// unread requests there closes the connections that have them.
+// boundedListener limits the number of connections that are open at once; those beyond the
+// limit wait to be accepted. It returns connections unwrapped: a wrapped one, as by
+// netutil.LimitListener, hides its socket, and a drain that can't check the socket for unread
+// requests closes connections that have some.
 type boundedListener struct {
 	net.Listener
 
-	most int
-	open func() int // how many connections are open
-	held int        // as many as were counted last, and those accepted since
+	maxOpen   int
+	countOpen func() int // returns the number of open connections
+	maybeOpen int        // upper bound of the open connections: the last count and those accepted since
 }
 
-func newBoundedListener(l net.Listener, most int, callers *drain.Server) *boundedListener {
-	return &boundedListener{Listener: l, most: most, open: func() int {
+func newBoundedListener(l net.Listener, maxOpen int, callers *drain.Server) *boundedListener {
+	return &boundedListener{Listener: l, maxOpen: maxOpen, countOpen: func() int {
 		n := callers.Count()
 
 		return n.Opened + n.Busy + n.Idle
 	}}
 }
 
-// SyscallConn gives access to the listener's socket, where a planned stop looks for
-// connections that wait to be accepted.
+// SyscallConn gives access to the listener's socket, which a drain checks for connections
+// that wait to be accepted.
 func (l *boundedListener) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -42,19 +42,19 @@
 	return sc.SyscallConn()
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, and waits while the limit is reached.
 func (l *boundedListener) Accept() (net.Conn, error) {
-	for l.held >= l.most {
-		l.held = l.open()
+	for l.maybeOpen >= l.maxOpen {
+		l.maybeOpen = l.countOpen()
 
-		if l.held >= l.most {
-			time.Sleep(recountEvery)
+		if l.maybeOpen >= l.maxOpen {
+			time.Sleep(recountInterval)
 		}
 	}
 
 	nc, err := l.Listener.Accept()
 	if err == nil {
-		l.held++
+		l.maybeOpen++
 	}
 
 	return nc, err
--- a/cmd/boragehub/bounded_test.go
+++ b/cmd/boragehub/bounded_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// More callers connect than an entry has memory for. Those beyond the bound have to wait
-// until another one goes; without it the process would be ended for want of memory, with all
-// that it serves.
+// More callers connect than an entry has memory for. Connections beyond the limit have to
+// wait until another one closes; otherwise the process would run out of memory and be killed
+// with all requests in flight.
 func TestBoundedListenerWaitsForRoom(t *testing.T) {
-	const most = 3
+	const maxOpen = 3
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,9 +21,9 @@
 
 	var open atomic.Int64
 
-	b := &boundedListener{Listener: l, most: most, open: func() int { return int(open.Load()) }}
+	b := &boundedListener{Listener: l, maxOpen: maxOpen, countOpen: func() int { return int(open.Load()) }}
 
-	for range most + 1 {
+	for range maxOpen + 1 {
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -35,7 +35,7 @@
 	accepted := make(chan net.Conn)
 
 	go func() {
-		for range most + 1 {
+		for range maxOpen + 1 {
 			nc, err := b.Accept()
 			if err != nil {
 				t.Error(err)
@@ -47,7 +47,7 @@
 		}
 	}()
 
-	for range most {
+	for range maxOpen {
 		if _, ok := (<-accepted).(*net.TCPConn); !ok {
 			t.Error("got a connection that hides its socket")
 		}
@@ -55,7 +55,7 @@
 
 	select {
 	case <-accepted:
-		t.Errorf("got connection %d accepted, want it to wait", most+1)
+		t.Errorf("got connection %d accepted, want it to wait", maxOpen+1)
 	default:
 	}
 
--- a/cmd/boragehub/ctl.go
+++ b/cmd/boragehub/ctl.go
@@ -18,142 +18,142 @@
 	"boragehub/vm"
 )
 
-// listWait bounds how long ctl waits for the list of VMs.
-const listWait = 5 * time.Second
-
-// console is what all operators' commands share.
-type console struct {
-	log    string
-	vms    string
-	keys   string
-	name   string
-	author string
-	json   bool
-
-	sub    *flaggy.Subcommand
-	config *ctl.ConfigMenu
-	made   *ctl.KeysMenu
-	fleet  *ctl.FleetMenu
-	edits  *ctl.EditMenu
-	rolls  *ctl.WeightsMenu
+// vmListTimeout is the maximum wait for the platform's list of VMs.
+const vmListTimeout = 5 * time.Second
+
+// ctlCommand is the subcommand ctl, with the flags that its commands share and their menus.
+type ctlCommand struct {
+	logURL    string
+	vmListURL string
+	keyDir    string
+	name      string
+	author    string
+	json      bool
+
+	sub         *flaggy.Subcommand
+	configMenu  *ctl.ConfigMenu
+	keysMenu    *ctl.KeysMenu
+	fleetMenu   *ctl.FleetMenu
+	editMenu    *ctl.EditMenu
+	weightsMenu *ctl.WeightsMenu
 }
 
-// controls are the operators' subcommands.
-func controls() []command {
-	c := &console{
-		log:    os.Getenv("BORAGEHUB_LOG"),
-		vms:    os.Getenv("BORAGEHUB_VMS"),
-		keys:   os.Getenv("BORAGEHUB_KEYS"),
-		name:   fallback(os.Getenv("BORAGEHUB_NAME"), "operator"),
-		author: fallback(os.Getenv("BORAGEHUB_AUTHOR"), os.Getenv("USER")),
-		sub:    flaggy.NewSubcommand("ctl"),
+// ctlCommands adds the operators' subcommand ctl.
+func ctlCommands() []command {
+	c := &ctlCommand{
+		logURL:    os.Getenv("BORAGEHUB_LOG"),
+		vmListURL: os.Getenv("BORAGEHUB_VMS"),
+		keyDir:    os.Getenv("BORAGEHUB_KEYS"),
+		name:      valueOr(os.Getenv("BORAGEHUB_NAME"), "operator"),
+		author:    valueOr(os.Getenv("BORAGEHUB_AUTHOR"), os.Getenv("USER")),
+		sub:       flaggy.NewSubcommand("ctl"),
 	}
 
-	c.sub.Description = "What operators do: settings, fleet, explanations, keys."
-	c.sub.String(&c.log, "", "log", "URL of the log service (BORAGEHUB_LOG)")
-	c.sub.String(&c.vms, "", "vms", "URL of the list of VMs (BORAGEHUB_VMS)")
-	c.sub.String(&c.keys, "", "keys-from", "folder with ca.pem and the operator's keys (BORAGEHUB_KEYS)")
+	c.sub.Description = "Operators' commands: settings, fleet, drains, rollouts, explanations, keys."
+	c.sub.String(&c.logURL, "", "log", "URL of the log service (BORAGEHUB_LOG)")
+	c.sub.String(&c.vmListURL, "", "vms", "URL of the list of VMs (BORAGEHUB_VMS)")
+	c.sub.String(&c.keyDir, "", "keys-from", "folder with ca.pem and the operator's keys (BORAGEHUB_KEYS)")
 	c.sub.String(&c.name, "", "name", "name on the operator's certificate (BORAGEHUB_NAME)")
-	c.sub.String(&c.author, "", "author", "who publishes (BORAGEHUB_AUTHOR)")
+	c.sub.String(&c.author, "", "author", "author of published changes (BORAGEHUB_AUTHOR)")
 	c.sub.Bool(&c.json, "", "json", "write JSON for scripts")
 
-	c.config = ctl.AttachConfig(c.sub)
-	c.made = ctl.AttachKeys(c.sub)
-	c.fleet = ctl.AttachFleet(c.sub)
-	c.edits, c.rolls = ctl.AttachEdits(c.sub)
+	c.configMenu = ctl.AttachConfig(c.sub)
+	c.keysMenu = ctl.AttachKeys(c.sub)
+	c.fleetMenu = ctl.AttachFleet(c.sub)
+	c.editMenu, c.weightsMenu = ctl.AttachEdits(c.sub)
 
 	flaggy.AttachSubcommand(c.sub, 1)
 
 	return []command{{c.sub, c.run}}
 }
 
-func fallback(s, otherwise string) string {
+func valueOr(s, fallback string) string {
 	if s == "" {
-		return otherwise
+		return fallback
 	}
 
 	return s
 }
 
-// run carries out the chosen command and returns its documented exit status.
-func (c *console) run() int {
-	ctx, cancel := signalled()
+// run runs the chosen command and returns its documented exit status.
+func (c *ctlCommand) run() int {
+	ctx, cancel := stopContext()
 	defer cancel()
 
-	err := c.choose(ctx)
+	err := c.dispatch(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "boragehub:", err)
 	}
 
-	return ctl.Exit(err)
+	return ctl.ExitStatus(err)
 }
 
-func (c *console) choose(ctx context.Context) error {
+func (c *ctlCommand) dispatch(ctx context.Context) error {
 	terminal := ctl.Terminal{Out: os.Stdout, Err: os.Stderr, JSON: c.json}
 
-	if ran, err := c.made.Run(time.Now(), terminal); ran {
+	if ran, err := c.keysMenu.Run(time.Now(), terminal); ran {
 		return err
 	}
 
-	log := journal.NewClient(journal.ClientConfig{URL: c.log})
+	log := journal.NewClient(journal.ClientConfig{URL: c.logURL})
 
 	switch {
-	case c.fleet.Chosen():
-		return c.reach(ctx, func(r ctl.Client) error {
-			return c.fleet.Run(ctx, ctl.Fleets{Terminal: terminal, Client: r})
+	case c.fleetMenu.Chosen():
+		return c.withClient(ctx, func(r ctl.Client) error {
+			return c.fleetMenu.Run(ctx, ctl.FleetCommands{Terminal: terminal, Client: r})
 		})
-	case c.rolls.Chosen():
-		return c.reach(ctx, func(r ctl.Client) error {
-			return ctl.Fleets{Terminal: terminal, Client: r}.Weights(ctx)
+	case c.weightsMenu.Chosen():
+		return c.withClient(ctx, func(r ctl.Client) error {
+			return ctl.FleetCommands{Terminal: terminal, Client: r}.Weights(ctx)
 		})
-	case c.edits.Chosen():
-		if err := c.needsLog(); err != nil {
+	case c.editMenu.Chosen():
+		if err := c.requireLog(); err != nil {
 			return err
 		}
 
-		return c.edits.Run(ctx, ctl.Edits{Terminal: terminal, Log: log, Author: c.author})
-	case c.config.NeedsFleet():
-		return c.reach(ctx, func(r ctl.Client) error {
-			_, err := c.config.Run(ctx, ctl.ConfigConfig{Terminal: terminal, Log: log, Fleet: r, Author: c.author})
+		return c.editMenu.Run(ctx, ctl.EditCommands{Terminal: terminal, Log: log, Author: c.author})
+	case c.configMenu.NeedsFleet():
+		return c.withClient(ctx, func(r ctl.Client) error {
+			_, err := c.configMenu.Run(ctx, ctl.ConfigOptions{Terminal: terminal, Log: log, Fleet: r, Author: c.author})
 
 			return err
 		})
 	}
 
-	if c.config.NeedsLog() {
-		if err := c.needsLog(); err != nil {
+	if c.configMenu.NeedsLog() {
+		if err := c.requireLog(); err != nil {
 			return err
 		}
 	}
 
-	ran, err := c.config.Run(ctx, ctl.ConfigConfig{Terminal: terminal, Log: log, Author: c.author})
+	ran, err := c.configMenu.Run(ctx, ctl.ConfigOptions{Terminal: terminal, Log: log, Author: c.author})
 	if !ran {
 		flaggy.ShowHelp("")
 
-		return failure.New(failure.BadRequest, "ctl needs a command")
+		return failure.New(failure.BadRequest, "ctl needs a subcommand")
 	}
 
 	return err
 }
 
-func (c *console) needsLog() error {
-	if c.log == "" {
+func (c *ctlCommand) requireLog() error {
+	if c.logURL == "" {
 		return failure.New(failure.BadSettings, "--log or BORAGEHUB_LOG must name the log service")
 	}
 
 	return nil
 }
 
-// reach gives do the means to ask the fleet.
-func (c *console) reach(ctx context.Context, do func(ctl.Client) error) error {
-	if c.vms == "" || c.keys == "" {
-		return failure.New(failure.BadSettings, "--vms and --keys-from (or BORAGEHUB_VMS and BORAGEHUB_KEYS) are needed to ask the fleet")
+// withClient calls do with a client that can send requests to the fleet.
+func (c *ctlCommand) withClient(ctx context.Context, do func(ctl.Client) error) error {
+	if c.vmListURL == "" || c.keyDir == "" {
+		return failure.New(failure.BadSettings, "--vms and --keys-from (or BORAGEHUB_VMS and BORAGEHUB_KEYS) are needed to query the fleet")
 	}
 
 	keys, err := certificate.NewKeeper(certificate.KeeperConfig{
-		CAFile:          filepath.Join(c.keys, certificate.AuthorityFile),
-		CertificateFile: filepath.Join(c.keys, c.name+".pem"),
-		KeyFile:         filepath.Join(c.keys, c.name+".key"),
+		CAFile:          filepath.Join(c.keyDir, certificate.AuthorityFile),
+		CertificateFile: filepath.Join(c.keyDir, c.name+".pem"),
+		KeyFile:         filepath.Join(c.keyDir, c.name+".key"),
 		Protocols:       []string{peer.Protocol},
 		Logger:          logr.Discard(),
 	})
@@ -161,7 +161,7 @@
 		return err
 	}
 
-	list, err := vm.Fetch(ctx, c.vms, listWait)
+	list, err := vm.Fetch(ctx, c.vmListURL, vmListTimeout)
 	if err != nil {
 		return err
 	}
@@ -169,5 +169,5 @@
 	d := peer.NewDialer(peer.Config{TLS: keys.TLS()}, logr.Discard())
 	defer d.Close()
 
-	return do(ctl.Client{Asker: d, List: list})
+	return do(ctl.Client{Peers: d, List: list})
 }
--- a/cmd/boragehub/explain.go
+++ b/cmd/boragehub/explain.go
@@ -12,12 +12,12 @@
 	"boragehub/story"
 )
 
-// logTools are the subcommands that read files alone.
-func logTools() []command {
+// fileCommands adds the subcommands that only read files.
+func fileCommands() []command {
 	return []command{explainCommand(), checkCommand()}
 }
 
-// explainCommand tells what happened to one request, from logs.
+// explainCommand shows the log lines about one request.
 func explainCommand() command {
 	var (
 		id    string
@@ -26,21 +26,21 @@
 	)
 
 	sub := flaggy.NewSubcommand("explain")
-	sub.Description = "Tells what happened to a request, from logs of any processes. Example: boragehub explain 9c41d07be2a35f68 --log edge-1.log --log edge-2.log"
+	sub.Description = "Shows what happened to a request, from the logs of any processes. Example: boragehub explain 9c41d07be2a35f68 --log edge-1.log --log edge-2.log"
 	sub.AddPositionalValue(&id, "request", 1, true, "the request's id")
-	sub.StringSlice(&files, "l", "log", "a log; standard input when none is named")
+	sub.StringSlice(&files, "l", "log", "a log file; standard input by default")
 	sub.Bool(&json, "j", "json", "write JSON")
 	flaggy.AttachSubcommand(sub, 1)
 
-	return command{sub, func() int { return exit(tell(os.Stdout, id, files, json)) }}
+	return command{sub, func() int { return exitStatus(writeExplanation(os.Stdout, id, files, json)) }}
 }
 
-func tell(w io.Writer, id string, files []string, json bool) error {
+func writeExplanation(w io.Writer, id string, files []string, json bool) error {
 	s := story.New(id)
 
 	if len(files) == 0 {
 		if err := s.Read(os.Stdin); err != nil {
-			return failure.Wrap(failure.BadRequest, err, "standard input can't be read")
+			return failure.Wrap(failure.BadRequest, err, "cannot read standard input")
 		}
 	}
 
@@ -51,7 +51,7 @@
 	}
 
 	if len(s.Lines()) == 0 {
-		return failure.New(failure.BadRequest, "no line tells of request %q; is the log of every entry there, and from that time?", id)
+		return failure.New(failure.BadRequest, "no log line mentions request %q; name the logs of all entries for the time of the request", id)
 	}
 
 	if json {
@@ -64,12 +64,12 @@
 func readLog(s *story.Story, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
-		return failure.Wrap(failure.BadRequest, err, "log %s can't be read", name)
+		return failure.Wrap(failure.BadRequest, err, "cannot read log %s", name)
 	}
 	defer f.Close() //nolint:errcheck // only read
 
 	if err := s.Read(f); err != nil {
-		return failure.Wrap(failure.BadRequest, err, "log %s can't be read", name)
+		return failure.Wrap(failure.BadRequest, err, "cannot read log %s", name)
 	}
 
 	return nil
@@ -87,22 +87,22 @@
 
 	return command{sub, func() int {
 		if deploy == "" && settings == "" {
-			return exit(failure.New(failure.BadRequest, "name a file: --deploy or --settings"))
+			return exitStatus(failure.New(failure.BadRequest, "no file given; use --deploy or --settings"))
 		}
 
 		if deploy != "" {
 			if err := platform.CheckDeploy(deploy); err != nil {
-				return exit(err)
+				return exitStatus(err)
 			}
 		}
 
 		if settings != "" {
 			if _, err := platform.LoadSettings(settings); err != nil {
-				return exit(err)
+				return exitStatus(err)
 			}
 		}
 
-		fmt.Println("all right")
+		fmt.Println("no errors found")
 
 		return exitOK
 	}}
--- a/cmd/boragehub/fleet_entry.go
+++ b/cmd/boragehub/gateway.go
@@ -34,8 +34,8 @@
 	"boragehub/vault"
 )
 
-// fleetEntry is an entry on the users' platform.
-type fleetEntry struct {
+// gatewayProcess is an entry on the users' platform with the components that it runs.
+type gatewayProcess struct {
 	cfg          platform.Settings
 	log          logr.Logger
 	lines        *output.Writer
@@ -50,19 +50,19 @@
 	peers        *exchange.Server
 	registration *exchange.Registration
 	balancer     *drain.Balancer
-	meters       *prometheus.Registry
+	registry     *prometheus.Registry
 
 	followers []*mirror.Follower
 }
 
-func newFleetEntry(cfg platform.Settings) *fleetEntry {
+func newGatewayProcess(cfg platform.Settings) *gatewayProcess {
 	lines := output.New(output.Config{To: os.Stdout})
-	log := logTo(cfg, "gateway", lines)
-	e := &fleetEntry{cfg: cfg, log: log, lines: lines, meters: prometheus.NewRegistry()}
+	log := newLogger(cfg, "gateway", lines)
+	e := &gatewayProcess{cfg: cfg, log: log, lines: lines, registry: prometheus.NewRegistry()}
 
 	operators, register := &mirror.Topic{}, mirror.NewTopic(platform.SameListing)
 	members := exchange.NewMembers(cfg.Peers, cfg.Seeds)
-	calls := platform.NewCalls()
+	platformClient := platform.NewCalls()
 	source := platform.NewLog(cfg.Log)
 	directory := vault.NewDirectory(time.Now().UnixNano())
 
@@ -78,17 +78,17 @@
 	})
 	e.pool = upstream.NewPool(upstream.Config{})
 	e.watcher = vault.NewWatcher(vault.WatcherConfig{
-		Directory: directory, Source: calls, Peers: storePeers{e.client, e.registration, cfg.Peers}, Log: log,
+		Directory: directory, Source: platformClient, Peers: storePeers{e.client, e.registration, cfg.Peers}, Log: log,
 		Turn:  func(address string) int { return members.Rank(time.Now(), address) },
 		Still: e.roster.Still,
 	})
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
-		Holder: cfg.VM, Turn: loader.TurnConfig{Within: cfg.Bounds.Version}, Engine: calls, Entries: e, Fleet: e.roster,
+		Holder: cfg.VM, Turn: loader.TurnConfig{Within: cfg.Bounds.Version}, Engine: platformClient, Entries: e, Fleet: e.roster,
 		Ring: members, News: operators.Fresh, Log: log,
 	})
 
-	meter := metrics.New(e.meters, metrics.Gauges{
+	meter := metrics.New(e.registry, metrics.Gauges{
 		Active:        func() float64 { return float64(e.gateway.Active()) },
 		Targets:       func() float64 { return float64(e.roster.Len()) },
 		ConfigVersion: func() float64 { return float64(e.gateway.ConfigVersion()) },
@@ -102,27 +102,27 @@
 
 	e.gateway = gateway.New(gateway.Config{
 		DataCentre: cfg.DataCentre, Dialect: platform.Dialect{}, Roster: e.roster, Pool: e.pool, Vaults: directory,
-		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: crashesToRefuse}), TellCrash: e.client.TellCrash,
-		RepeatRatio: cfg.Bounds.RepeatRatio * repeatShare, RepeatWindow: cfg.Bounds.RepeatWindow,
+		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), TellCrash: e.client.TellCrash,
+		RepeatRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RepeatWindow: cfg.Bounds.RepeatWindow,
 		RepeatSlack: cfg.Bounds.RepeatSlack, VersionWithin: cfg.Bounds.Version,
 		SlowStartOverage: cfg.Bounds.SlowStartOverage, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 		HoldUntil: time.Now().Add(startupWindow), Meter: meter, Log: log,
 	}, operators.Fresh, e.registration.Since)
 
 	e.balancer = drain.NewBalancer(e.gateway.Ready)
-	e.follow(source, operators, register, meter)
+	e.addFollowers(source, operators, register, meter)
 	e.peers = exchange.NewServer(exchange.ServerConfig{
-		Members: members, Vaults: directory, Notice: e.notice, Crash: e.gateway.Heard, Add: e.registration.Add,
+		Members: members, Vaults: directory, Notice: e.onAnnouncement, Crash: e.gateway.Heard, Add: e.registration.Add,
 		Topics: map[string]*mirror.Topic{platform.OperatorTopic: operators, platform.RegisterTopic: register},
 	})
 
 	return e
 }
 
-// follow sets up the followers of the log's topics.
-func (e *fleetEntry) follow(source *platform.Log, operators, register *mirror.Topic, meter *metrics.Metrics) {
+// addFollowers creates the followers of the log's topics.
+func (e *gatewayProcess) addFollowers(source *platform.Log, operators, register *mirror.Topic, meter *metrics.Metrics) {
 	publications := &platform.Publications{
-		Configured: e.configured,
+		Configured: e.applyConfiguration,
 		Named: func(now time.Time, v platform.WeightVersion) {
 			before := operators.Before()
 			e.gateway.Named(now, v.Model, v.Version, before)
@@ -137,17 +137,17 @@
 	e.followers = []*mirror.Follower{
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Wait: operatorWait, OnNews: publications.Take, Log: e.log,
+			LoadWait: e.loadWait(), Wait: operatorReadWait, OnNews: publications.Take, Log: e.log,
 		}),
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.RegisterTopic, Topic: register, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Every: registerPace(e.cfg.Bounds.Drain), OnNews: listings.Take, OnAway: e.roster.Away, Log: e.log,
+			LoadWait: e.loadWait(), Every: registerReadPause(e.cfg.Bounds.Drain), OnNews: listings.Take, OnAway: e.roster.Away, Log: e.log,
 		}),
 	}
 }
 
 // loadWait returns the LoadWait of the followers.
-func (e *fleetEntry) loadWait() time.Duration {
+func (e *gatewayProcess) loadWait() time.Duration {
 	if e.cfg.Bootstrap {
 		return bootstrapLoadWait
 	}
@@ -157,7 +157,7 @@
 
 // waitForPeers waits until this entry knows other entries to load topics from, a timeout has
 // passed or ctx ends.
-func (e *fleetEntry) waitForPeers(ctx context.Context) {
+func (e *gatewayProcess) waitForPeers(ctx context.Context) {
 	if e.cfg.Bootstrap {
 		e.client.WaitConverged(ctx, bootstrapViewWait)
 	} else {
@@ -165,16 +165,17 @@
 	}
 }
 
-// registerPace returns the pause between two reads of the register.
-func registerPace(drain time.Duration) time.Duration {
-	if drain <= 0 {
-		return registerEvery
+// registerReadPause returns the pause between two reads of the register, given the time after
+// which draining targets may get no more requests; 0 means no such limit.
+func registerReadPause(drainDeadline time.Duration) time.Duration {
+	if drainDeadline <= 0 {
+		return maxRegisterReadPause
 	}
 
-	return min(drain/4, registerEvery)
+	return min(drainDeadline/4, maxRegisterReadPause)
 }
 
-func (e *fleetEntry) configured(_ time.Time, c *site.Configuration) {
+func (e *gatewayProcess) applyConfiguration(_ time.Time, c *site.Configuration) {
 	e.gateway.Configure(c)
 	e.roster.Reconfigured()
 
@@ -190,36 +191,37 @@
 	e.watcher.Configure(stores)
 }
 
-// pulse takes what a side process tells of its engine.
-func (e *fleetEntry) pulse(now time.Time, p pulse.Pulse) {
+// onReport handles a side process's load report.
+func (e *gatewayProcess) onReport(now time.Time, p pulse.Pulse) {
 	e.directory.Hear(now, p.Clock)
 	e.roster.Pulse(now, p)
 }
 
-// engines returns the addresses of the model engines to hear of, and how often.
-func (e *fleetEntry) engines() (addresses []string, pace time.Duration) {
+// subscriptions returns the addresses of the engines whose load reports this entry needs, and
+// the interval of the reports.
+func (e *gatewayProcess) subscriptions() (addresses []string, interval time.Duration) {
 	return e.roster.Watched(time.Now(), e.gateway.HasEngines)
 }
 
-// demand returns a function that tells how many prompts a second came since its last call,
-// and whether engines share their rate by that.
-func (e *fleetEntry) demand() func(now time.Time) (perSecond int, shared bool) {
+// demand returns a function that returns the rate of prompts, per second, since its last call,
+// and whether engines divide slow-start permits among entries by this rate.
+func (e *gatewayProcess) demand() func(now time.Time) (perSecond int, shared bool) {
 	var (
-		before int64
-		at     time.Time
+		lastCount int64
+		lastTime  time.Time
 	)
 
 	return func(now time.Time) (int, bool) {
-		all := e.gateway.Prompts()
-		rate := float64(all-before) / max(now.Sub(at).Seconds(), tickEvery.Seconds())
-		before, at = all, now
+		count := e.gateway.Prompts()
+		rate := float64(count-lastCount) / max(now.Sub(lastTime).Seconds(), tickInterval.Seconds())
+		lastCount, lastTime = count, now
 
 		return int(rate), e.roster.Throttled(now)
 	}
 }
 
-// notice takes what a side process says of its engine.
-func (e *fleetEntry) notice(now time.Time, n exchange.Notice) {
+// onAnnouncement handles the announcement that an engine is to load a version or has loaded it.
+func (e *gatewayProcess) onAnnouncement(now time.Time, n exchange.Notice) {
 	id, ok := e.roster.ByAddress(n.Address)
 	if !ok {
 		return
@@ -232,28 +234,28 @@
 	}
 }
 
-// Tell tells all entries, this one included, what a target that this entry orders is about
-// to do or has done.
-func (e *fleetEntry) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
-	e.notice(time.Now(), exchange.Notice{Address: address, Model: model, Version: version, Loaded: loaded})
+// Tell announces to all entries, this one included, that a target which this entry orders to
+// load a version is about to load it or has loaded it.
+func (e *gatewayProcess) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
+	e.onAnnouncement(time.Now(), exchange.Notice{Address: address, Model: model, Version: version, Loaded: loaded})
 	e.client.Tell(ctx, address, model, version, loaded)
 }
 
-// register writes into the log where this entry can be asked.
-func (e *fleetEntry) register(ctx context.Context) {
-	// Without known peers, this entry would call the log itself.
+// runRegistration registers this entry's address for other processes in the log.
+func (e *gatewayProcess) runRegistration(ctx context.Context) {
+	// Without known peers, the first attempt would call the log directly.
 	e.waitForPeers(ctx)
 	e.registration.Run(ctx, e.cfg.VM, e.cfg.Peers)
 }
 
-// storePeers are the other entries, for what concerns stores.
+// storePeers gives the store watcher access to the other entries.
 type storePeers struct {
 	*exchange.Client
 	registration *exchange.Registration
 	self         string
 }
 
-// Registered reads which entries may make use of a long grace.
+// Registered reads from the log the addresses of all other registered entries.
 func (p storePeers) Registered(ctx context.Context) ([]string, error) {
 	return p.registration.All(ctx, p.self)
 }
@@ -263,9 +265,9 @@
 	return p.Client.Knows(ctx, peer, platform.OperatorTopic, offset)
 }
 
-// tick does what is due now and then.
-func (e *fleetEntry) tick(ctx context.Context) {
-	for pause.For(ctx, tickEvery) {
+// tick runs periodic work until ctx ends.
+func (e *gatewayProcess) tick(ctx context.Context) {
+	for pause.For(ctx, tickInterval) {
 		now := time.Now()
 		entries := e.members.Size(now)
 		e.directory.SetSharers(entries)
@@ -281,46 +283,46 @@
 		return err
 	}
 
-	bound(cfg)
+	setRuntimeLimits(cfg)
 
-	// Taken before anybody is served: a signal that nobody has asked for ends a process at once,
-	// with all that it serves.
+	// Signals are handled before the first request is served: a signal without a handler ends
+	// the process at once, with all requests in flight.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 
-	e := newFleetEntry(cfg)
+	e := newGatewayProcess(cfg)
 
-	pulses, err := pulse.Listen(pulse.ListenerConfig{
-		Address: cfg.Internal(pulsePort), Port: cfg.FirstInternal + pulsePort,
-		Engines: e.engines, OnPulse: e.pulse, Demand: e.demand(),
+	reports, err := pulse.Listen(pulse.ListenerConfig{
+		Address: cfg.Internal(reportPortOffset), Port: cfg.FirstInternal + reportPortOffset,
+		Engines: e.subscriptions, OnPulse: e.onReport, Demand: e.demand(),
 	})
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "address %q can't be bound", cfg.Internal(pulsePort))
+		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
 	}
 
-	duties := []func(context.Context){e.lines.Run, e.watcher.Run, e.client.Run, e.standby.Run, e.tick, pulses.Run, e.register}
+	tasks := []func(context.Context){e.lines.Run, e.watcher.Run, e.client.Run, e.standby.Run, e.tick, reports.Run, e.runRegistration}
 
 	for _, f := range e.followers {
-		duties = append(duties, func(ctx context.Context) {
+		tasks = append(tasks, func(ctx context.Context) {
 			e.waitForPeers(ctx)
 			f.Run(ctx)
 		})
 	}
 
-	stop := background(duties...)
+	stop := runInBackground(tasks...)
 	defer stop()
 
-	callers := drain.NewServer(drain.Config{Handler: e.gateway, HeaderTimeout: headerCallers, IdleTimeout: idleCallers, KeepAlive: keepCallers})
-	balancer := &http.Server{Handler: e.balancer, ReadHeaderTimeout: headerCallers}
-	peers := &http.Server{Handler: e.peers, ReadHeaderTimeout: headerCallers}
-	meters := &http.Server{Handler: promhttp.HandlerFor(e.meters, promhttp.HandlerOpts{}), ReadHeaderTimeout: headerCallers}
+	callers := drain.NewServer(drain.Config{Handler: e.gateway, HeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, KeepAlive: callerKeepAlive})
+	balancer := &http.Server{Handler: e.balancer, ReadHeaderTimeout: headerTimeout}
+	peers := &http.Server{Handler: e.peers, ReadHeaderTimeout: headerTimeout}
+	metricsServer := &http.Server{Handler: promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}), ReadHeaderTimeout: headerTimeout}
 
 	failed := make(chan error, 4)
 
 	for _, s := range []struct {
 		server  server
 		address string
-	}{{peers, cfg.Peers}, {balancer, cfg.Ready}, {callers, cfg.Callers}, {meters, cfg.Internal(metricsPort)}} {
+	}{{peers, cfg.Peers}, {balancer, cfg.Ready}, {callers, cfg.Callers}, {metricsServer, cfg.Internal(metricsPortOffset)}} {
 		if err := serve(s.server, s.address, failed); err != nil {
 			return err
 		}
@@ -328,19 +330,20 @@
 
 	event.Log(e.log, event.ProcessStarted, "callers", cfg.Callers, "peers", cfg.Peers, "ready", cfg.Ready)
 
-	return e.wait(callers, signals, failed)
+	return e.serveUntilSignal(callers, signals, failed)
 }
 
-// server is what serves an address: an http.Server or a drain.Server.
+// server serves a listener; *http.Server and *drain.Server implement it.
 type server interface {
 	Serve(l net.Listener) error
 }
 
-// serve binds an address and serves it in the background.
+// serve listens at an address and serves it in the background. An error that ends it goes to
+// failed.
 func serve(s server, address string, failed chan<- error) error {
 	l, err := net.Listen("tcp", address) //nolint:noctx // bound once, at start
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "address %q can't be bound", address)
+		return failure.Wrap(failure.BadSettings, err, "cannot listen at address %q", address)
 	}
 
 	go func() {
@@ -352,8 +355,9 @@
 	return nil
 }
 
-// wait serves until a signal to stop, then stops without cutting anyone off.
-func (e *fleetEntry) wait(callers *drain.Server, signals <-chan os.Signal, failed <-chan error) error {
+// serveUntilSignal waits for a signal to stop, then drains. It returns early if a server
+// fails. SIGHUP is only logged.
+func (e *gatewayProcess) serveUntilSignal(callers *drain.Server, signals <-chan os.Signal, failed <-chan error) error {
 	for {
 		select {
 		case err := <-failed:
@@ -367,18 +371,19 @@
 				continue
 			}
 
-			e.leave(callers)
+			e.drain(callers)
 
 			return nil
 		}
 	}
 }
 
-// leave tells the balancer and callers, serves whoever still comes, and ends when nobody
-// would miss an answer.
-func (e *fleetEntry) leave(callers *drain.Server) {
+// drain announces the stop to the balancer and to callers, accepts requests until both have
+// had time to react, and then closes the port as soon as the requests in flight are short. It
+// returns when they have completed, or exitMargin before the end of the grace time.
+func (e *gatewayProcess) drain(callers *drain.Server) {
 	began := time.Now()
-	end := began.Add(e.cfg.Bounds.Grace - leaveMargin)
+	end := began.Add(e.cfg.Bounds.Grace - exitMargin)
 
 	event.Log(e.log, event.ProcessStopping, "requests", e.gateway.Active())
 	e.balancer.Leave(began)
@@ -388,7 +393,7 @@
 	defer cancel()
 
 	n := callers.Drain(ctx, drain.Stop{
-		Released: e.balancer.Released, Closing: func() { e.gateway.Close(time.Now(), end.Add(-lastAnswers)) }, Short: e.gateway.Short,
+		Released: e.balancer.Released, Closing: func() { e.gateway.Close(time.Now(), end.Add(-lastResponsesMargin)) }, Short: e.gateway.Short,
 	})
 
 	event.Log(e.log, event.PortClosed, "opened", n.Opened, "busy", n.Busy, "idle", n.Idle, "pending", n.Pending)
--- a/cmd/boragehub/fleet_loader.go
+++ b/cmd/boragehub/loader.go
@@ -19,31 +19,32 @@
 	"boragehub/slowstart"
 )
 
-// runLoader brings the engine beside this process to the named weight version.
+// runLoader runs the side process of an engine, which loads the published weight version,
+// reports the engine's load to entries and grants them permits while it is cold.
 func runLoader(cfg platform.Settings) error {
 	if err := cfg.RequireSide(); err != nil {
 		return err
 	}
 
-	bound(cfg)
+	setRuntimeLimits(cfg)
 
-	// A signal that nobody has asked for ends a process at once.
+	// A signal without a handler ends the process at once.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 
 	lines := output.New(output.Config{To: os.Stdout})
-	log := logTo(cfg, "loader", lines)
+	log := newLogger(cfg, "loader", lines)
 	source := platform.NewLog(cfg.Log)
-	calls := platform.NewCalls()
+	platformClient := platform.NewCalls()
 	client := exchange.NewClient(exchange.NewMembers("", cfg.Seeds))
 
 	l := loader.New(loader.Config{
-		Address: cfg.Engine, Holder: cfg.VM, Engine: calls, Turn: loader.TurnConfig{Within: cfg.Bounds.Version},
+		Address: cfg.Engine, Holder: cfg.VM, Engine: platformClient, Turn: loader.TurnConfig{Within: cfg.Bounds.Version},
 		Register: platform.Siblings{Log: source, Service: cfg.Service}, Entries: client, Log: log,
 	})
 
 	guard := slowstart.NewGuard(slowstart.Limit{}, uint64(time.Now().UnixNano()))
-	probe := slowstart.NewProbe(slowstart.ProbeConfig{Guard: guard, Health: calls, Address: cfg.Engine})
+	probe := slowstart.NewProbe(slowstart.ProbeConfig{Guard: guard, Health: platformClient, Address: cfg.Engine})
 
 	operators := &mirror.Topic{}
 	publications := &platform.Publications{
@@ -67,19 +68,19 @@
 	}
 	follower := mirror.NewFollower(mirror.FollowerConfig{
 		Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: client, Relay: exchange.NewSubscriber(client, cfg.VM), LoadWait: sideLoadWait,
-		Wait: sideOperatorWait, AskEvery: sideAskEvery, OnNews: publications.Take, Log: log,
+		Wait: sideOperatorReadWait, AskEvery: sidePeerInterval, OnNews: publications.Take, Log: log,
 	})
 
-	memory := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: calls})
+	partsFollower := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: platformClient})
 
-	beacon, err := pulse.NewBeacon(pulse.BeaconConfig{
-		Address: cfg.Internal(pulsePort), Engine: calls, EngineAddress: cfg.Engine, Resident: memory.Parts, SlowStart: guard, Restarted: memory.Forget, LoadIn: l.LoadIn,
+	reporter, err := pulse.NewBeacon(pulse.BeaconConfig{
+		Address: cfg.Internal(reportPortOffset), Engine: platformClient, EngineAddress: cfg.Engine, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Forget, LoadIn: l.LoadIn,
 	})
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "address %q can't be bound", cfg.Internal(pulsePort))
+		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
 	}
 
-	stop := background(lines.Run, follower.Run, client.Run, l.Run, beacon.Run, memory.Run, probe.Run)
+	stop := runInBackground(lines.Run, follower.Run, client.Run, l.Run, reporter.Run, partsFollower.Run, probe.Run)
 	defer stop()
 
 	event.Log(log, event.ProcessStarted, "engine", cfg.Engine, "service", cfg.Service)
--- a/cmd/boragehub/main.go
+++ b/cmd/boragehub/main.go
@@ -1,4 +1,5 @@
-// Command boragehub is the one program of all roles: see boragehub --help.
+// Command boragehub runs every process of the system and the operators' tools, each as a
+// subcommand: see boragehub --help.
 package main
 
 import (
@@ -20,7 +21,8 @@
 	exitUsage  = 2
 )
 
-// command is one subcommand that was attached to the program.
+// command is a subcommand of the program with the function that runs it and returns the
+// exit status.
 type command struct {
 	sub *flaggy.Subcommand
 	run func() int
@@ -28,11 +30,11 @@
 
 func main() {
 	flaggy.SetName("boragehub")
-	flaggy.SetDescription("Serves language-model prompts whose context returns after long gaps.")
+	flaggy.SetDescription("Serves language-model prompts and keeps their contexts for continuations after long gaps.")
 	flaggy.SetVersion(version)
 	flaggy.DefaultParser.ShowHelpOnUnexpected = true
 
-	commands := attach()
+	commands := attachCommands()
 
 	flaggy.Parse()
 
@@ -46,41 +48,41 @@
 	os.Exit(exitUsage)
 }
 
-// attach puts all subcommands on the program.
-func attach() []command {
+// attachCommands adds all subcommands to the program and returns them.
+func attachCommands() []command {
 	x := experiment.Attach(1)
-	all := append(roles(), fleetRoles()...)
-	all = append(all, logTools()...)
-	all = append(all, controls()...)
-	all = append(all, command{x.Subcommand(), func() int { return exit(x.Run(os.Stdout)) }})
+	commands := append(roleCommands(), platformCommands()...)
+	commands = append(commands, fileCommands()...)
+	commands = append(commands, ctlCommands()...)
+	commands = append(commands, command{x.Subcommand(), func() int { return exitStatus(x.Run(os.Stdout)) }})
 
-	return append(all, standins()...)
+	return append(commands, standinCommands()...)
 }
 
-// roles are the processes of a running system.
-func roles() []command {
-	var all []command
+// roleCommands adds the subcommands that run an entry or a side process.
+func roleCommands() []command {
+	var commands []command
 
 	for _, r := range []struct {
-		name, text string
-		run        func(file string) error
+		name, description string
+		run               func(file string) error
 	}{
-		{"entry", "Takes callers' requests. Example: boragehub entry --settings entry-1.toml", runEntry},
-		{"side", "Guards one target. Example: boragehub side --settings engine-1.toml", runSide},
+		{"entry", "Runs an entry, which routes callers' requests to targets. Example: boragehub entry --settings entry-1.toml", runEntry},
+		{"side", "Runs the side process of one target. Example: boragehub side --settings engine-1.toml", runSide},
 	} {
 		file := new(string)
 		sub := flaggy.NewSubcommand(r.name)
-		sub.Description = r.text
+		sub.Description = r.description
 		sub.String(file, "s", "settings", "the process's settings file (TOML)")
 		flaggy.AttachSubcommand(sub, 1)
-		all = append(all, command{sub, func() int { return exit(r.run(*file)) }})
+		commands = append(commands, command{sub, func() int { return exitStatus(r.run(*file)) }})
 	}
 
-	return all
+	return commands
 }
 
-// exit reports err, if any, and returns the exit status.
-func exit(err error) int {
+// exitStatus prints err, if any, to standard error and returns the exit status.
+func exitStatus(err error) int {
 	if err == nil {
 		return exitOK
 	}
--- /dev/null
+++ b/cmd/boragehub/platform.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"os"
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"github.com/go-logr/logr"
+	"github.com/go-logr/zerologr"
+	"github.com/integrii/flaggy"
+	"github.com/rs/zerolog"
+
+	"boragehub/event/output"
+	"boragehub/platform"
+)
+
+// Times of the processes on the users' platform.
+const (
+	// operatorReadWait is how long an entry's read of the operators' topic waits for a
+	// record. A configuration has to be in force 2 s after it was acknowledged, also when a
+	// connection to the log became unresponsive shortly before, and at entries that poll this
+	// one for it.
+	operatorReadWait = 500 * time.Millisecond
+	// sideOperatorReadWait is the same for a side process, which reads the log only when the
+	// entry that it polls fails. There are several times as many side processes as entries,
+	// and the number of calls to the log counts. As a connection to the log may become
+	// unresponsive, and a weight version has a deadline of 8 s, side processes poll entries
+	// as well.
+	sideOperatorReadWait = 15 * time.Second
+	// sidePeerInterval is the interval of those polls.
+	sidePeerInterval = 3 * time.Second
+	// sideLoadWait is how long a starting side process waits for an entry to return the
+	// operators' topic before it reads the log. After a power failure, all side processes
+	// start at once.
+	sideLoadWait = 4 * time.Second
+	// maxRegisterReadPause is the pause between two reads of the register, unless a quarter
+	// of the drain deadline is less, after which draining targets may get no more requests. An
+	// entry that polls this one may get a record 0.85 s later.
+	maxRegisterReadPause = 500 * time.Millisecond
+	// bootstrapViewWait is how long an entry waits, when the whole system starts for the first
+	// time, until its view of the entries is equal to that of another one. bootstrapLoadWait is
+	// how long it then waits for another entry to return a topic before it reads the log.
+	// These waits prevent all entries from reading both topics from the log at once.
+	bootstrapViewWait = 3 * time.Second
+	bootstrapLoadWait = 3 * time.Second
+	// restartViewWait is how long an entry waits, at any other start, until another entry has
+	// returned its members. restartLoadWait replaces bootstrapLoadWait. Both are shorter because
+	// callers are waiting. They prevent all entries from reading the register from the log at
+	// once after a power failure, which takes longer than loading it from each other.
+	restartViewWait = 300 * time.Millisecond
+	restartLoadWait = time.Second
+	// startupWindow is the time after the start of the process during which requests are held
+	// until the configuration and the targets are known. It is shorter than the 1 s after which
+	// callers abandon a connection on which a request remains unread.
+	startupWindow = 800 * time.Millisecond
+	// tickInterval is the pause between two rounds of periodic work.
+	tickInterval = 250 * time.Millisecond
+	// exitMargin is the part of the grace time that is left for the process to exit.
+	exitMargin = 400 * time.Millisecond
+	// lastResponsesMargin is how long before the end of the drain requests that have not run
+	// are refused, so that these responses, and those for timeouts in that time, still reach
+	// callers.
+	lastResponsesMargin = 200 * time.Millisecond
+	// callerKeepAlive is the idle timeout of connections that is announced to callers. A drain
+	// takes at least as long, which is also the time that a balancer needs to notice it.
+	callerKeepAlive = 2 * time.Second
+	// callerIdleTimeout closes connections of callers that disregard callerKeepAlive.
+	callerIdleTimeout = 2 * time.Minute
+	// headerTimeout is the maximum time to receive a request header.
+	headerTimeout = 10 * time.Second
+)
+
+// memoryLimitRatio is the Go runtime's memory limit as a fraction of the machine's memory;
+// near the limit the garbage collector runs more often.
+const memoryLimitRatio = 0.6
+
+// retryRatioShare is the fraction of the allowed retry ratio that entries use: they count
+// first attempts in windows that differ a little from the platform's.
+const retryRatioShare = 0.75
+
+// quarantineCrashes is the number of targets that a request may crash before it is refused.
+const quarantineCrashes = 3
+
+// Offsets from the first of the ports for internal use.
+const (
+	metricsPortOffset = 10
+	reportPortOffset  = 2
+)
+
+// platformCommands adds the subcommands that run the processes on the users' platform.
+func platformCommands() []command {
+	var commands []command
+
+	for _, r := range []struct {
+		name, description string
+		run               func(platform.Settings) error
+	}{
+		{"gateway", "Runs an entry on the users' platform.", runGateway},
+		{"loader", "Runs the side process of an engine, which loads the published weight version.", runLoader},
+	} {
+		file := os.Getenv(platform.SettingsVariable)
+		sub := flaggy.NewSubcommand(r.name)
+		sub.Description = r.description
+		sub.String(&file, "s", "settings", "the platform's settings file (JSON)")
+		flaggy.AttachSubcommand(sub, 1)
+		commands = append(commands, command{sub, func() int {
+			cfg, err := platform.LoadSettings(file)
+			if err != nil {
+				return exitStatus(err)
+			}
+
+			return exitStatus(r.run(cfg))
+		}})
+	}
+
+	return commands
+}
+
+// newLogger returns a logger that writes to w, which drops lines rather than block.
+func newLogger(cfg platform.Settings, role string, w *output.Writer) logr.Logger {
+	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
+	zerologr.VerbosityFieldName = ""
+	zerologr.NameFieldName = "part"
+
+	z := zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Str("role", role).Str("self", cfg.VM).Logger()
+
+	return zerologr.New(&z)
+}
+
+// setRuntimeLimits limits the Go runtime to the machine's cores and memory.
+func setRuntimeLimits(cfg platform.Settings) {
+	runtime.GOMAXPROCS(cfg.Cores)
+
+	if cfg.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(cfg.MemoryMB<<20) * memoryLimitRatio))
+	}
+}
--- a/cmd/boragehub/process.go
+++ b/cmd/boragehub/process.go
@@ -30,57 +30,59 @@
 	"boragehub/vm"
 )
 
-// relay carries news from the followers, which are made first, to the role that
-// needs them.
-type relay struct {
-	list     func(time.Time, *vm.List)
-	settings func(time.Time, *publication.Published)
-	crash    func(time.Time, quarantine.Crash)
+// updateHandlers are the functions that the followers call with updates. The followers are
+// constructed before the entry that needs the updates; it sets the functions when it runs.
+// Until then, and in a side process, they do nothing.
+type updateHandlers struct {
+	onList     func(time.Time, *vm.List)
+	onSettings func(time.Time, *publication.Published)
+	onCrash    func(time.Time, quarantine.Crash)
 }
 
-func newRelay() *relay {
-	return &relay{
-		list:     func(time.Time, *vm.List) {},
-		settings: func(time.Time, *publication.Published) {},
-		crash:    func(time.Time, quarantine.Crash) {},
+func newUpdateHandlers() *updateHandlers {
+	return &updateHandlers{
+		onList:     func(time.Time, *vm.List) {},
+		onSettings: func(time.Time, *publication.Published) {},
+		onCrash:    func(time.Time, quarantine.Crash) {},
 	}
 }
 
-// common is what every process of the running system has.
+// common holds the components of every entry and side process.
 type common struct {
 	cfg      setting.Process
 	log      logr.Logger
 	keys     *certificate.Keeper
 	dialer   *peer.Dialer
 	server   *peer.Server
-	list     *vm.Follower
+	vmList   *vm.Follower
 	settings *publication.Follower
 	crashes  *notice.Feed
-	relay    *relay
+	handlers *updateHandlers
 }
 
-// duties are those that run in every process until it ends.
-func (c *common) duties() []func(context.Context) {
-	return []func(context.Context){c.keys.Run, c.list.Run, c.settings.Run, c.crashes.Run}
+// backgroundTasks returns the tasks that run in every process until it ends.
+func (c *common) backgroundTasks() []func(context.Context) {
+	return []func(context.Context){c.keys.Run, c.vmList.Run, c.settings.Run, c.crashes.Run}
 }
 
-// entryProcess is an entry with all that it needs.
+// entryProcess is an entry with the components that it runs.
 type entryProcess struct {
 	common
-	entry     *entry.Entry
-	lease     *lease.Keeper
-	leader    *placement.Leader
-	writes    settingsLease
-	snapshots *exchange.Snapshotter
-	operators *operator.Server
+	entry         *entry.Entry
+	lease         *lease.Keeper
+	leader        *placement.Leader
+	snapshotLease snapshotLease
+	snapshots     *exchange.Snapshotter
+	operators     *operator.Server
 }
 
-// sideProcess is a side process with all that it needs.
+// sideProcess is a side process with the components that it runs. Its deduplicator is nil
+// beside an engine.
 type sideProcess struct {
 	common
-	side      *side.Side
-	homes     *claim.Home
-	operators *operator.Server
+	side         *side.Side
+	deduplicator *claim.Home
+	operators    *operator.Server
 }
 
 func runEntry(file string) error {
@@ -111,69 +113,69 @@
 	return p.run()
 }
 
-// signalled returns a context that ends with SIGTERM or SIGINT. It is asked for before
-// anybody is served: a signal that nobody has asked for ends a process at once, with all
-// that it serves. So does SIGHUP, by which an operator may mean settings that changed;
-// nothing here reads them again.
-func signalled() (context.Context, context.CancelFunc) {
+// stopContext returns a context that ends with SIGTERM or SIGINT. Call it before the first
+// request is served: a signal without a handler ends the process at once, with all requests
+// in flight. SIGHUP is ignored for the same reason; an operator may send it after a change of
+// settings, although the settings file is not read again.
+func stopContext() (context.Context, context.CancelFunc) {
 	signal.Ignore(syscall.SIGHUP)
 
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// background runs duties until the returned stop is called, which waits for them.
-func background(duties ...func(context.Context)) (stop func()) {
+// runInBackground runs tasks until the returned stop is called, which waits for them to end.
+func runInBackground(tasks ...func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 
-	for _, duty := range duties {
-		all.Go(func() { duty(ctx) })
+	for _, task := range tasks {
+		wg.Go(func() { task(ctx) })
 	}
 
 	return func() {
 		cancel()
-		all.Wait()
+		wg.Wait()
 	}
 }
 
-// run serves callers until a signal, then stops without cutting anyone off.
+// run serves callers until a signal, then drains and stops.
 func (p *entryProcess) run() error {
-	ctx, cancel := signalled()
+	ctx, cancel := stopContext()
 	defer cancel()
 
-	p.relay.list = p.entry.OnList
-	p.relay.settings = p.entry.OnSettings
-	p.relay.crash = p.entry.Crashed
+	p.handlers.onList = p.entry.OnList
+	p.handlers.onSettings = p.entry.OnSettings
+	p.handlers.onCrash = p.entry.Crashed
 
 	l, err := net.Listen("tcp", p.cfg.Listen.Callers) //nolint:noctx // bound once, at start
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "callers' address %q can't be bound", p.cfg.Listen.Callers)
+		return failure.Wrap(failure.BadSettings, err, "cannot listen for callers at address %q", p.cfg.Listen.Callers)
 	}
 
 	callers := drain.NewServer(drain.Config{
 		Handler:        p.entry.Handler(),
-		HeaderTimeout:  headerCallers,
-		IdleTimeout:    idleCallers,
-		KeepAlive:      keepCallers,
+		HeaderTimeout:  headerTimeout,
+		IdleTimeout:    callerIdleTimeout,
+		KeepAlive:      callerKeepAlive,
 		MaxHeaderBytes: p.cfg.Limits.MaxHeaderBytes,
 	})
 
-	stop := background(append(p.duties(), p.entry.Run, p.lease.Run, p.leader.Run, p.writes.Run, p.snapshots.Run, p.operators.Run, func(ctx context.Context) {
-		serveConversations(ctx, p.log, p.server, p.entry.Handle)
+	stop := runInBackground(append(p.backgroundTasks(), p.entry.Run, p.lease.Run, p.leader.Run, p.snapshotLease.Run, p.snapshots.Run, p.operators.Run, func(ctx context.Context) {
+		servePeers(ctx, p.log, p.server, p.entry.Handle)
 	})...)
 
 	event.Log(p.log, event.ProcessStarted, "callers", l.Addr().String(), "peers", p.server.Addr(), "operators", p.operators.Addr())
 
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 
-	go func() { failed <- callers.Serve(newBoundedListener(l, p.cfg.Limits.MaxConnections, callers)) }()
+	go func() { serveErr <- callers.Serve(newBoundedListener(l, p.cfg.Limits.MaxConnections, callers)) }()
 
 	select {
-	case err = <-failed:
+	case err = <-serveErr:
 		event.Fail(p.log, err, event.ProcessFailed)
 	case <-ctx.Done():
-		p.leave(callers)
+		p.drain(callers)
 
 		err = nil
 	}
@@ -185,26 +187,28 @@
 	return err
 }
 
-// serveConversations serves other processes until ctx ends. When that ends sooner, the
-// process is as good as cut off, and only this line says so.
-func serveConversations(ctx context.Context, log logr.Logger, s *peer.Server, handle peer.Handler) {
+// servePeers serves other processes until ctx ends. If serving fails before that, other
+// processes can no longer reach this one, and the logged event is the only sign of it.
+func servePeers(ctx context.Context, log logr.Logger, s *peer.Server, handle peer.Handler) {
 	if err := s.Serve(ctx, handle); err != nil && ctx.Err() == nil {
 		event.Fail(log, err, event.ProcessFailed)
 	}
 }
 
-// leave fails /readyz, so that the balancer sends no new callers, and serves whoever
-// still comes until nothing is in work, and at least until the balancer has noticed and
-// callers know that they must not use their connections any more.
-func (p *entryProcess) leave(callers *drain.Server) {
+// drain makes /readyz fail, so that the balancer sends no new callers. It accepts requests
+// until none is in flight, and at least until the balancer grace and the callers' keep-alive
+// timeout have passed. It ends at the latest when the drain timeout has passed after the
+// balancer grace.
+func (p *entryProcess) drain(callers *drain.Server) {
 	event.Log(p.log, event.ProcessStopping, "requests", p.entry.Active())
 	p.entry.Leave()
 
 	noticed := time.Now().Add(time.Duration(p.cfg.Limits.BalancerGrace))
 	end := noticed.Add(time.Duration(p.cfg.Limits.DrainTimeout))
 
-	// Under a balancer that goes on sending callers there may always be something in
-	// work. The port then closes at half time, and what is in work has the other half.
+	// While the balancer goes on sending callers, some request may always be in flight. The
+	// port then closes after half of the drain timeout, and the requests in flight have the
+	// other half to complete.
 	halfTime := noticed.Add(end.Sub(noticed) / 2)
 
 	ctx, cancel := context.WithDeadline(context.Background(), end)
@@ -219,38 +223,38 @@
 	p.server.Shutdown(ctx)
 }
 
-// run guards the target until a signal, then hands its claims over, takes no new
-// work and waits for what runs.
+// run runs the side process until a signal. Then it refuses new work, waits for the
+// runs in flight and releases its shards of idempotency keys.
 func (p *sideProcess) run() error {
-	ctx, cancel := signalled()
+	ctx, cancel := stopContext()
 	defer cancel()
 
-	duties := append(p.duties(), p.side.Run, p.operators.Run, func(ctx context.Context) {
-		serveConversations(ctx, p.log, p.server, p.side.Handle)
+	tasks := append(p.backgroundTasks(), p.side.Run, p.operators.Run, func(ctx context.Context) {
+		servePeers(ctx, p.log, p.server, p.side.Handle)
 	})
 
-	if p.homes != nil {
-		duties = append(duties, p.homes.Run)
+	if p.deduplicator != nil {
+		tasks = append(tasks, p.deduplicator.Run)
 	}
 
-	stop := background(duties...)
+	stop := runInBackground(tasks...)
 
 	event.Log(p.log, event.ProcessStarted, "target", p.cfg.Target.URL, "peers", p.server.Addr(), "operators", p.operators.Addr())
 	<-ctx.Done()
 	event.Log(p.log, event.ProcessStopping)
 
-	late, done := context.WithTimeout(context.Background(), time.Duration(p.cfg.Limits.DrainTimeout))
-	defer done()
+	drainCtx, cancelDrain := context.WithTimeout(context.Background(), time.Duration(p.cfg.Limits.DrainTimeout))
+	defer cancelDrain()
 
-	p.side.Drain(late)
+	p.side.Drain(drainCtx)
 
-	if p.homes != nil {
-		if err := p.homes.Drain(late); err != nil {
+	if p.deduplicator != nil {
+		if err := p.deduplicator.Drain(drainCtx); err != nil {
 			event.Fail(p.log, err, event.ProcessStopping, "reason", "claims not handed over")
 		}
 	}
 
-	p.server.Shutdown(late)
+	p.server.Shutdown(drainCtx)
 	stop()
 	p.close()
 	event.Log(p.log, event.ProcessStopped)
--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -30,11 +30,11 @@
 	"boragehub/vm"
 )
 
-// debugLevel is the verbosity of lines that operators want only at times.
+// debugLevel is the verbosity of lines that are written only at log level debug.
 const debugLevel = 1
 
-// recordedRequests is how many requests a process can explain; at about four
-// kilobytes each that is 8 MB.
+// recordedRequests is the number of requests whose log lines a process keeps for the explain
+// view; at about 4 kB each they take 8 MB.
 const recordedRequests = 2048
 
 func provideRecorder(cfg setting.Process) *recorder.Recorder {
@@ -79,11 +79,11 @@
 	return peer.Listen(p, cfg.Listen.Peers, log)
 }
 
-func provideList(cfg setting.Process, log logr.Logger, r *relay) *vm.Follower {
+func provideVMList(cfg setting.Process, log logr.Logger, h *updateHandlers) *vm.Follower {
 	return vm.NewFollower(vm.FollowerConfig{
 		URL:    cfg.Platform.VMListURL,
 		Log:    log,
-		OnList: func(now time.Time, l *vm.List) { r.list(now, l) },
+		OnList: func(now time.Time, l *vm.List) { h.onList(now, l) },
 	})
 }
 
@@ -91,40 +91,41 @@
 	return journal.NewClient(journal.ClientConfig{URL: cfg.Platform.LogURL})
 }
 
-func provideFollower(cfg setting.Process, log logr.Logger, j *journal.Client, d *peer.Dialer, list *vm.Follower, r *relay) *publication.Follower {
+func provideSettingsFollower(cfg setting.Process, log logr.Logger, j *journal.Client, d *peer.Dialer, list *vm.Follower, h *updateHandlers) *publication.Follower {
 	return publication.NewFollower(publication.FollowerConfig{
 		Log:     j,
 		Self:    publication.Member{VM: cfg.VM, DataCentre: cfg.DataCentre},
 		Members: func() []publication.Member { return exchange.Members(list.List()) },
 		Peers:   exchange.Peers{Asker: d, VMs: list},
 		Logger:  log,
-		Changed: func(p *publication.Published) { r.settings(time.Now(), p) },
+		Changed: func(p *publication.Published) { h.onSettings(time.Now(), p) },
 	})
 }
 
-// provideCrashFeed returns the feed of crashes; an entry reads it, a side process
-// only writes.
-func provideCrashFeed(cfg setting.Process, log logr.Logger, j *journal.Client, r *relay) *notice.Feed {
+// provideCrashFeed returns the feed of crash reports. An entry reads it; a side process only
+// writes to it.
+func provideCrashFeed(cfg setting.Process, log logr.Logger, j *journal.Client, h *updateHandlers) *notice.Feed {
 	c := notice.Config{Log: j, Logger: log}
 	if cfg.Role == setting.EntryRole {
-		c.Heard = func(k quarantine.Crash) { r.crash(time.Now(), k) }
+		c.Heard = func(k quarantine.Crash) { h.onCrash(time.Now(), k) }
 	}
 
 	return notice.New(c)
 }
 
-func provideLease(cfg setting.Process, log logr.Logger, j *journal.Client) *lease.Keeper {
+func provideRolloutLease(cfg setting.Process, log logr.Logger, j *journal.Client) *lease.Keeper {
 	return placement.NewKeeper(j, cfg.DataCentre, cfg.VM+"/"+uuid.NewString(), log)
 }
 
-// settingsLease is the lease of the process that writes the settings again.
-type settingsLease struct{ *lease.Keeper }
+// snapshotLease is held by the one process that writes settings snapshots to the log. It is a
+// type of its own because an entry has two lease keepers, and wire tells them apart by type.
+type snapshotLease struct{ *lease.Keeper }
 
-func provideSettingsLease(cfg setting.Process, log logr.Logger, j *journal.Client) settingsLease {
-	return settingsLease{lease.NewKeeper(lease.Config{Log: j, Name: exchange.LeaseName, Holder: cfg.VM + "/" + uuid.NewString(), Logger: log})}
+func provideSnapshotLease(cfg setting.Process, log logr.Logger, j *journal.Client) snapshotLease {
+	return snapshotLease{lease.NewKeeper(lease.Config{Log: j, Name: exchange.LeaseName, Holder: cfg.VM + "/" + uuid.NewString(), Logger: log})}
 }
 
-func provideSnapshotter(log logr.Logger, k settingsLease, f *publication.Follower) *exchange.Snapshotter {
+func provideSnapshotter(log logr.Logger, k snapshotLease, f *publication.Follower) *exchange.Snapshotter {
 	return &exchange.Snapshotter{Lease: k, Settings: f, Log: log}
 }
 
@@ -132,7 +133,7 @@
 	return placement.New(placement.Config{DataCentre: cfg.DataCentre, Lease: k, Peers: d, VMs: list, Settings: settings, Log: log})
 }
 
-// weightsView shows how far the rolls are that this entry leads.
+// weightsView shows the progress of the rollouts that this entry leads.
 func weightsView(l *placement.Leader) operator.View {
 	return operator.View{Name: "weights", Get: func(string) any { return l.Rolls() }}
 }
@@ -147,7 +148,7 @@
 		Peers:       d,
 		VMs:         list,
 		Post:        feed.Post,
-		Views:       []operator.View{explain(r), weightsView(l)},
+		Views:       []operator.View{explainView(r), weightsView(l)},
 		Log:         log,
 	})
 	registry.MustRegister(e.Collectors()...)
@@ -155,8 +156,8 @@
 	return e
 }
 
-// explain shows operators what was logged about a request.
-func explain(r *recorder.Recorder) operator.View {
+// explainView shows the lines that this process logged about a request.
+func explainView(r *recorder.Recorder) operator.View {
 	return operator.View{Name: "explain", Get: func(q string) any { return r.Lines(q) }}
 }
 
@@ -169,9 +170,9 @@
 	})
 }
 
-// provideHomes returns the home of the target's idempotency keys; nil beside an
+// provideDeduplicator returns the owner of the target's idempotency keys; nil beside an
 // engine, whose runs may be repeated.
-func provideHomes(cfg setting.Process, log logr.Logger, j *journal.Client, list *vm.Follower) *claim.Home {
+func provideDeduplicator(cfg setting.Process, log logr.Logger, j *journal.Client, list *vm.Follower) *claim.Home {
 	if cfg.Target.Kind != setting.PlainService {
 		return nil
 	}
@@ -180,13 +181,13 @@
 		Log:     j,
 		Service: cfg.Target.Service,
 		VM:      cfg.VM,
-		Fleet:   func() claim.Fleet { return fleetOf(list.List(), cfg.Target.Service) },
+		Fleet:   func() claim.Fleet { return serviceVMs(list.List(), cfg.Target.Service) },
 		Logger:  log,
 	})
 }
 
-// fleetOf returns the VMs of a service as the platform lists them.
-func fleetOf(l *vm.List, service string) claim.Fleet {
+// serviceVMs returns the VMs of a service in the platform's list.
+func serviceVMs(l *vm.List, service string) claim.Fleet {
 	f := claim.Fleet{Version: l.Version(), Leaving: map[string]bool{}}
 
 	for _, m := range l.All() {
@@ -205,7 +206,7 @@
 }
 
 func provideSideViews(r *recorder.Recorder, f *publication.Follower) []operator.View {
-	return []operator.View{explain(r), {Name: "settings", Get: func(string) any {
+	return []operator.View{explainView(r), {Name: "settings", Get: func(string) any {
 		if p := f.Current(); p != nil {
 			return operator.SettingsDocument{Version: p.Version()}
 		}
@@ -214,10 +215,10 @@
 	}}}
 }
 
-func provideSide(cfg setting.Process, log logr.Logger, d *peer.Dialer, list *vm.Follower, settings *publication.Follower, feed *notice.Feed, homes *claim.Home, views []operator.View) (*side.Side, error) {
+func provideSide(cfg setting.Process, log logr.Logger, d *peer.Dialer, list *vm.Follower, settings *publication.Follower, feed *notice.Feed, deduplicator *claim.Home, views []operator.View) (*side.Side, error) {
 	u, err := url.Parse(cfg.Target.URL)
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSettings, err, "target %q", cfg.Target.URL)
+		return nil, failure.Wrap(failure.BadSettings, err, "target URL %q is invalid", cfg.Target.URL)
 	}
 
 	c := side.Config{
@@ -235,8 +236,8 @@
 		Log:          log,
 	}
 
-	if homes != nil {
-		c.Claims = homes
+	if deduplicator != nil {
+		c.Claims = deduplicator
 	}
 
 	return side.New(c), nil
--- a/cmd/boragehub/standin.go
+++ b/cmd/boragehub/standin.go
@@ -16,44 +16,45 @@
 	"boragehub/standin/weightstore"
 )
 
-// serving is a stand-in that serves an address until its context ends.
-type serving interface {
+// standinServer is a stand-in that serves an address until its context ends.
+type standinServer interface {
 	Serve(ctx context.Context, addr string) error
 }
 
-// standins are the small copies of the platform for tests and trials.
-func standins() []command {
+// standinCommands adds the subcommands that simulate services of the platform in tests and
+// trials.
+func standinCommands() []command {
 	parent := flaggy.NewSubcommand("standin")
-	parent.Description = "Stands in for a system of the platform, in tests and trials."
+	parent.Description = "Simulates a service of the platform, for tests and trials."
 
-	var all []command
+	var commands []command
 
-	all = append(all, engineStandin(parent), plainStandin(parent), storeStandin(parent), weightStandin(parent), logStandin(parent), listStandin(parent))
+	commands = append(commands, engineStandin(parent), plainStandin(parent), storeStandin(parent), weightStandin(parent), logStandin(parent), listStandin(parent))
 
 	flaggy.AttachSubcommand(parent, 1)
 
-	return all
+	return commands
 }
 
-// standin attaches one stand-in; flags adds its flags and start makes it.
-func standin(parent *flaggy.Subcommand, name, text string, flags func(*flaggy.Subcommand), start func() (serving, error)) command {
+// standin adds the subcommand of one stand-in; flags adds its flags and create makes it.
+func standin(parent *flaggy.Subcommand, name, description string, flags func(*flaggy.Subcommand), create func() (standinServer, error)) command {
 	listen := new(string)
 	sub := flaggy.NewSubcommand(name)
-	sub.Description = text
+	sub.Description = description
 	sub.String(listen, "l", "listen", "IP and TCP port to listen on")
 	flags(sub)
 	parent.AttachSubcommand(sub, 1)
 
 	return command{sub, func() int {
-		s, err := start()
+		s, err := create()
 		if err != nil {
-			return exit(err)
+			return exitStatus(err)
 		}
 
-		ctx, cancel := signalled()
+		ctx, cancel := stopContext()
 		defer cancel()
 
-		return exit(s.Serve(ctx, *listen))
+		return exitStatus(s.Serve(ctx, *listen))
 	}}
 }
 
@@ -66,12 +67,12 @@
 			sub.String(&cfg.WeightVersion, "w", "weight-version", "weight version at the start")
 			sub.String(&cfg.WeightStore, "", "weights", "URL of the weight store")
 			sub.Int(&cfg.CacheBlocks, "", "cache-blocks", "blocks that the cache holds")
-			sub.Int(&cfg.MaxRunning, "", "max-running", "requests that run at once")
-			sub.Int(&cfg.BytesPerToken, "", "bytes-per-token", "size of a cached token")
-			sub.Float64(&cfg.PrefillTokensPerSecond, "", "prefill", "prefill in tokens a second")
-			sub.Float64(&cfg.DecodeTokensPerSecond, "", "decode", "decode in tokens a second")
+			sub.Int(&cfg.MaxRunning, "", "max-running", "maximum of concurrent requests")
+			sub.Int(&cfg.BytesPerToken, "", "bytes-per-token", "bytes of a cached token")
+			sub.Float64(&cfg.PrefillTokensPerSecond, "", "prefill", "prefill rate in tokens per second")
+			sub.Float64(&cfg.DecodeTokensPerSecond, "", "decode", "decode rate in tokens per second")
 		},
-		func() (serving, error) { return engine.New(cfg), nil })
+		func() (standinServer, error) { return engine.New(cfg), nil })
 }
 
 func plainStandin(parent *flaggy.Subcommand) command {
@@ -81,9 +82,9 @@
 		func(sub *flaggy.Subcommand) {
 			sub.String(&cfg.Service, "s", "service", "name of the service")
 			sub.String(&cfg.VM, "", "vm", "name of its VM")
-			sub.Int(&cfg.MaxRunning, "", "max-running", "calls that run at once")
+			sub.Int(&cfg.MaxRunning, "", "max-running", "maximum of concurrent calls")
 		},
-		func() (serving, error) { return plain.New(cfg), nil })
+		func() (standinServer, error) { return plain.New(cfg), nil })
 }
 
 func storeStandin(parent *flaggy.Subcommand) command {
@@ -91,9 +92,9 @@
 
 	return standin(parent, "store", "A store VM. Example: boragehub standin store --listen 127.0.0.1:8200",
 		func(sub *flaggy.Subcommand) {
-			sub.Int64(&cfg.TotalBytes, "", "total-bytes", "room in bytes")
+			sub.Int64(&cfg.TotalBytes, "", "total-bytes", "capacity in bytes")
 		},
-		func() (serving, error) { return vault.New(cfg), nil })
+		func() (standinServer, error) { return vault.New(cfg), nil })
 }
 
 func weightStandin(parent *flaggy.Subcommand) command {
@@ -101,9 +102,9 @@
 
 	return standin(parent, "weights", "The weight store. Example: boragehub standin weights --listen 127.0.0.1:8300",
 		func(sub *flaggy.Subcommand) {
-			sub.Int(&cfg.Bytes, "", "bytes", "size of each version")
+			sub.Int(&cfg.Bytes, "", "bytes", "bytes of each version")
 		},
-		func() (serving, error) { return weightstore.New(cfg), nil })
+		func() (standinServer, error) { return weightstore.New(cfg), nil })
 }
 
 func logStandin(parent *flaggy.Subcommand) command {
@@ -113,7 +114,7 @@
 		func(sub *flaggy.Subcommand) {
 			sub.Duration(&cfg.Retention, "", "retention", "how long records are kept")
 		},
-		func() (serving, error) { return logservice.New(cfg), nil })
+		func() (standinServer, error) { return logservice.New(cfg), nil })
 }
 
 func listStandin(parent *flaggy.Subcommand) command {
@@ -123,17 +124,17 @@
 		func(sub *flaggy.Subcommand) {
 			sub.String(file, "f", "file", "the VMs at the start, as a JSON list")
 		},
-		func() (serving, error) {
+		func() (standinServer, error) {
 			var cfg vmlist.Config
 
 			if *file != "" {
 				b, err := os.ReadFile(*file)
 				if err != nil {
-					return nil, failure.Wrap(failure.BadSettings, err, "list of VMs")
+					return nil, failure.Wrap(failure.BadSettings, err, "cannot read the list of VMs")
 				}
 
 				if err := json.Unmarshal(b, &cfg.VMs); err != nil {
-					return nil, failure.Wrap(failure.BadSettings, err, "list of VMs %s", *file)
+					return nil, failure.Wrap(failure.BadSettings, err, "cannot parse the list of VMs %s", *file)
 				}
 			}
 
--- a/cmd/boragehub/stop_test.go
+++ b/cmd/boragehub/stop_test.go
@@ -23,8 +23,8 @@
 	"boragehub/standin/vmlist"
 )
 
-// roleVariable has the test's program run a role in place of the tests, so that a
-// test can start, hold up and stop a process like any other.
+// roleVariable makes the test binary run the program instead of the tests, so that a test
+// can start, pause and stop it as a process.
 const roleVariable = "BORAGEHUB_TEST_RUNS_ROLE"
 
 func TestMain(m *testing.M) {
@@ -38,19 +38,19 @@
 }
 
 const (
-	deskKey = "key-of-the-desk-agents"
+	testAPIKey = "key-of-the-desk-agents"
 
-	// balancerGrace is how long the entry waits for the balancer; drainTimeout
-	// bounds its stop.
+	// balancerGrace is how long the entry waits for the balancer; drainTimeout bounds the
+	// drain after that.
 	balancerGrace = time.Second
 	drainTimeout  = 20 * time.Second
 
-	// patience ends waits that are in vain.
-	patience = 30 * time.Second
+	// testTimeout bounds each wait.
+	testTimeout = 30 * time.Second
 )
 
-// settings let one organisation ask one service for models.
-func settings() string {
+// testSettings returns settings with one service that one organisation may use.
+func testSettings() string {
 	return fmt.Sprintf(`
 [[data_centre]]
 name = "yvr-east"
@@ -66,18 +66,18 @@
 [[organisation]]
 name = "desk-agents"
 keys = [%q]
-`, organisation.HashKey(deskKey))
+`, organisation.HashKey(testAPIKey))
 }
 
-// entryUnderTest is an entry that runs as a process of its own.
+// entryUnderTest is an entry that runs as a separate process.
 type entryUnderTest struct {
 	cmd     *exec.Cmd
 	callers string
 	ended   chan struct{}
 }
 
-// stand serves a stand-in until the test ends and returns its URL.
-func stand(t *testing.T, s interface {
+// serveStandin serves a stand-in until the test ends and returns its URL.
+func serveStandin(t *testing.T, s interface {
 	ServeListener(ctx context.Context, l net.Listener) error
 	Abort()
 },
@@ -106,8 +106,9 @@
 	return "http://" + l.Addr().String()
 }
 
-// keysFor writes the keys of an entry and returns the lines of settings that name them.
-func keysFor(t *testing.T, dir, name string) string {
+// writeKeys writes the keys of an entry and returns the lines of its settings file that name
+// them.
+func writeKeys(t *testing.T, dir, name string) string {
 	t.Helper()
 
 	a, err := certificate.NewAuthority(time.Now())
@@ -132,7 +133,7 @@
 		filepath.Join(dir, certificate.AuthorityFile), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 }
 
-// freePorts returns addresses on loopback that nobody listens on.
+// freePorts returns n loopback addresses that nothing listens on.
 func freePorts(t *testing.T, n int) []string {
 	t.Helper()
 
@@ -152,16 +153,16 @@
 	return all
 }
 
-// startEntry starts an entry and returns when it answers callers.
+// startEntry starts an entry and returns when it serves callers.
 func startEntry(t *testing.T) *entryUnderTest {
 	t.Helper()
 
 	dir := t.TempDir()
-	log, list := stand(t, logservice.New(logservice.Config{})), stand(t, vmlist.New(vmlist.Config{}))
+	log, list := serveStandin(t, logservice.New(logservice.Config{})), serveStandin(t, vmlist.New(vmlist.Config{}))
 	ports := freePorts(t, 3)
 
 	_, err := publication.Publish(t.Context(), publication.PublishConfig{Log: journal.NewClient(journal.ClientConfig{URL: log})},
-		publication.Change{ID: "first", Author: "test", Name: "settings.toml", Text: []byte(settings())})
+		publication.Change{ID: "first", Author: "test", Name: "settings.toml", Text: []byte(testSettings())})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +171,7 @@
 	text := fmt.Sprintf("role = \"entry\"\nvm = \"entry-1\"\ndata_centre = \"yvr-east\"\nsite = \"bc-south\"\n"+
 		"[listen]\npeers = %q\noperators = %q\ncallers = %q\n[platform]\nlog_url = %q\nvm_list_url = %q\n[tls]\n%s[limits]\n"+
 		"balancer_grace = %q\ndrain_timeout = %q\n",
-		ports[0], ports[1], ports[2], log, list, keysFor(t, dir, "entry-1"), balancerGrace, drainTimeout)
+		ports[0], ports[1], ports[2], log, list, writeKeys(t, dir, "entry-1"), balancerGrace, drainTimeout)
 
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -209,28 +210,28 @@
 	return e
 }
 
-// awaitSettings waits until the entry knows its callers.
+// awaitSettings waits until the entry has settings, and so accepts testAPIKey.
 func (e *entryUnderTest) awaitSettings(t *testing.T) {
 	t.Helper()
 
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		nc, err := net.Dial("tcp", e.callers)
 		if err != nil {
 			continue
 		}
 
-		d := &desk{nc, bufio.NewReader(nc)}
-		d.ask(t)
+		c := &callerConn{nc, bufio.NewReader(nc)}
+		c.sendRequest(t)
 
-		status, _ := d.answer()
-		d.close()
+		status, _ := c.readResponse()
+		c.close()
 
 		if status == http.StatusOK {
 			return
 		}
 	}
 
-	t.Fatal("the entry doesn't answer")
+	t.Fatal("the entry did not return 200 in time")
 }
 
 func (e *entryUnderTest) signal(t *testing.T, s syscall.Signal) {
@@ -241,7 +242,7 @@
 	}
 }
 
-// wantEnd waits until the process has ended, and in order.
+// wantEnd waits for the process to exit and checks its exit status.
 func (e *entryUnderTest) wantEnd(t *testing.T) {
 	t.Helper()
 
@@ -250,18 +251,18 @@
 		if got := e.cmd.ProcessState.ExitCode(); got != 0 {
 			t.Errorf("got exit status %d, want 0", got)
 		}
-	case <-time.After(patience):
-		t.Error("got the process still there")
+	case <-time.After(testTimeout):
+		t.Error("got the process still running, want it ended")
 	}
 }
 
-// desk is a caller on one connection, which it never opens again.
-type desk struct {
+// callerConn is a caller with one connection, which it does not reopen.
+type callerConn struct {
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func connect(t *testing.T, e *entryUnderTest) *desk {
+func connect(t *testing.T, e *entryUnderTest) *callerConn {
 	t.Helper()
 
 	nc, err := net.Dial("tcp", e.callers)
@@ -269,31 +270,31 @@
 		t.Fatal(err)
 	}
 
-	d := &desk{nc, bufio.NewReader(nc)}
-	t.Cleanup(d.close)
+	c := &callerConn{nc, bufio.NewReader(nc)}
+	t.Cleanup(c.close)
 
-	return d
+	return c
 }
 
-func (d *desk) close() { _ = d.nc.Close() }
+func (c *callerConn) close() { _ = c.nc.Close() }
 
-func (d *desk) write(t *testing.T, format string, args ...any) {
+func (c *callerConn) write(t *testing.T, format string, args ...any) {
 	t.Helper()
 
-	if _, err := fmt.Fprintf(d.nc, format, args...); err != nil {
+	if _, err := fmt.Fprintf(c.nc, format, args...); err != nil {
 		t.Errorf("got %v, want the request sent", err)
 	}
 }
 
-// ask sends a question for the models.
-func (d *desk) ask(t *testing.T) {
+// sendRequest sends a request for the list of models.
+func (c *callerConn) sendRequest(t *testing.T) {
 	t.Helper()
-	d.write(t, "GET /v1/models HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\n\r\n", deskKey)
+	c.write(t, "GET /v1/models HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\n\r\n", testAPIKey)
 }
 
-// answer reads an answer; status 0 and the reason stand for none.
-func (d *desk) answer() (status int, body string) {
-	resp, err := http.ReadResponse(d.br, nil)
+// readResponse reads a response. Without one, status is 0 and body is the error.
+func (c *callerConn) readResponse() (status int, body string) {
+	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -307,71 +308,71 @@
 	return resp.StatusCode, string(b)
 }
 
-func (d *desk) wantAnswer(t *testing.T, what string) {
+func (c *callerConn) wantModels(t *testing.T, what string) {
 	t.Helper()
 
-	if status, body := d.answer(); status != http.StatusOK || !strings.Contains(body, "shuttle-8b") {
+	if status, body := c.readResponse(); status != http.StatusOK || !strings.Contains(body, "shuttle-8b") {
 		t.Errorf("%s: got %d %q, want the models", what, status, body)
 	}
 }
 
-// A case file that is still being sent keeps a leaving entry alive long past the time that
-// the balancer needs, and the balancer, which has too few others, goes on sending callers
-// to it. They find its port closed.
+// A request whose body is still being sent keeps a stopping entry running long after the
+// balancer grace, and the balancer goes on sending callers to it, as it has too few other
+// entries. The entry must keep its port open for them.
 func TestLeavingEntryServesWhoeverStillComes(t *testing.T) {
-	const question = `{"model":"other","prompt":"a long case file"}`
+	const requestBody = `{"model":"other","prompt":"a long case file"}`
 
 	e := startEntry(t)
-	long := connect(t, e)
+	slow := connect(t, e)
 
-	long.write(t, "POST /v1/completions HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
-		deskKey, len(question), question[:1])
+	slow.write(t, "POST /v1/completions HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
+		testAPIKey, len(requestBody), requestBody[:1])
 	e.signal(t, syscall.SIGTERM)
 
 	for end := time.Now().Add(3 * balancerGrace); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		d := connect(t, e)
-		d.ask(t)
-		d.wantAnswer(t, "on a new connection")
-		d.close()
+		c := connect(t, e)
+		c.sendRequest(t)
+		c.wantModels(t, "on a new connection")
+		c.close()
 	}
 
-	long.write(t, "%s", question[1:])
+	slow.write(t, "%s", requestBody[1:])
 
-	if status, body := long.answer(); status != http.StatusNotFound {
-		t.Errorf("the long one: got %d %q, want that the model isn't served", status, body)
+	if status, body := slow.readResponse(); status != http.StatusNotFound {
+		t.Errorf("slow request: got %d %q, want 404 for an unknown model", status, body)
 	}
 
 	e.wantEnd(t)
 }
 
-// A small machine is held up for a moment, and desks send their questions meanwhile on
-// connections that they keep. When it goes on, the time has come to close what is
-// idle, and what lies unread counts as idle: the questions get no answer.
+// A machine pauses during a drain, and callers send requests meanwhile on connections that
+// they keep open. When it resumes, the time to close idle connections has come. Connections
+// with unread requests must not count as idle, or those requests get no response.
 func TestLeavingEntryAnswersWhatItHasNotReadYet(t *testing.T) {
-	const desks = 20
+	const callers = 20
 
 	e := startEntry(t)
-	kept := make([]*desk, desks)
+	conns := make([]*callerConn, callers)
 
-	for i := range kept {
-		kept[i] = connect(t, e)
-		kept[i].ask(t)
-		kept[i].wantAnswer(t, fmt.Sprintf("first of desk %d", i))
+	for i := range conns {
+		conns[i] = connect(t, e)
+		conns[i].sendRequest(t)
+		conns[i].wantModels(t, fmt.Sprintf("first request of caller %d", i))
 	}
 
 	e.signal(t, syscall.SIGTERM)
 	time.Sleep(balancerGrace / 2)
 	e.signal(t, syscall.SIGSTOP)
 
-	for _, d := range kept {
-		d.ask(t)
+	for _, c := range conns {
+		c.sendRequest(t)
 	}
 
 	time.Sleep(balancerGrace)
 	e.signal(t, syscall.SIGCONT)
 
-	for i, d := range kept {
-		d.wantAnswer(t, fmt.Sprintf("second of desk %d", i))
+	for i, c := range conns {
+		c.wantModels(t, fmt.Sprintf("second request of caller %d", i))
 	}
 
 	e.wantEnd(t)
--- a/cmd/boragehub/wire.go
+++ b/cmd/boragehub/wire.go
@@ -10,17 +10,17 @@
 	"boragehub/setting"
 )
 
-// commonSet makes what every process of the running system has.
+// commonSet provides what every entry and side process has.
 var commonSet = wire.NewSet(
 	provideRecorder,
 	provideLogger,
 	provideKeys,
 	providePeerConfig,
 	providePeerServer,
-	provideList,
+	provideVMList,
 	provideJournal,
-	provideFollower,
-	newRelay,
+	provideSettingsFollower,
+	newUpdateHandlers,
 	provideCrashFeed,
 	operator.NewRegistry,
 	peer.NewDialer,
@@ -30,13 +30,13 @@
 //go:generate wire
 
 func newEntryProcess(cfg setting.Process) (*entryProcess, error) {
-	wire.Build(commonSet, provideLease, provideLeader, provideSettingsLease, provideSnapshotter, provideEntry, provideEntryOperators, wire.Struct(new(entryProcess), "*"))
+	wire.Build(commonSet, provideRolloutLease, provideLeader, provideSnapshotLease, provideSnapshotter, provideEntry, provideEntryOperators, wire.Struct(new(entryProcess), "*"))
 
 	return nil, nil
 }
 
 func newSideProcess(cfg setting.Process) (*sideProcess, error) {
-	wire.Build(commonSet, provideHomes, provideSideViews, provideSide, provideSideOperators, wire.Struct(new(sideProcess), "*"))
+	wire.Build(commonSet, provideDeduplicator, provideSideViews, provideSide, provideSideOperators, wire.Struct(new(sideProcess), "*"))
 
 	return nil, nil
 }
--- a/cmd/boragehub/wire_gen.go
+++ b/cmd/boragehub/wire_gen.go
@@ -24,44 +24,44 @@
 	}
 	config := providePeerConfig(keeper)
 	dialer := peer.NewDialer(config, logger)
-	server, err := providePeerServer(cfg, config, logger)
+	peerServer, err := providePeerServer(cfg, config, logger)
 	if err != nil {
 		return nil, err
 	}
-	mainRelay := newRelay()
-	follower := provideList(cfg, logger, mainRelay)
+	mainUpdateHandlers := newUpdateHandlers()
+	follower := provideVMList(cfg, logger, mainUpdateHandlers)
 	client := provideJournal(cfg)
-	publicationFollower := provideFollower(cfg, logger, client, dialer, follower, mainRelay)
-	feed := provideCrashFeed(cfg, logger, client, mainRelay)
+	publicationFollower := provideSettingsFollower(cfg, logger, client, dialer, follower, mainUpdateHandlers)
+	feed := provideCrashFeed(cfg, logger, client, mainUpdateHandlers)
 	mainCommon := common{
 		cfg:      cfg,
 		log:      logger,
 		keys:     keeper,
 		dialer:   dialer,
-		server:   server,
-		list:     follower,
+		server:   peerServer,
+		vmList:   follower,
 		settings: publicationFollower,
 		crashes:  feed,
-		relay:    mainRelay,
+		handlers: mainUpdateHandlers,
 	}
-	leaseKeeper := provideLease(cfg, logger, client)
+	leaseKeeper := provideRolloutLease(cfg, logger, client)
 	leader := provideLeader(cfg, logger, dialer, follower, publicationFollower, leaseKeeper)
 	registry := operator.NewRegistry()
 	entry := provideEntry(cfg, logger, dialer, follower, publicationFollower, feed, leader, recorder, registry)
-	mainSettingsLease := provideSettingsLease(cfg, logger, client)
-	snapshotter := provideSnapshotter(logger, mainSettingsLease, publicationFollower)
+	mainSnapshotLease := provideSnapshotLease(cfg, logger, client)
+	snapshotter := provideSnapshotter(logger, mainSnapshotLease, publicationFollower)
 	operatorServer, err := provideEntryOperators(cfg, registry, entry)
 	if err != nil {
 		return nil, err
 	}
 	mainEntryProcess := &entryProcess{
-		common:    mainCommon,
-		entry:     entry,
-		lease:     leaseKeeper,
-		leader:    leader,
-		writes:    mainSettingsLease,
-		snapshots: snapshotter,
-		operators: operatorServer,
+		common:        mainCommon,
+		entry:         entry,
+		lease:         leaseKeeper,
+		leader:        leader,
+		snapshotLease: mainSnapshotLease,
+		snapshots:     snapshotter,
+		operators:     operatorServer,
 	}
 	return mainEntryProcess, nil
 }
@@ -75,27 +75,27 @@
 	}
 	config := providePeerConfig(keeper)
 	dialer := peer.NewDialer(config, logger)
-	server, err := providePeerServer(cfg, config, logger)
+	peerServer, err := providePeerServer(cfg, config, logger)
 	if err != nil {
 		return nil, err
 	}
-	mainRelay := newRelay()
-	follower := provideList(cfg, logger, mainRelay)
+	mainUpdateHandlers := newUpdateHandlers()
+	follower := provideVMList(cfg, logger, mainUpdateHandlers)
 	client := provideJournal(cfg)
-	publicationFollower := provideFollower(cfg, logger, client, dialer, follower, mainRelay)
-	feed := provideCrashFeed(cfg, logger, client, mainRelay)
+	publicationFollower := provideSettingsFollower(cfg, logger, client, dialer, follower, mainUpdateHandlers)
+	feed := provideCrashFeed(cfg, logger, client, mainUpdateHandlers)
 	mainCommon := common{
 		cfg:      cfg,
 		log:      logger,
 		keys:     keeper,
 		dialer:   dialer,
-		server:   server,
-		list:     follower,
+		server:   peerServer,
+		vmList:   follower,
 		settings: publicationFollower,
 		crashes:  feed,
-		relay:    mainRelay,
+		handlers: mainUpdateHandlers,
 	}
-	home := provideHomes(cfg, logger, client, follower)
+	home := provideDeduplicator(cfg, logger, client, follower)
 	v := provideSideViews(recorder, publicationFollower)
 	side, err := provideSide(cfg, logger, dialer, follower, publicationFollower, feed, home, v)
 	if err != nil {
@@ -107,26 +107,26 @@
 		return nil, err
 	}
 	mainSideProcess := &sideProcess{
-		common:    mainCommon,
-		side:      side,
-		homes:     home,
-		operators: operatorServer,
+		common:       mainCommon,
+		side:         side,
+		deduplicator: home,
+		operators:    operatorServer,
 	}
 	return mainSideProcess, nil
 }
 
 // wire.go:
 
-// commonSet makes what every process of the running system has.
+// commonSet provides what every entry and side process has.
 var commonSet = wire.NewSet(
 	provideRecorder,
 	provideLogger,
 	provideKeys,
 	providePeerConfig,
 	providePeerServer,
-	provideList,
+	provideVMList,
 	provideJournal,
-	provideFollower,
-	newRelay,
+	provideSettingsFollower,
+	newUpdateHandlers,
 	provideCrashFeed, operator.NewRegistry, peer.NewDialer, wire.Struct(new(common), "*"),
 )
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,6 +1,6 @@
-// Command measure sends a bounded load of streamed prompts to one address and
-// prints what it saw: times to the first token, requests a second, and the
-// processor time that given processes spent on each request.
+// Command measure sends a fixed number of streamed prompts to one address and prints the
+// quantiles of the time to the first token, the requests per second, and the CPU time that
+// given processes spent per request.
 //
 //	measure --name entry --url http://127.0.0.1:9101 --key KEY --streams 64 --requests 2000 --pid entry=4711
 package main
@@ -25,8 +25,8 @@
 	"boragehub/failure"
 )
 
-// load is one bounded load.
-type load struct {
+// loadRun is one run: its parameters, and what was measured so far.
+type loadRun struct {
 	name     string
 	url      string
 	key      string
@@ -37,37 +37,37 @@
 	bytes    int
 	pids     []string
 
-	http   *http.Client
-	next   atomic.Int64
-	failed atomic.Int64
+	http    *http.Client
+	started atomic.Int64
+	failed  atomic.Int64
 
-	mu     sync.Mutex
-	firsts *hdrhistogram.Histogram
+	mu          sync.Mutex
+	firstTokens *hdrhistogram.Histogram
 }
 
-// Bounds of the histogram, in microseconds.
+// Range and precision of the histogram of times to the first token.
 const (
-	shortest = 1
-	longest  = 60_000_000
-	digits   = 3
+	minMicroseconds   = 1
+	maxMicroseconds   = 60_000_000
+	significantDigits = 3
 )
 
-// callTimeout bounds one request.
+// callTimeout bounds one request with its streamed response.
 const callTimeout = time.Minute
 
 func main() {
-	l := &load{model: "shuttle-8b", streams: 1, requests: 500, tokens: 8, bytes: 2048, firsts: hdrhistogram.New(shortest, longest, digits)}
+	l := &loadRun{model: "shuttle-8b", streams: 1, requests: 500, tokens: 8, bytes: 2048, firstTokens: hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits)}
 
 	flaggy.SetName("measure")
-	flaggy.SetDescription("Sends a bounded load and prints what it saw.")
-	flaggy.String(&l.name, "n", "name", "name of the line")
-	flaggy.String(&l.url, "u", "url", "where to send")
+	flaggy.SetDescription("Sends a fixed number of prompts and prints latency, throughput and CPU time.")
+	flaggy.String(&l.name, "n", "name", "name of the printed line")
+	flaggy.String(&l.url, "u", "url", "URL to send prompts to, without the path")
 	flaggy.String(&l.key, "k", "key", "API key")
-	flaggy.Int(&l.streams, "s", "streams", "requests at the same time")
-	flaggy.Int(&l.requests, "r", "requests", "requests in all")
-	flaggy.Int(&l.tokens, "t", "tokens", "tokens of an answer")
+	flaggy.Int(&l.streams, "s", "streams", "concurrent requests")
+	flaggy.Int(&l.requests, "r", "requests", "total requests")
+	flaggy.Int(&l.tokens, "t", "tokens", "maximum tokens of a response")
 	flaggy.Int(&l.bytes, "b", "bytes", "bytes of a prompt")
-	flaggy.StringSlice(&l.pids, "p", "pid", "NAME=PID of a process whose processor time is counted")
+	flaggy.StringSlice(&l.pids, "p", "pid", "NAME=PID of a process whose CPU time is measured; may be repeated")
 	flaggy.Parse()
 
 	if err := l.run(); err != nil {
@@ -76,10 +76,10 @@
 	}
 }
 
-func (l *load) run() error {
+func (l *loadRun) run() error {
 	l.http = &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: l.streams}}
 
-	before, err := l.cpu()
+	before, err := l.cpuTimes()
 	if err != nil {
 		return err
 	}
@@ -89,20 +89,20 @@
 	var all sync.WaitGroup
 
 	for range l.streams {
-		all.Go(l.send)
+		all.Go(l.sendRequests)
 	}
 
 	all.Wait()
 
-	took := time.Since(began)
+	elapsed := time.Since(began)
 
-	after, err := l.cpu()
+	after, err := l.cpuTimes()
 	if err != nil {
 		return err
 	}
 
 	fmt.Printf("%-14s streams %4d  first token p50 %7.3f ms  p95 %7.3f ms  p99 %7.3f ms  %8.1f requests/s  failed %d",
-		l.name, l.streams, l.quantile(50), l.quantile(95), l.quantile(99), float64(l.requests)/took.Seconds(), l.failed.Load())
+		l.name, l.streams, l.quantile(50), l.quantile(95), l.quantile(99), float64(l.requests)/elapsed.Seconds(), l.failed.Load())
 
 	for i, p := range l.pids {
 		name, _, _ := strings.Cut(p, "=")
@@ -118,15 +118,15 @@
 	return nil
 }
 
-func (l *load) quantile(q float64) float64 {
-	return float64(l.firsts.ValueAtQuantile(q)) / float64(time.Millisecond/time.Microsecond)
+func (l *loadRun) quantile(q float64) float64 {
+	return float64(l.firstTokens.ValueAtQuantile(q)) / float64(time.Millisecond/time.Microsecond)
 }
 
-// ticksPerSecond is the unit of the times in /proc.
+// ticksPerSecond is the number of clock ticks per second, the unit of CPU times in /proc.
 const ticksPerSecond = 100
 
-// cpu returns the processor time of each process so far.
-func (l *load) cpu() ([]time.Duration, error) {
+// cpuTimes returns the CPU time that each process has used so far.
+func (l *loadRun) cpuTimes() ([]time.Duration, error) {
 	times := make([]time.Duration, len(l.pids))
 
 	for i, p := range l.pids {
@@ -137,8 +137,8 @@
 			return nil, err
 		}
 
-		// The fields after the program's name, which may hold spaces, begin
-		// with the state; user and system time are the twelfth and thirteenth.
+		// The program's name, in parentheses, may contain spaces. Of the fields
+		// after it, user and system time are the twelfth and thirteenth.
 		fields := strings.Fields(string(b[bytes.LastIndexByte(b, ')')+1:]))
 		user, _ := strconv.ParseInt(fields[11], 10, 64)
 		system, _ := strconv.ParseInt(fields[12], 10, 64)
@@ -148,15 +148,15 @@
 	return times, nil
 }
 
-// send sends one request after the other until all are sent.
-func (l *load) send() {
+// sendRequests sends one request after the other until the total is reached.
+func (l *loadRun) sendRequests() {
 	for {
-		n := l.next.Add(1)
+		n := l.started.Add(1)
 		if n > int64(l.requests) {
 			return
 		}
 
-		first, err := l.one(n)
+		first, err := l.sendOne(n)
 		if err != nil {
 			l.failed.Add(1)
 
@@ -164,13 +164,14 @@
 		}
 
 		l.mu.Lock()
-		_ = l.firsts.RecordValue(first.Microseconds())
+		_ = l.firstTokens.RecordValue(first.Microseconds())
 		l.mu.Unlock()
 	}
 }
 
-// one sends a request and returns the time to its first token.
-func (l *load) one(n int64) (time.Duration, error) {
+// sendOne sends request n and returns the time to its first token. A response without the
+// end-of-stream marker is an error.
+func (l *loadRun) sendOne(n int64) (time.Duration, error) {
 	text := fmt.Sprintf("%s %d ", l.name, n)
 	text += strings.Repeat("x", max(0, l.bytes-len(text)))
 
@@ -200,7 +201,7 @@
 		return 0, failure.New(failure.Internal, "%s", resp.Status)
 	}
 
-	first, whole := time.Duration(0), false
+	first, complete := time.Duration(0), false
 	lines := bufio.NewScanner(resp.Body)
 
 	for lines.Scan() {
@@ -208,11 +209,11 @@
 			first = time.Since(began)
 		}
 
-		whole = whole || lines.Text() == "data: [DONE]"
+		complete = complete || lines.Text() == "data: [DONE]"
 	}
 
-	if !whole {
-		return 0, failure.New(failure.Internal, "the answer is not whole")
+	if !complete {
+		return 0, failure.New(failure.Internal, "incomplete response: the stream ended without [DONE]")
 	}
 
 	return first, nil
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -1,6 +1,7 @@
-// Command trial is the caller in the trial run of scripts/run.sh: it shows the
-// main job on a system that the script has started, and fails unless each step
-// was seen.
+// Command trial is the caller in the trial run of scripts/run.sh. On a system that the script
+// has started, it checks the main steps: a prompt is answered, its context is stored and
+// fetched for a continuation, and a repeated booking runs once. It exits with status 1 when a
+// step fails.
 //
 //	trial --entry http://127.0.0.1:9101 --entry http://127.0.0.1:9102 --key KEY \
 //	      --engine http://127.0.0.1:8001 --engine http://127.0.0.1:8002
@@ -22,14 +23,14 @@
 	"boragehub/failure"
 )
 
-// Bounds of the trial.
+// Timeouts and retry interval.
 const (
-	callTimeout = 20 * time.Second
-	waitLimit   = 20 * time.Second
-	waitPause   = 100 * time.Millisecond
+	callTimeout   = 20 * time.Second
+	retryTimeout  = 20 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
-// trial is one run against a system.
+// trial is one run against a system: its parameters and its HTTP client.
 type trial struct {
 	entries  []string
 	engines  []string
@@ -45,12 +46,12 @@
 	t := &trial{http: &http.Client{Timeout: callTimeout}, model: "shuttle-8b", service: "booking-api"}
 
 	flaggy.SetName("trial")
-	flaggy.SetDescription("Shows the main job on a running system.")
+	flaggy.SetDescription("Checks the main steps on a running system.")
 	flaggy.StringSlice(&t.entries, "e", "entry", "callers' URL of an entry; may be repeated")
 	flaggy.StringSlice(&t.engines, "g", "engine", "URL of an engine stand-in; may be repeated")
 	flaggy.StringSlice(&t.stores, "s", "store", "URL of a store stand-in; may be repeated")
 	flaggy.String(&t.key, "k", "key", "API key of an organisation")
-	flaggy.String(&t.workload, "w", "workload", "workload to name")
+	flaggy.String(&t.workload, "w", "workload", "workload that requests name")
 	flaggy.Parse()
 
 	if err := t.run(context.Background()); err != nil {
@@ -59,17 +60,17 @@
 	}
 }
 
-// step is one thing that has to be seen.
+// step is one check; do returns a line that describes what was observed.
 type step struct {
 	name string
 	do   func(ctx context.Context) (seen string, err error)
 }
 
 func (t *trial) run(ctx context.Context) error {
-	var first, second turn
+	var original, continuation completion
 
 	key := uuid.Must(uuid.NewV7()).String()
-	opening := []message{
+	conversation := []message{
 		{"system", "You answer riders of the airport shuttle."},
 		{"user", "Fare rules: " + strings.Repeat("a child under five rides free with an adult; ", 60) + "Is there a seat at noon?"},
 	}
@@ -77,40 +78,40 @@
 	steps := []step{
 		{"a prompt is answered", func(ctx context.Context) (string, error) {
 			var err error
-			first, err = t.chat(ctx, t.entries[0], opening)
+			original, err = t.chat(ctx, t.entries[0], conversation)
 
-			return first.seen(), err
+			return original.summary(), err
 		}},
 		{"its context is copied to a store", func(ctx context.Context) (string, error) {
-			return t.until(ctx, func() (string, error) { return t.parked(ctx) })
+			return t.retry(ctx, func() (string, error) { return t.countCopies(ctx) })
 		}},
-		{"its context leaves the engines' memory", t.evict},
+		{"its context leaves the engines' memory", t.evictCaches},
 		{"its continuation, by the other entry, gets the context from a store", func(ctx context.Context) (string, error) {
-			next := append(append([]message{}, opening...), message{"assistant", first.text}, message{"user", "And at one?"})
+			next := append(append([]message{}, conversation...), message{"assistant", original.text}, message{"user", "And at one?"})
 
-			// On a machine that is busy with other things the owner of the context
-			// may answer too late, and the prompt is rightly computed anew; then the
-			// engines forget it again and the continuation is sent once more.
-			return t.until(ctx, func() (string, error) {
-				if _, err := t.evict(ctx); err != nil {
+			// On a busy machine the owner of the context may respond too late, and
+			// the prompt is then correctly recomputed. In that case the engines'
+			// caches are evicted again and the continuation is retried.
+			return t.retry(ctx, func() (string, error) {
+				if _, err := t.evictCaches(ctx); err != nil {
 					return "", err
 				}
 
 				var err error
 
-				second, err = t.chat(ctx, t.entries[len(t.entries)-1], next)
-				if err == nil && second.usage.Details.CachedTokens < first.usage.PromptTokens {
-					err = failure.New(failure.Internal, "only %d of %d tokens were not recomputed", second.usage.Details.CachedTokens, second.usage.PromptTokens)
+				continuation, err = t.chat(ctx, t.entries[len(t.entries)-1], next)
+				if err == nil && continuation.usage.Details.CachedTokens < original.usage.PromptTokens {
+					err = failure.New(failure.Internal, "only %d of %d prompt tokens were cached", continuation.usage.Details.CachedTokens, continuation.usage.PromptTokens)
 				}
 
-				return second.seen(), err
+				return continuation.summary(), err
 			})
 		}},
 		{"a booking is made", func(ctx context.Context) (string, error) {
-			return t.until(ctx, func() (string, error) { return t.book(ctx, t.entries[0], key) })
+			return t.retry(ctx, func() (string, error) { return t.book(ctx, t.entries[0], key) })
 		}},
 		{"the same booking, sent again to the other entry, runs no second time", func(ctx context.Context) (string, error) {
-			return t.until(ctx, func() (string, error) { return t.book(ctx, t.entries[len(t.entries)-1], key) })
+			return t.retry(ctx, func() (string, error) { return t.book(ctx, t.entries[len(t.entries)-1], key) })
 		}},
 	}
 
@@ -128,17 +129,18 @@
 	return nil
 }
 
-// until tries again until it succeeds or the limit has passed.
-func (t *trial) until(ctx context.Context, do func() (string, error)) (string, error) {
-	limit := time.Now().Add(waitLimit)
+// retry calls attempt until it succeeds, retryTimeout has passed or ctx has ended, and returns
+// the last result.
+func (t *trial) retry(ctx context.Context, attempt func() (string, error)) (string, error) {
+	deadline := time.Now().Add(retryTimeout)
 
 	for {
-		seen, err := do()
-		if err == nil || time.Now().After(limit) || ctx.Err() != nil {
+		seen, err := attempt()
+		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
 			return seen, err
 		}
 
-		time.Sleep(waitPause)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -147,8 +149,8 @@
 	Content string `json:"content"`
 }
 
-// turn is one answered prompt.
-type turn struct {
+// completion is the response to one prompt.
+type completion struct {
 	id    string
 	text  string
 	usage usage
@@ -162,21 +164,21 @@
 	} `json:"prompt_tokens_details"`
 }
 
-func (t turn) seen() string {
+func (t completion) summary() string {
 	return fmt.Sprintf("request %s: %d of %d prompt tokens not computed; answer %q", t.id, t.usage.Details.CachedTokens, t.usage.PromptTokens, shorten(t.text))
 }
 
-const shown = 60
+const maxTextBytes = 60
 
 func shorten(s string) string {
-	if len(s) <= shown {
+	if len(s) <= maxTextBytes {
 		return s
 	}
 
-	return s[:shown] + "…"
+	return s[:maxTextBytes] + "…"
 }
 
-func (t *trial) chat(ctx context.Context, entry string, messages []message) (turn, error) {
+func (t *trial) chat(ctx context.Context, entry string, messages []message) (completion, error) {
 	var got struct {
 		Choices []struct {
 			Message message `json:"message"`
@@ -184,24 +186,24 @@
 		Usage usage `json:"usage"`
 	}
 
-	header, err := t.call(ctx, entry+"/v1/chat/completions", "", struct {
+	header, err := t.post(ctx, entry+"/v1/chat/completions", "", struct {
 		Model     string    `json:"model"`
 		Messages  []message `json:"messages"`
 		MaxTokens int       `json:"max_tokens"`
 	}{t.model, messages, 32}, &got)
 	if err != nil {
-		return turn{}, err
+		return completion{}, err
 	}
 
 	if len(got.Choices) != 1 || got.Usage.CompletionTokens == 0 {
-		return turn{}, failure.New(failure.Internal, "the answer is not whole")
+		return completion{}, failure.New(failure.Internal, "the response has no completion")
 	}
 
-	return turn{id: header.Get("X-Request-Id"), text: got.Choices[0].Message.Content, usage: got.Usage}, nil
+	return completion{id: header.Get("X-Request-Id"), text: got.Choices[0].Message.Content, usage: got.Usage}, nil
 }
 
-// parked looks whether each store has a copy.
-func (t *trial) parked(ctx context.Context) (string, error) {
+// countCopies counts the copies in all stores; none is an error.
+func (t *trial) countCopies(ctx context.Context) (string, error) {
 	copies := 0
 
 	for _, s := range t.stores {
@@ -211,7 +213,7 @@
 			} `json:"objects"`
 		}
 
-		if _, err := t.do(ctx, http.MethodGet, s+"/objects", "", nil, &got); err != nil {
+		if _, err := t.send(ctx, http.MethodGet, s+"/objects", "", nil, &got); err != nil {
 			return "", err
 		}
 
@@ -225,10 +227,10 @@
 	return fmt.Sprintf("%d copies in %d stores", copies, len(t.stores)), nil
 }
 
-// evict makes the engines drop their caches, as other prompts would in time.
-func (t *trial) evict(ctx context.Context) (string, error) {
+// evictCaches makes the engines drop their caches, as other prompts would do in time.
+func (t *trial) evictCaches(ctx context.Context) (string, error) {
 	for _, e := range t.engines {
-		if _, err := t.call(ctx, e+"/faults", "", map[string]bool{"evict_all": true}, nil); err != nil {
+		if _, err := t.post(ctx, e+"/faults", "", map[string]bool{"evict_all": true}, nil); err != nil {
 			return "", err
 		}
 	}
@@ -242,29 +244,29 @@
 		Run int    `json:"run"`
 	}
 
-	header, err := t.call(ctx, entry+"/v1/services/"+t.service+"/bookings", key, map[string]any{"seats": 2}, &got)
+	header, err := t.post(ctx, entry+"/v1/services/"+t.service+"/bookings", key, map[string]any{"seats": 2}, &got)
 	if err != nil {
 		return "", err
 	}
 
 	if got.Run != 1 {
-		return "", failure.New(failure.Internal, "the booking is run %d of its service", got.Run)
+		return "", failure.New(failure.Internal, "the booking is run %d of its service, not the first", got.Run)
 	}
 
 	return fmt.Sprintf("request %s: run %d at %s, replayed %q", header.Get("X-Request-Id"), got.Run, got.VM, header.Get("Idempotency-Replayed")), nil
 }
 
-// call posts q as JSON and reads the answer into got, unless that is nil.
-func (t *trial) call(ctx context.Context, url, key string, q, got any) (http.Header, error) {
+// post sends q as JSON and decodes the response into got, unless that is nil.
+func (t *trial) post(ctx context.Context, url, key string, q, got any) (http.Header, error) {
 	b, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
 	}
 
-	return t.do(ctx, http.MethodPost, url, key, b, got)
+	return t.send(ctx, http.MethodPost, url, key, b, got)
 }
 
-func (t *trial) do(ctx context.Context, method, url, key string, body []byte, got any) (http.Header, error) {
+func (t *trial) send(ctx context.Context, method, url, key string, body []byte, got any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/ctl/client.go
+++ b/ctl/client.go
@@ -14,63 +14,64 @@
 	"boragehub/vm"
 )
 
-// Asker opens conversations; *peer.Dialer is one.
-type Asker interface {
+// Requester sends a request to a process and returns its reply; *peer.Dialer is one.
+type Requester interface {
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
-// Client asks the processes of a fleet for their views, over the same
-// connections as they use among themselves.
+// Client reads views from the processes of a fleet. It connects to the addresses, and by the
+// protocol, that the processes use among themselves.
 type Client struct {
-	// Asker opens conversations, with an operator's certificate.
-	Asker Asker
+	// Peers sends the requests, with an operator's certificate.
+	Peers Requester
 	// List is the platform's list of VMs.
 	List *vm.List
-	// Timeout bounds each question; zero is DefaultAskTimeout.
+	// Timeout bounds each request; zero is DefaultRequestTimeout.
 	Timeout time.Duration
 }
 
 // Defaults of Client.
 const (
-	// DefaultAskTimeout bounds a question.
-	DefaultAskTimeout = 3 * time.Second
-	// askAtOnce is how many processes are asked at the same time.
-	askAtOnce = 32
+	// DefaultRequestTimeout bounds one request.
+	DefaultRequestTimeout = 3 * time.Second
+	// maxConcurrentRequests limits the requests in flight of one ViewAll.
+	maxConcurrentRequests = 32
 )
 
-// Viewed is one process's answer.
-type Viewed struct {
+// ViewResult is the view of one process, or why there is none.
+type ViewResult struct {
 	// VM is the process's VM.
 	VM vm.VM
-	// JSON is the view; nil with Err.
+	// JSON is the view; nil if Err is set.
 	JSON []byte
-	// Err is why there is no view.
+	// Err is the error of the request; nil if it succeeded.
 	Err error
 }
 
-// View asks one process for a view.
+// View returns a view of one process as JSON. What query means depends on the view.
 func (r Client) View(ctx context.Context, m vm.VM, name, query string) ([]byte, error) {
 	timeout := r.Timeout
 	if timeout <= 0 {
-		timeout = DefaultAskTimeout
+		timeout = DefaultRequestTimeout
 	}
 
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
-	answer, err := r.Asker.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.View{Name: name, Query: query})
+	reply, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.View{Name: name, Query: query})
 	if err != nil {
 		return nil, err
 	}
 
-	v, err := message.Expect[message.Viewed](answer)
+	v, err := message.Expect[message.Viewed](reply)
 
 	return v.JSON, err
 }
 
-// All asks every process of the given kinds, or all when none is given, and
-// returns the answers in order of VM.
-func (r Client) All(ctx context.Context, name, query string, kinds ...vm.Kind) []Viewed {
+// ViewAll requests a view from the processes of all VMs of the given kinds, or of any kind when
+// none is given, and returns the results in the order of the VM list. VMs without a process of
+// the system are left out.
+func (r Client) ViewAll(ctx context.Context, name, query string, kinds ...vm.Kind) []ViewResult {
 	var vms []vm.VM
 
 	for _, m := range r.List.All() {
@@ -79,37 +80,37 @@
 		}
 	}
 
-	answers := make([]Viewed, len(vms))
-	room := make(chan struct{}, askAtOnce)
+	results := make([]ViewResult, len(vms))
+	slots := make(chan struct{}, maxConcurrentRequests)
 
 	var all sync.WaitGroup
 
 	for i, m := range vms {
-		room <- struct{}{}
+		slots <- struct{}{}
 
 		all.Go(func() {
 			b, err := r.View(ctx, m, name, query)
-			answers[i] = Viewed{VM: m, JSON: b, Err: err}
+			results[i] = ViewResult{VM: m, JSON: b, Err: err}
 
-			<-room
+			<-slots
 		})
 	}
 
 	all.Wait()
 
-	return answers
+	return results
 }
 
-// Versions implements Fleet.
+// Versions implements Fleet by the settings view of each process.
 func (r Client) Versions(ctx context.Context) ([]ProcessVersion, error) {
-	answers := r.All(ctx, "settings", "")
-	if len(answers) == 0 {
+	results := r.ViewAll(ctx, "settings", "")
+	if len(results) == 0 {
 		return nil, failure.New(failure.Unavailable, "the platform lists no process of the system")
 	}
 
-	versions := make([]ProcessVersion, len(answers))
+	versions := make([]ProcessVersion, len(results))
 
-	for i, a := range answers {
+	for i, a := range results {
 		versions[i] = ProcessVersion{VM: a.VM.Name}
 
 		var d operator.SettingsDocument
--- a/ctl/config.go
+++ b/ctl/config.go
@@ -15,62 +15,64 @@
 	"boragehub/setting/publication"
 )
 
-// ProcessVersion is the version of the settings at one process.
+// ProcessVersion is the settings version of one process.
 type ProcessVersion struct {
 	// VM is the name of the process's VM.
 	VM string `json:"vm"`
-	// Version is what is in force there; zero when it has none or didn't answer.
+	// Version is the version in force there; zero when there is none or it is unknown.
 	Version uint64 `json:"version"`
-	// Fault says why it didn't answer; empty when it did.
+	// Fault is why the version is unknown; empty when it is known.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Fleet asks all live processes for their version of the settings.
+// Fleet returns the settings versions of all listed processes. Those that don't respond are
+// included with a Fault.
 type Fleet interface {
 	Versions(ctx context.Context) ([]ProcessVersion, error)
 }
 
-// ConfigConfig says what the commands for settings work on.
-type ConfigConfig struct {
-	// Terminal is where they write.
+// ConfigOptions are what the commands for settings work with.
+type ConfigOptions struct {
+	// Terminal takes the output.
 	Terminal Terminal
 	// Log is the log service; commands that only read files need none.
 	Log publication.Log
-	// Fleet is asked by Wait.
+	// Fleet is used by Wait; nil makes Wait fail.
 	Fleet Fleet
 	// Author is the operator's name in the history.
 	Author string
-	// Pause is the time between two questions to the fleet; zero is DefaultPause.
-	Pause time.Duration
+	// PollInterval is the pause between two polls of the fleet; zero is DefaultPollInterval.
+	PollInterval time.Duration
 }
 
-// DefaultPause is the time between two questions to the fleet while waiting.
-const DefaultPause = time.Second
+// DefaultPollInterval is the pause between two polls of the fleet while waiting.
+const DefaultPollInterval = time.Second
 
-// Config carries out the commands for settings.
-type Config struct {
-	cfg ConfigConfig
+// ConfigCommands runs the commands for settings. Use NewConfigCommands.
+type ConfigCommands struct {
+	cfg ConfigOptions
 }
 
-// NewConfig returns the commands for settings.
-func NewConfig(cfg ConfigConfig) *Config {
-	if cfg.Pause <= 0 {
-		cfg.Pause = DefaultPause
+// NewConfigCommands returns the commands for settings.
+func NewConfigCommands(cfg ConfigOptions) *ConfigCommands {
+	if cfg.PollInterval <= 0 {
+		cfg.PollInterval = DefaultPollInterval
 	}
 
-	return &Config{cfg: cfg}
+	return &ConfigCommands{cfg: cfg}
 }
 
-// versionLine is how Show marks a text with the version that it is, so that
-// Publish knows what the edited file was based on.
+// versionLine matches the first line that Show puts before a text, from which Publish knows
+// the version that the edited file is based on.
 var versionLine = regexp.MustCompile(`^# boragehub settings, version ([0-9]+)\n`)
 
-func marked(version uint64, text []byte) []byte {
+func withVersionLine(version uint64, text []byte) []byte {
 	return append(fmt.Appendf(nil, "# boragehub settings, version %d\n", version), text...)
 }
 
-// unmarked returns the text without its mark, and the version in it.
-func unmarked(text []byte) ([]byte, uint64) {
+// cutVersionLine returns the text without its version line, and the version in it; zero
+// without such a line.
+func cutVersionLine(text []byte) ([]byte, uint64) {
 	m := versionLine.FindSubmatch(text)
 	if m == nil {
 		return text, 0
@@ -84,34 +86,34 @@
 	return text[len(m[0]):], version
 }
 
-// read returns the text of a settings file.
-func read(file string) ([]byte, error) {
+// readSettingsFile returns the text of a settings file.
+func readSettingsFile(file string) ([]byte, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSettings, err, "the file can't be read")
+		return nil, failure.Wrap(failure.BadSettings, err, "cannot read the settings file")
 	}
 
 	return b, nil
 }
 
-// Check checks a file and tells every fault with file, line and key.
-func (c *Config) Check(file string) error {
-	text, err := read(file)
+// Check parses a file and writes every fault with file, line and key. Errors: BadSettings.
+func (c *ConfigCommands) Check(file string) error {
+	text, err := readSettingsFile(file)
 	if err != nil {
 		return err
 	}
 
 	_, err = setting.Parse(file, text)
 
-	return c.faults(file, err)
+	return c.writeFaults(file, err)
 }
 
-// faults writes the faults of a file as a table.
-func (c *Config) faults(file string, err error) error {
+// writeFaults writes the faults in err, if any, as a table, and returns err.
+func (c *ConfigCommands) writeFaults(file string, err error) error {
 	problems := setting.ProblemsOf(err)
 
 	if err == nil && !c.cfg.Terminal.JSON {
-		c.cfg.Terminal.say("%s: no faults", file)
+		c.cfg.Terminal.writeMessage("%s: no faults", file)
 
 		return nil
 	}
@@ -129,16 +131,16 @@
 		rows = append(rows, []string{fmt.Sprintf("%s:%d", p.File, p.Line), p.Key, p.Text})
 	}
 
-	if failed := c.cfg.Terminal.table(problems, []string{"WHERE", "KEY", "FAULT"}, rows); failed != nil {
+	if failed := c.cfg.Terminal.writeTable(problems, []string{"WHERE", "KEY", "FAULT"}, rows); failed != nil {
 		return failed
 	}
 
 	return err
 }
 
-// Diff compares a file with the version in force, or with another file when
-// one is named.
-func (c *Config) Diff(ctx context.Context, file, other string) error {
+// Diff writes the keys that differ between a file and the version in force, or another file
+// when one is named. Differences are an error, with the exit status ExitDiffers.
+func (c *ConfigCommands) Diff(ctx context.Context, file, other string) error {
 	after, err := c.parse(file)
 	if err != nil {
 		return err
@@ -158,7 +160,7 @@
 
 	changes := setting.Diff(before, after)
 
-	if err := c.changes(changes); err != nil {
+	if err := c.writeChanges(changes); err != nil {
 		return err
 	}
 
@@ -169,8 +171,8 @@
 	return nil
 }
 
-func (c *Config) parse(file string) (*setting.Tree, error) {
-	text, err := read(file)
+func (c *ConfigCommands) parse(file string) (*setting.Tree, error) {
+	text, err := readSettingsFile(file)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +181,7 @@
 }
 
 // inForce returns the tree in force; nil when nothing was published yet.
-func (c *Config) inForce(ctx context.Context) (*setting.Tree, error) {
+func (c *ConfigCommands) inForce(ctx context.Context) (*setting.Tree, error) {
 	p, _, err := publication.Read(ctx, c.cfg.Log, 1)
 	if err != nil || p == nil {
 		return nil, err
@@ -188,20 +190,20 @@
 	return p.Tree(), nil
 }
 
-func (c *Config) changes(changes []setting.Change) error {
+func (c *ConfigCommands) writeChanges(changes []setting.Change) error {
 	if changes == nil {
 		changes = []setting.Change{}
 	}
 
 	rows := make([][]string, 0, len(changes))
-	for _, one := range changes {
-		rows = append(rows, []string{one.Key, dash(one.Before), dash(one.After)})
+	for _, change := range changes {
+		rows = append(rows, []string{change.Key, dashIfEmpty(change.Before), dashIfEmpty(change.After)})
 	}
 
-	return c.cfg.Terminal.table(changes, []string{"KEY", "BEFORE", "AFTER"}, rows)
+	return c.cfg.Terminal.writeTable(changes, []string{"KEY", "BEFORE", "AFTER"}, rows)
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -209,14 +211,14 @@
 	return s
 }
 
-// Example writes a tree of a small deployment to start from.
-func (c *Config) Example() error {
+// Example writes the settings of a small deployment to start from.
+func (c *ConfigCommands) Example() error {
 	_, err := bytes.NewBufferString(setting.Example()).WriteTo(c.cfg.Terminal.Out)
 
 	return err
 }
 
-// NewKey is the JSON answer of Key.
+// NewKey is the JSON output of Key.
 type NewKey struct {
 	// Key is the secret to hand to callers.
 	Key string `json:"key"`
@@ -225,8 +227,8 @@
 }
 
 // Key writes a new key for callers and its hash for the settings.
-func (c *Config) Key() error {
+func (c *ConfigCommands) Key() error {
 	key, hash := organisation.NewKey()
 
-	return c.cfg.Terminal.table(NewKey{key, hash}, []string{"KEY", "HASH"}, [][]string{{key, hash}})
+	return c.cfg.Terminal.writeTable(NewKey{key, hash}, []string{"KEY", "HASH"}, [][]string{{key, hash}})
 }
--- a/ctl/config_test.go
+++ b/ctl/config_test.go
@@ -19,10 +19,10 @@
 	"boragehub/setting"
 )
 
-// memory is a log without faults.
-type memory struct{ records []journal.Record }
+// memoryLog is a log in memory that never fails.
+type memoryLog struct{ records []journal.Record }
 
-func (m *memory) Append(_ context.Context, _ string, records [][]byte) (uint64, error) {
+func (m *memoryLog) Append(_ context.Context, _ string, records [][]byte) (uint64, error) {
 	first := uint64(len(m.records) + 1)
 	for i, data := range records {
 		m.records = append(m.records, journal.Record{Offset: first + uint64(i), Data: data})
@@ -31,30 +31,30 @@
 	return first, nil
 }
 
-func (m *memory) Read(_ context.Context, _ string, from uint64, most int, _ time.Duration) (journal.Batch, error) {
+func (m *memoryLog) Read(_ context.Context, _ string, from uint64, limit int, _ time.Duration) (journal.Batch, error) {
 	n := uint64(len(m.records))
 	if from > n {
 		return journal.Batch{First: 1, Next: n + 1}, nil
 	}
 
-	return journal.Batch{First: 1, Next: n + 1, Records: m.records[from-1 : min(n, from-1+uint64(most))]}, nil
+	return journal.Batch{First: 1, Next: n + 1, Records: m.records[from-1 : min(n, from-1+uint64(limit))]}, nil
 }
 
-type versions []ProcessVersion
+type fixedVersions []ProcessVersion
 
-func (v versions) Versions(context.Context) ([]ProcessVersion, error) { return v, nil }
+func (v fixedVersions) Versions(context.Context) ([]ProcessVersion, error) { return v, nil }
 
-// shell runs command lines as an operator types them.
-type shell struct {
-	log   *memory
-	fleet versions
+// testShell runs command lines against a log and a fleet, and keeps the output.
+type testShell struct {
+	log   *memoryLog
+	fleet fixedVersions
 	json  bool
 	out   bytes.Buffer
 	err   bytes.Buffer
 }
 
 // run returns the exit status of a command line.
-func (s *shell) run(t *testing.T, args ...string) int {
+func (s *testShell) run(t *testing.T, args ...string) int {
 	t.Helper()
 	s.out.Reset()
 	s.err.Reset()
@@ -70,8 +70,8 @@
 
 	terminal := Terminal{Out: &s.out, Err: &s.err, JSON: s.json}
 
-	ran, err := config.Run(t.Context(), ConfigConfig{
-		Terminal: terminal, Log: s.log, Fleet: s.fleet, Author: "ann", Pause: time.Nanosecond,
+	ran, err := config.Run(t.Context(), ConfigOptions{
+		Terminal: terminal, Log: s.log, Fleet: s.fleet, Author: "ann", PollInterval: time.Nanosecond,
 	})
 	if !ran {
 		ran, err = keys.Run(time.Now(), terminal)
@@ -81,10 +81,10 @@
 		t.Fatalf("%v: no command ran", args)
 	}
 
-	return Exit(err)
+	return ExitStatus(err)
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 
 	file := filepath.Join(t.TempDir(), name)
@@ -96,9 +96,9 @@
 }
 
 func TestOperatorsDay(t *testing.T) {
-	s := &shell{log: &memory{}, fleet: versions{{VM: "e1", Version: 1}, {VM: "e2", Version: 0, Fault: "silent"}}}
-	example := write(t, "settings.toml", setting.Example())
-	bad := write(t, "bad.toml", "share = 0.0\n")
+	s := &testShell{log: &memoryLog{}, fleet: fixedVersions{{VM: "e1", Version: 1}, {VM: "e2", Version: 0, Fault: "silent"}}}
+	example := writeFile(t, "settings.toml", setting.Example())
+	bad := writeFile(t, "bad.toml", "share = 0.0\n")
 	more := strings.Replace(setting.Example(), "retry_ratio = 0.2", "retry_ratio = 0.3", 1)
 
 	steps := []struct {
@@ -108,26 +108,26 @@
 		out  string
 	}{
 		{"example", []string{"config", "example"}, ExitDone, "max_attempts = 3"},
-		{"nothing yet", []string{"config", "show"}, ExitUnavailable, ""},
+		{"show before publish", []string{"config", "show"}, ExitUnavailable, ""},
 		{"check", []string{"config", "check", example}, ExitDone, ""},
-		{"check bad", []string{"config", "check", bad}, ExitInvalid, "bad.toml:1  share"},
+		{"check invalid", []string{"config", "check", bad}, ExitInvalid, "bad.toml:1  share"},
 		{"no file", []string{"config", "check", "none.toml"}, ExitInvalid, ""},
-		{"publish bad", []string{"config", "publish", bad}, ExitInvalid, "share"},
+		{"publish invalid", []string{"config", "publish", bad}, ExitInvalid, "share"},
 		{"publish", []string{"config", "publish", example, "--note", "first"}, ExitDone, "published as version 1"},
 		{"same", []string{"config", "diff", example}, ExitDone, "KEY"},
-		{"differs", []string{"config", "diff", write(t, "more.toml", more)}, ExitDiffers, "retry_ratio  0.2     0.3"},
-		{"publish on nothing", []string{"config", "publish", write(t, "late.toml", more)}, ExitConflict, "KEY"},
-		{"publish on 1", []string{"config", "publish", "--based", "1", write(t, "more.toml", more)}, ExitDone, "version 2"},
+		{"differs", []string{"config", "diff", writeFile(t, "more.toml", more)}, ExitDiffers, "retry_ratio  0.2     0.3"},
+		{"publish without base", []string{"config", "publish", writeFile(t, "late.toml", more)}, ExitConflict, "KEY"},
+		{"publish on 1", []string{"config", "publish", "--based", "1", writeFile(t, "more.toml", more)}, ExitDone, "version 2"},
 		{"show", []string{"config", "show"}, ExitDone, "# boragehub settings, version 2\n"},
 		{"show 1", []string{"config", "show", "--of", "1"}, ExitDone, "retry_ratio = 0.2"},
-		{"show no", []string{"config", "show", "--of", "7"}, ExitFailed, ""},
+		{"show unknown version", []string{"config", "show", "--of", "7"}, ExitFailed, ""},
 		{"effective", []string{"config", "show", "--effective", "bc-south/boragehub-llm/desk-agents/curb"}, ExitDone, "urgent"},
-		{"from", []string{"config", "show", "--effective", "bc-south/boragehub-llm"}, ExitDone, "bc-south/boragehub-llm"},
-		{"too deep", []string{"config", "show", "--effective", "a/b/c/d/e"}, ExitUsage, ""},
+		{"source of values", []string{"config", "show", "--effective", "bc-south/boragehub-llm"}, ExitDone, "bc-south/boragehub-llm"},
+		{"path too long", []string{"config", "show", "--effective", "a/b/c/d/e"}, ExitUsage, ""},
 		{"history", []string{"config", "history"}, ExitDone, "first"},
 		{"wait for 1", []string{"config", "wait", "--for", "1", "--patience", "1ns"}, ExitMissing, "e2"},
-		{"nothing chosen", []string{"config"}, ExitUsage, ""},
-		{"no directory", []string{"keys"}, ExitUsage, ""},
+		{"no subcommand", []string{"config"}, ExitUsage, ""},
+		{"keys without directory", []string{"keys"}, ExitUsage, ""},
 	}
 
 	for _, c := range steps {
@@ -143,22 +143,22 @@
 	}
 }
 
-// Two operators edit version 1. The second is told which keys the first one
-// changed, and goes on with --rebase; neither loses anything.
+// Two operators edit version 1. The second one's publish must fail with the keys that the
+// first one changed, and succeed with --rebase without losing either change.
 func TestSecondOperatorRebases(t *testing.T) {
-	s := &shell{log: &memory{}}
-	s.run(t, "config", "publish", write(t, "a.toml", setting.Example()))
+	s := &testShell{log: &memoryLog{}}
+	s.run(t, "config", "publish", writeFile(t, "a.toml", setting.Example()))
 	s.run(t, "config", "show")
 
 	shown := s.out.String()
 	first := strings.Replace(shown, "retry_ratio = 0.2", "retry_ratio = 0.3", 1)
 	second := strings.Replace(shown, "concurrent_loads = 2", "concurrent_loads = 4", 1)
 
-	if got := s.run(t, "config", "publish", write(t, "first.toml", first)); got != ExitDone {
+	if got := s.run(t, "config", "publish", writeFile(t, "first.toml", first)); got != ExitDone {
 		t.Fatalf("first: got %d (%s)", got, s.err.String())
 	}
 
-	file := write(t, "second.toml", second)
+	file := writeFile(t, "second.toml", second)
 	if got, want := s.run(t, "config", "publish", file), ExitConflict; got != want {
 		t.Errorf("second: got %d, want %d", got, want)
 	}
@@ -174,8 +174,8 @@
 		t.Errorf("rebased: got %d, want %d (%s)", got, want, s.err.String())
 	}
 
-	var p Published
-	if err := json.Unmarshal(s.out.Bytes(), &p); err != nil || p != (Published{3, true}) {
+	var p PublishResult
+	if err := json.Unmarshal(s.out.Bytes(), &p); err != nil || p != (PublishResult{3, true}) {
 		t.Errorf("got %+v %v, want version 3, rebased", p, err)
 	}
 
@@ -185,7 +185,7 @@
 	line := strings.Count(bad[:strings.Index(bad, "max_attempts")], "\n") + 1
 
 	s.json = false
-	if got, want := s.run(t, "config", "publish", write(t, "bad.toml", bad)), ExitInvalid; got != want {
+	if got, want := s.run(t, "config", "publish", writeFile(t, "bad.toml", bad)), ExitInvalid; got != want {
 		t.Errorf("bad: got %d, want %d", got, want)
 	}
 
@@ -215,7 +215,7 @@
 	}
 
 	for _, c := range cases {
-		if got := Exit(failure.New(c.kind, "x")); got != c.want {
+		if got := ExitStatus(failure.New(c.kind, "x")); got != c.want {
 			t.Errorf("%v: got %d, want %d", c.kind, got, c.want)
 		}
 	}
@@ -223,7 +223,7 @@
 
 func TestKeysAreMadeOnceAndAdded(t *testing.T) {
 	dir := t.TempDir()
-	s := &shell{log: &memory{}}
+	s := &testShell{log: &memoryLog{}}
 
 	if got := s.run(t, "keys", "--directory", dir, "--process", "e1:entry", "--process", "s1:side"); got != ExitDone {
 		t.Fatalf("got %d (%s)", got, s.err.String())
@@ -238,7 +238,7 @@
 
 	after, err := os.ReadFile(filepath.Join(dir, certificate.AuthorityFile))
 	if err != nil || !bytes.Equal(before, after) {
-		t.Errorf("the authority was replaced (%v)", err)
+		t.Errorf("the authority was replaced (error: %v)", err)
 	}
 
 	for _, name := range []string{"e1.pem", "s1.key", "s2.pem"} {
--- a/ctl/edit_test.go
+++ b/ctl/edit_test.go
@@ -10,7 +10,7 @@
 	"boragehub/setting/publication"
 )
 
-const editTree = `class = "standard"
+const testSettings = `class = "standard"
 
 [[data_centre]]
 name = "yvr-east"
@@ -24,24 +24,24 @@
 weight_version = "v1"
 `
 
-// edits returns the commands on a log that has editTree.
-func edits(t *testing.T) (Edits, *bytes.Buffer) {
+// newEdits returns the commands on a log that has testSettings.
+func newEdits(t *testing.T) (EditCommands, *bytes.Buffer) {
 	t.Helper()
 
-	log := &memory{}
+	log := &memoryLog{}
 
 	if _, err := publication.Publish(context.Background(), publication.PublishConfig{Log: log}, publication.Change{
-		ID: "first", Author: "test", Name: "settings.toml", Text: []byte(editTree),
+		ID: "first", Author: "test", Name: "settings.toml", Text: []byte(testSettings),
 	}); err != nil {
 		t.Fatal(err)
 	}
 
 	var out bytes.Buffer
 
-	return Edits{Terminal: Terminal{Out: &out, Err: io.Discard}, Log: log, Author: "ada"}, &out
+	return EditCommands{Terminal: Terminal{Out: &out, Err: io.Discard}, Log: log, Author: "ada"}, &out
 }
 
-func inForce(t *testing.T, w Edits) *publication.Published {
+func settingsInForce(t *testing.T, w EditCommands) *publication.Published {
 	t.Helper()
 
 	p, _, err := publication.Read(context.Background(), w.Log, 1)
@@ -53,7 +53,7 @@
 }
 
 func TestDrainAndUndrain(t *testing.T) {
-	w, out := edits(t)
+	w, out := newEdits(t)
 	ctx := context.Background()
 
 	for _, target := range []string{"engine-1", "engine-2"} {
@@ -62,17 +62,17 @@
 		}
 	}
 
-	if err := w.Drain(ctx, "engine-1", "again"); Exit(err) != ExitConflict {
-		t.Errorf("drained twice: got %v, want a conflict", err)
+	if err := w.Drain(ctx, "engine-1", "again"); ExitStatus(err) != ExitConflict {
+		t.Errorf("second drain: got %v, want a conflict", err)
 	}
 
 	if err := w.Undrain(ctx, "engine-1"); err != nil {
 		t.Fatal(err)
 	}
 
-	p := inForce(t, w)
+	p := settingsInForce(t, w)
 	if _, ok := p.Tree().Drained("engine-1"); ok {
-		t.Error("engine-1: got drained, want not")
+		t.Error("engine-1: got drained, want not drained")
 	}
 
 	if d, ok := p.Tree().Drained("engine-2"); !ok || d.Reason != "new host" {
@@ -89,7 +89,7 @@
 }
 
 func TestRollIsReplacedAndTakenBack(t *testing.T) {
-	w, _ := edits(t)
+	w, _ := newEdits(t)
 	ctx := context.Background()
 
 	for _, version := range []string{"v2", "v3"} {
@@ -98,34 +98,34 @@
 		}
 	}
 
-	rolls := inForce(t, w).Tree().WeightRolls()
-	if len(rolls) != 1 || rolls[0].WeightVersion != "v3" {
-		t.Errorf("got %+v, want one roll to v3", rolls)
+	rollouts := settingsInForce(t, w).Tree().WeightRolls()
+	if len(rollouts) != 1 || rollouts[0].WeightVersion != "v3" {
+		t.Errorf("got %+v, want one rollout to v3", rollouts)
 	}
 
 	if err := w.Unroll(ctx, "boragehub-llm"); err != nil {
 		t.Fatal(err)
 	}
 
-	if got := inForce(t, w).Tree().WeightRolls(); len(got) != 0 {
+	if got := settingsInForce(t, w).Tree().WeightRolls(); len(got) != 0 {
 		t.Errorf("after unroll: got %+v, want none", got)
 	}
 
-	if err := w.Unroll(ctx, "boragehub-llm"); Exit(err) != ExitConflict {
-		t.Errorf("unrolled twice: got %v, want a conflict", err)
+	if err := w.Unroll(ctx, "boragehub-llm"); ExitStatus(err) != ExitConflict {
+		t.Errorf("second unroll: got %v, want a conflict", err)
 	}
 }
 
 func TestDataCentreIsEvacuatedAndRepopulated(t *testing.T) {
-	w, out := edits(t)
+	w, out := newEdits(t)
 	ctx := context.Background()
 
 	if err := w.Evacuate(ctx, "yvr-east", "cooling fails"); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := w.Evacuate(ctx, "yvr-east", "again"); Exit(err) != ExitConflict {
-		t.Errorf("evacuated twice: got %v, want a conflict", err)
+	if err := w.Evacuate(ctx, "yvr-east", "again"); ExitStatus(err) != ExitConflict {
+		t.Errorf("second evacuation: got %v, want a conflict", err)
 	}
 
 	if err := w.Evacuate(ctx, "nowhere", "typing error"); err == nil {
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 
-	if _, ok := inForce(t, w).Tree().Evacuated("yvr-east"); ok {
-		t.Error("yvr-east: got evacuated, want not")
+	if _, ok := settingsInForce(t, w).Tree().Evacuated("yvr-east"); ok {
+		t.Error("yvr-east: got evacuated, want not evacuated")
 	}
 }
--- a/ctl/fleet.go
+++ b/ctl/fleet.go
@@ -14,16 +14,17 @@
 	"boragehub/vm"
 )
 
-// Fleets carries out the commands that ask the fleet and change nothing.
-type Fleets struct {
-	// Terminal is where they write.
+// FleetCommands runs the commands that read from the fleet and change nothing.
+type FleetCommands struct {
+	// Terminal takes the output.
 	Terminal Terminal
-	// Client asks the processes.
+	// Client reads the views of the processes.
 	Client Client
 }
 
-// seenTarget is what one entry believes of a target.
-type seenTarget struct {
+// targetView is the state of a target as one entry sees it. LastSeenMS is the time since the
+// entry last saw the target, in ms; negative means never.
+type targetView struct {
 	VM            string `json:"vm"`
 	DataCentre    string `json:"data_centre"`
 	Service       string `json:"service"`
@@ -32,55 +33,54 @@
 	Running       int    `json:"running"`
 	Waiting       int    `json:"waiting"`
 	LoadAgeMS     int64  `json:"load_age_ms"`
-	Doubted       bool   `json:"doubted"`
+	Suspected     bool   `json:"doubted"`
 	Failures      int    `json:"failures"`
-	HeardMS       int64  `json:"heard_ms"`
+	LastSeenMS    int64  `json:"heard_ms"`
 }
 
-// seenFleet is the fleet as one entry sees it.
-type seenFleet struct {
+// fleetView is the fleet as one entry sees it; Fault is why the entry returned no view.
+type fleetView struct {
 	VM              string       `json:"vm"`
 	DataCentre      string       `json:"data_centre"`
 	SettingsVersion uint64       `json:"settings_version"`
 	Requests        int64        `json:"requests"`
 	Contexts        int          `json:"contexts"`
-	Targets         []seenTarget `json:"targets"`
+	Targets         []targetView `json:"targets"`
 	Fault           string       `json:"fault,omitempty"`
 }
 
-// fleets asks every entry how it sees the fleet.
-func (f Fleets) fleets(ctx context.Context) ([]seenFleet, error) {
-	answers := f.Client.All(ctx, "fleet", "", vm.Entry)
-	if len(answers) == 0 {
+// fleetViews returns the view of every listed entry.
+func (f FleetCommands) fleetViews(ctx context.Context) ([]fleetView, error) {
+	results := f.Client.ViewAll(ctx, "fleet", "", vm.Entry)
+	if len(results) == 0 {
 		return nil, failure.New(failure.Unavailable, "the platform lists no entry")
 	}
 
-	all := make([]seenFleet, len(answers))
+	all := make([]fleetView, len(results))
 
-	for i, a := range answers {
+	for i, a := range results {
 		err := a.Err
 		if err == nil {
 			err = json.Unmarshal(a.JSON, &all[i])
 		}
 
 		if err != nil {
-			all[i] = seenFleet{VM: a.VM.Name, DataCentre: a.VM.DataCentre, Fault: err.Error()}
+			all[i] = fleetView{VM: a.VM.Name, DataCentre: a.VM.DataCentre, Fault: err.Error()}
 		}
 	}
 
 	return all, nil
 }
 
-// Fleet shows the entries, and the targets with the opinions of those entries
-// that doubt them.
-func (f Fleets) Fleet(ctx context.Context) error {
-	all, err := f.fleets(ctx)
+// Fleet writes the entries, and the targets with the entries that suspect them.
+func (f FleetCommands) Fleet(ctx context.Context) error {
+	all, err := f.fleetViews(ctx)
 	if err != nil {
 		return err
 	}
 
 	if f.Terminal.JSON {
-		return f.Terminal.json(all)
+		return f.Terminal.writeJSON(all)
 	}
 
 	var entries [][]string
@@ -88,43 +88,43 @@
 		entries = append(entries, []string{e.VM, e.DataCentre, fmt.Sprint(e.SettingsVersion), fmt.Sprint(e.Requests), fmt.Sprint(e.Contexts), e.Fault})
 	}
 
-	if err := f.Terminal.table(nil, []string{"ENTRY", "DATA CENTRE", "SETTINGS", "REQUESTS", "CONTEXTS", "FAULT"}, entries); err != nil {
+	if err := f.Terminal.writeTable(nil, []string{"ENTRY", "DATA CENTRE", "SETTINGS", "REQUESTS", "CONTEXTS", "FAULT"}, entries); err != nil {
 		return err
 	}
 
 	_, _ = fmt.Fprintln(f.Terminal.Out)
 
-	return f.Terminal.table(nil, []string{"TARGET", "DATA CENTRE", "SERVICE", "STATE", "VERSION", "RUNNING", "WAITING", "HEARD", "DOUBTED BY"}, targetRows(all))
+	return f.Terminal.writeTable(nil, []string{"TARGET", "DATA CENTRE", "SERVICE", "STATE", "VERSION", "RUNNING", "WAITING", "HEARD", "DOUBTED BY"}, targetRows(all))
 }
 
-// targetRows merges what the entries say: of each target the youngest report,
-// and who doubts it.
-func targetRows(all []seenFleet) [][]string {
-	best := map[string]seenTarget{}
-	doubts := map[string][]string{}
+// targetRows merges the views of the entries: for each target, the state from the entry that
+// saw it last, and the entries that suspect it.
+func targetRows(all []fleetView) [][]string {
+	latest := map[string]targetView{}
+	suspectedBy := map[string][]string{}
 
 	for _, e := range all {
 		for _, t := range e.Targets {
-			if b, ok := best[t.VM]; !ok || (t.HeardMS >= 0 && (b.HeardMS < 0 || t.HeardMS < b.HeardMS)) {
-				best[t.VM] = t
+			if b, ok := latest[t.VM]; !ok || (t.LastSeenMS >= 0 && (b.LastSeenMS < 0 || t.LastSeenMS < b.LastSeenMS)) {
+				latest[t.VM] = t
 			}
 
-			if t.Doubted {
-				doubts[t.VM] = append(doubts[t.VM], e.VM)
+			if t.Suspected {
+				suspectedBy[t.VM] = append(suspectedBy[t.VM], e.VM)
 			}
 		}
 	}
 
 	var rows [][]string
 
-	for _, t := range best {
-		heard := "never"
-		if t.HeardMS >= 0 {
-			heard = (time.Duration(t.HeardMS) * time.Millisecond).Round(time.Second / 10).String()
+	for _, t := range latest {
+		lastSeen := "never"
+		if t.LastSeenMS >= 0 {
+			lastSeen = (time.Duration(t.LastSeenMS) * time.Millisecond).Round(time.Second / 10).String()
 		}
 
 		rows = append(rows, []string{
-			t.VM, t.DataCentre, t.Service, t.State, t.WeightVersion, fmt.Sprint(t.Running), fmt.Sprint(t.Waiting), heard, strings.Join(doubts[t.VM], " "),
+			t.VM, t.DataCentre, t.Service, t.State, t.WeightVersion, fmt.Sprint(t.Running), fmt.Sprint(t.Waiting), lastSeen, strings.Join(suspectedBy[t.VM], " "),
 		})
 	}
 
@@ -133,8 +133,8 @@
 	return rows
 }
 
-// explained is one line about a request, from any process.
-type explained struct {
+// logLine is one log line about a request, from any process.
+type logLine struct {
 	At     time.Time      `json:"at"`
 	Self   string         `json:"self"`
 	Name   string         `json:"name"`
@@ -142,44 +142,44 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// Explain shows what the processes logged about a request, in order of time.
-func (f Fleets) Explain(ctx context.Context, request string) error {
-	var lines []explained
+// Explain writes what the processes logged about a request, in order of time.
+func (f FleetCommands) Explain(ctx context.Context, request string) error {
+	var lines []logLine
 
-	silent := 0
+	failed := 0
 
-	for _, a := range f.Client.All(ctx, "explain", request) {
-		var some []explained
+	for _, a := range f.Client.ViewAll(ctx, "explain", request) {
+		var reported []logLine
 
-		if a.Err != nil || json.Unmarshal(a.JSON, &some) != nil {
-			silent++
+		if a.Err != nil || json.Unmarshal(a.JSON, &reported) != nil {
+			failed++
 
 			continue
 		}
 
-		lines = append(lines, some...)
+		lines = append(lines, reported...)
 	}
 
-	slices.SortStableFunc(lines, func(a, b explained) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.At.Compare(b.At) })
 
-	if silent > 0 {
-		f.Terminal.say("%d processes did not answer; what they logged is missing", silent)
+	if failed > 0 {
+		f.Terminal.writeMessage("%d processes did not respond; their log lines are missing", failed)
 	}
 
 	if len(lines) == 0 {
-		return failure.New(failure.Unavailable, "no process remembers request %s", request)
+		return failure.New(failure.Unavailable, "no process has log lines for request %s", request)
 	}
 
 	var rows [][]string
 	for _, l := range lines {
-		rows = append(rows, []string{l.At.Format("15:04:05.000"), l.Self, l.Name, fieldText(l)})
+		rows = append(rows, []string{l.At.Format("15:04:05.000"), l.Self, l.Name, formatFields(l)})
 	}
 
-	return f.Terminal.table(lines, []string{"AT", "VM", "EVENT", "WHAT"}, rows)
+	return f.Terminal.writeTable(lines, []string{"AT", "VM", "EVENT", "WHAT"}, rows)
 }
 
-// fieldText writes a line's fields in order of name.
-func fieldText(l explained) string {
+// formatFields returns the error and the other fields of a line, in order of name.
+func formatFields(l logLine) string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
 		if name != "event" {
@@ -202,9 +202,9 @@
 	return strings.TrimSpace(b.String())
 }
 
-// Context shows who is said to hold the contexts under an anchor.
-func (f Fleets) Context(ctx context.Context, anchor string) error {
-	type held struct {
+// Context writes the recorded holders of the contexts under an anchor.
+func (f FleetCommands) Context(ctx context.Context, anchor string) error {
+	type contextView struct {
 		Owner    string `json:"owner"`
 		Holdings []struct {
 			Holder        string `json:"holder"`
@@ -219,12 +219,12 @@
 	}
 
 	var (
-		found held
+		found contextView
 		rows  [][]string
 	)
 
-	for _, a := range f.Client.All(ctx, "context", anchor, vm.Entry) {
-		var h held
+	for _, a := range f.Client.ViewAll(ctx, "context", anchor, vm.Entry) {
+		var h contextView
 
 		if a.Err == nil && json.Unmarshal(a.JSON, &h) == nil && len(h.Holdings) > 0 {
 			found = h
@@ -237,14 +237,14 @@
 	}
 
 	if len(rows) == 0 {
-		return failure.New(failure.Unavailable, "no entry knows a context with the anchor %s", anchor)
+		return failure.New(failure.Unavailable, "no entry has a record of a context with anchor %s", anchor)
 	}
 
-	return f.Terminal.table(found, []string{"HOLDER", "KIND", "DATA CENTRE", "BLOCKS", "VERSION", "COPY", "BYTES", "AGE"}, rows)
+	return f.Terminal.writeTable(found, []string{"HOLDER", "KIND", "DATA CENTRE", "BLOCKS", "VERSION", "COPY", "BYTES", "AGE"}, rows)
 }
 
-// Weights shows how far the rolls are, by data centre.
-func (f Fleets) Weights(ctx context.Context) error {
+// Weights writes the progress of rollouts by data centre.
+func (f FleetCommands) Weights(ctx context.Context) error {
 	type progress struct {
 		DataCentre string `json:"data_centre"`
 		Model      string `json:"model"`
@@ -261,51 +261,51 @@
 
 	var rows [][]string
 
-	for _, a := range f.Client.All(ctx, "weights", "", vm.Entry) {
-		var some []progress
+	for _, a := range f.Client.ViewAll(ctx, "weights", "", vm.Entry) {
+		var reported []progress
 
-		if a.Err != nil || json.Unmarshal(a.JSON, &some) != nil {
+		if a.Err != nil || json.Unmarshal(a.JSON, &reported) != nil {
 			continue
 		}
 
-		for _, p := range some {
+		for _, p := range reported {
 			p.DataCentre = a.VM.DataCentre
 			all = append(all, p)
 			rows = append(rows, []string{p.DataCentre, p.Model, p.Version, fmt.Sprint(p.Done), fmt.Sprint(p.Loading), fmt.Sprint(p.Left), fmt.Sprint(p.Ready), p.Halt})
 		}
 	}
 
-	return f.Terminal.table(all, []string{"DATA CENTRE", "MODEL", "VERSION", "DONE", "LOADING", "LEFT", "READY", "HALT"}, rows)
+	return f.Terminal.writeTable(all, []string{"DATA CENTRE", "MODEL", "VERSION", "DONE", "LOADING", "LEFT", "READY", "HALT"}, rows)
 }
 
-// FleetMenu is the commands of Fleets on the program's command line.
+// FleetMenu holds the subcommands and arguments of FleetCommands.
 type FleetMenu struct {
 	fleet, explain, context *flaggy.Subcommand
 
 	request, anchor string
 }
 
-// AttachFleet adds the commands below parent.
+// AttachFleet adds the subcommands to parent.
 func AttachFleet(parent *flaggy.Subcommand) *FleetMenu {
 	m := &FleetMenu{}
 
-	m.fleet = command(parent, "fleet", "Show the entries and what they know of the targets.", "boragehub ctl fleet")
-	m.explain = command(parent, "explain", "Show how a request was decided, from all processes.",
+	m.fleet = addCommand(parent, "fleet", "Show the entries, and the targets as they see them.", "boragehub ctl fleet")
+	m.explain = addCommand(parent, "explain", "Show what all processes logged about a request.",
 		"boragehub ctl explain 0b133cad-311e-4275-8cb4-4e38c85d2d7f")
 	m.explain.AddPositionalValue(&m.request, "REQUEST_ID", 1, true, "The request's id, from its X-Request-Id.")
-	m.context = command(parent, "context", "Show where a context is held.", "boragehub ctl context 6f1c…")
+	m.context = addCommand(parent, "context", "Show where a context is held.", "boragehub ctl context 6f1c…")
 	m.context.AddPositionalValue(&m.anchor, "ANCHOR", 1, true, "The context's anchor, from the line request_answered.")
 
 	return m
 }
 
-// Chosen says whether one of the commands was chosen.
+// Chosen reports whether one of the commands was chosen.
 func (m *FleetMenu) Chosen() bool {
 	return m.fleet.Used || m.explain.Used || m.context.Used
 }
 
-// Run carries out the chosen command.
-func (m *FleetMenu) Run(ctx context.Context, f Fleets) error {
+// Run runs the chosen command.
+func (m *FleetMenu) Run(ctx context.Context, f FleetCommands) error {
 	switch {
 	case m.explain.Used:
 		return f.Explain(ctx, m.request)
--- a/ctl/keys.go
+++ b/ctl/keys.go
@@ -14,27 +14,27 @@
 
 // KeysOptions are the flags of MakeKeys.
 type KeysOptions struct {
-	// Directory takes the files. An authority that is there already signs on.
+	// Directory takes the files. An authority that it holds already signs the new certificates.
 	Directory string
-	// Processes are VM:ROLE each.
+	// Processes are the processes, each as VM:ROLE.
 	Processes []string
 }
 
-// MadeKey is one line of MakeKeys.
-type MadeKey struct {
-	// VM and Role are what the certificate bears.
+// IssuedKey is one line of the output of MakeKeys.
+type IssuedKey struct {
+	// VM and Role are the subject of the certificate.
 	VM   string `json:"vm"`
 	Role string `json:"role"`
-	// Certificate and Key are the files.
+	// Certificate and Key are the names of the files.
 	Certificate string `json:"certificate_file"`
 	Key         string `json:"key_file"`
 }
 
-// MakeKeys makes the keys by which own processes know each other, for trials:
-// an authority and a certificate for each process.
+// MakeKeys writes an authority, unless there is one, and a certificate and key for each
+// process, by which processes authenticate each other. It is meant for trials.
 func MakeKeys(now time.Time, t Terminal, o KeysOptions) error {
 	if o.Directory == "" || len(o.Processes) == 0 {
-		return fmt.Errorf("%w: ctl keys needs a directory and processes as VM:ROLE", errUsage)
+		return fmt.Errorf("%w: ctl keys needs --directory and at least one --process VM:ROLE", errUsage)
 	}
 
 	authority, err := openAuthority(now, o.Directory)
@@ -42,7 +42,7 @@
 		return err
 	}
 
-	made := make([]MadeKey, 0, len(o.Processes))
+	issued := make([]IssuedKey, 0, len(o.Processes))
 	rows := make([][]string, 0, len(o.Processes))
 
 	for _, process := range o.Processes {
@@ -60,25 +60,25 @@
 			return err
 		}
 
-		one := MadeKey{vm, role, filepath.Join(o.Directory, vm+".pem"), filepath.Join(o.Directory, vm+".key")}
-		made = append(made, one)
-		rows = append(rows, []string{one.VM, one.Role, one.Certificate, one.Key})
+		key := IssuedKey{vm, role, filepath.Join(o.Directory, vm+".pem"), filepath.Join(o.Directory, vm+".key")}
+		issued = append(issued, key)
+		rows = append(rows, []string{key.VM, key.Role, key.Certificate, key.Key})
 	}
 
-	return t.table(made, []string{"VM", "ROLE", "CERTIFICATE", "KEY"}, rows)
+	return t.writeTable(issued, []string{"VM", "ROLE", "CERTIFICATE", "KEY"}, rows)
 }
 
-// openAuthority reads the authority in dir, or makes one where there is none.
+// openAuthority reads the authority in dir, or creates one if there is none.
 func openAuthority(now time.Time, dir string) (*certificate.Authority, error) {
 	authority, err := certificate.LoadAuthority(dir)
 	if err == nil {
 		return authority, nil
 	}
 
-	// One that is there and can't be read is never replaced: all processes
-	// with its certificates would be cut off.
+	// An existing authority that can't be read is never replaced: all processes with its
+	// certificates would lose their connections.
 	if found, _ := filepath.Glob(filepath.Join(dir, certificate.AuthorityFile)); len(found) > 0 {
-		return nil, failure.Wrap(failure.BadSettings, err, "the authority in the directory can't be used")
+		return nil, failure.Wrap(failure.BadSettings, err, "cannot load the existing authority")
 	}
 
 	if authority, err = certificate.NewAuthority(now); err != nil {
@@ -88,25 +88,25 @@
 	return authority, authority.Write(dir)
 }
 
-// KeysMenu is `keys` on the program's command line.
+// KeysMenu holds the subcommand `keys` and its flags.
 type KeysMenu struct {
 	command *flaggy.Subcommand
 	options KeysOptions
 }
 
-// AttachKeys adds `keys` below parent.
+// AttachKeys adds `keys` to parent.
 func AttachKeys(parent *flaggy.Subcommand) *KeysMenu {
 	m := &KeysMenu{}
 
-	m.command = command(parent, "keys", "Make keys for own processes, for trials.",
+	m.command = addCommand(parent, "keys", "Make certificates and keys for the system's processes, for trials.",
 		"boragehub ctl keys --directory keys --process e1:entry --process s1:side")
-	m.command.String(&m.options.Directory, "d", "directory", "Where the files go.")
-	m.command.StringSlice(&m.options.Processes, "p", "process", "VM:ROLE of one process; may stand several times.")
+	m.command.String(&m.options.Directory, "d", "directory", "Directory for the files.")
+	m.command.StringSlice(&m.options.Processes, "p", "process", "VM:ROLE of a process; may be repeated.")
 
 	return m
 }
 
-// Run carries out `keys`; false says that it wasn't chosen.
+// Run runs `keys`; false means that it wasn't chosen.
 func (m *KeysMenu) Run(now time.Time, t Terminal) (bool, error) {
 	if !m.command.Used {
 		return false, nil
--- a/ctl/publish.go
+++ b/ctl/publish.go
@@ -15,47 +15,48 @@
 
 // PublishOptions are the flags of Publish.
 type PublishOptions struct {
-	// File is the whole tree as it is to be.
+	// File is the file with the complete settings to publish.
 	File string
-	// Based is the version that the file was made from; zero takes it from the
-	// first line that Show writes.
+	// Based is the version that the file is based on; zero takes it from the version line that
+	// Show writes.
 	Based uint64
-	// Note says why.
+	// Note is the reason, shown in the history.
 	Note string
-	// Rebase publishes the file's own changes on what came between, when both
-	// touch different lines.
+	// Rebase merges the file's changes into versions that others published since Based, if the
+	// changes touch different lines.
 	Rebase bool
-	// Recover publishes although the log forgot what is in force.
+	// Recover publishes although the log no longer keeps the settings in force.
 	Recover bool
-	// Wait waits until the version is in force everywhere; zero doesn't wait.
+	// Wait is the maximum wait until the version is in force everywhere; zero doesn't wait.
 	Wait time.Duration
 }
 
-// Published is the JSON answer of Publish.
-type Published struct {
-	// Version is the version in force.
+// PublishResult is the JSON output of Publish.
+type PublishResult struct {
+	// Version is the published version, which is in force.
 	Version uint64 `json:"version"`
-	// Rebased says that another's change was taken in.
+	// Rebased means that changes of other operators were merged.
 	Rebased bool `json:"rebased"`
 }
 
-// maxRebases bounds how often Publish gives way to others.
+// maxRebases limits the attempts of one Publish when other operators publish first.
 const maxRebases = 5
 
-// Publish publishes a file. When another operator came first it tells what they
-// changed and how to go on.
-func (c *Config) Publish(ctx context.Context, o PublishOptions) error {
-	text, err := read(o.File)
+// Publish publishes a file. If another operator published first, it writes what they changed
+// and how to resolve the conflict. Errors: BadSettings, Conflict, LogUnavailable and
+// OutcomeUnknown.
+func (c *ConfigCommands) Publish(ctx context.Context, o PublishOptions) error {
+	text, err := readSettingsFile(o.File)
 	if err != nil {
 		return err
 	}
 
-	// Before the mark is taken off, so that faults are told at the file's own lines.
+	// Parsed with the version line, so that faults have the file's line numbers.
 	if _, err := setting.Parse(o.File, text); err != nil {
-		return c.refused(o, err)
+		return c.reportRefusal(o, err)
 	}
 
-	text, based := unmarked(text)
+	text, based := cutVersionLine(text)
 	if o.Based > 0 {
 		based = o.Based
 	}
@@ -65,12 +66,12 @@
 		Text: text, Recover: o.Recover,
 	}
 
-	version, rebased, err := c.publish(ctx, change, o.Rebase)
+	version, rebased, err := c.publishOrRebase(ctx, change, o.Rebase)
 	if err != nil {
-		return c.refused(o, err)
+		return c.reportRefusal(o, err)
 	}
 
-	if err := c.published(version, rebased); err != nil {
+	if err := c.writePublished(version, rebased); err != nil {
 		return err
 	}
 
@@ -81,8 +82,9 @@
 	return nil
 }
 
-// publish publishes, and gives way to others when it may.
-func (c *Config) publish(ctx context.Context, change publication.Change, rebase bool) (uint64, bool, error) {
+// publishOrRebase publishes a change. If rebase is set, it rebases the change on versions that
+// others published first, and reports whether it did.
+func (c *ConfigCommands) publishOrRebase(ctx context.Context, change publication.Change, rebase bool) (uint64, bool, error) {
 	rebased := false
 
 	for range maxRebases {
@@ -93,9 +95,9 @@
 			return version, rebased, err
 		}
 
-		text, failed := publication.Rebase(conflict.BasedText, change.Text, conflict.Text)
-		if failed != nil {
-			return 0, false, err // the first conflict tells the operator more
+		text, rebaseErr := publication.Rebase(conflict.BasedText, change.Text, conflict.Text)
+		if rebaseErr != nil {
+			return 0, false, err // the conflict has more details than the failed rebase
 		}
 
 		change.Text = text
@@ -104,12 +106,12 @@
 		rebased = true
 	}
 
-	return 0, false, failure.New(failure.Conflict, "others published %d times meanwhile", maxRebases)
+	return 0, false, failure.New(failure.Conflict, "other operators published first in each of %d attempts", maxRebases)
 }
 
-func (c *Config) published(version uint64, rebased bool) error {
+func (c *ConfigCommands) writePublished(version uint64, rebased bool) error {
 	if c.cfg.Terminal.JSON {
-		return c.cfg.Terminal.json(Published{version, rebased})
+		return c.cfg.Terminal.writeJSON(PublishResult{version, rebased})
 	}
 
 	_, err := fmt.Fprintf(c.cfg.Terminal.Out, "published as version %d\n", version)
@@ -117,33 +119,34 @@
 	return err
 }
 
-// refused tells an operator what came between and how to go on.
-func (c *Config) refused(o PublishOptions, err error) error {
+// reportRefusal writes why a file was not published: its faults, or the conflicting changes and
+// how to resolve the conflict. It returns err.
+func (c *ConfigCommands) reportRefusal(o PublishOptions, err error) error {
 	var conflict *publication.ConflictError
 	if !errors.As(err, &conflict) {
 		if setting.ProblemsOf(err) != nil {
-			return c.faults(o.File, err)
+			return c.writeFaults(o.File, err)
 		}
 
 		return err
 	}
 
 	t := c.cfg.Terminal
-	t.say("not published: version %d by %s (%s) came first; yours was based on %d.",
+	t.writeMessage("not published: version %d by %s (%s) was published first; the file is based on %d.",
 		conflict.InForce, conflict.Author, conflict.At.UTC().Format(time.RFC3339), conflict.Based)
 
 	if conflict.Note != "" {
-		t.say("their note: %s", conflict.Note)
+		t.writeMessage("note of that version: %s", conflict.Note)
 	}
 
 	if conflict.BasedText == nil && conflict.Based > 0 {
-		t.say("the log no longer keeps version %d, so what changed since can't be told.", conflict.Based)
+		t.writeMessage("the log no longer keeps version %d, so the changes since then are unknown.", conflict.Based)
 	}
 
-	t.say("To go on: boragehub ctl config publish --rebase %s, or, where both touch the same lines,\n"+
-		"boragehub ctl config show > theirs.toml, put your changes in, publish theirs.toml.", o.File)
+	t.writeMessage("To resolve: boragehub ctl config publish --rebase %s, or, if both change the same lines,\n"+
+		"boragehub ctl config show > theirs.toml, apply your changes to it, publish theirs.toml.", o.File)
 
-	if failed := c.changes(conflict.Changes); failed != nil {
+	if failed := c.writeChanges(conflict.Changes); failed != nil {
 		return failed
 	}
 
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -15,33 +15,33 @@
 
 // ShowOptions are the flags of Show.
 type ShowOptions struct {
-	// Effective is SITE/SERVICE/ORGANISATION/WORKLOAD, of which later parts may
-	// be left out; empty shows the whole text.
+	// Effective is a path SITE/SERVICE/ORGANISATION/WORKLOAD, of which later levels may be
+	// left out; empty shows the complete text.
 	Effective string
-	// Version shows an older version; zero shows the one in force.
+	// Version is the version to show; zero is the one in force.
 	Version uint64
 }
 
-// EffectiveValue is one line of Show with a path.
+// EffectiveValue is the value in force of one key, a line of the output of Show with a path.
 type EffectiveValue struct {
-	// Key is the key in the tree.
+	// Key is the key in the settings.
 	Key string `json:"key"`
-	// Value is what is in force.
+	// Value is the value in force.
 	Value string `json:"value"`
-	// From is the level that names it: a path, root or default.
+	// From is the level that sets it: a path, root or default.
 	From string `json:"from"`
 }
 
-// Show writes the text in force, or the values in force for a path and which
-// level names each.
-func (c *Config) Show(ctx context.Context, o ShowOptions) error {
-	version, text, err := c.text(ctx, o.Version)
+// Show writes the text of a version, or its values in force for a path with the level that
+// sets each.
+func (c *ConfigCommands) Show(ctx context.Context, o ShowOptions) error {
+	version, text, err := c.versionText(ctx, o.Version)
 	if err != nil {
 		return err
 	}
 
 	if o.Effective == "" {
-		_, err := c.cfg.Terminal.Out.Write(marked(version, text))
+		_, err := c.cfg.Terminal.Out.Write(withVersionLine(version, text))
 
 		return err
 	}
@@ -56,11 +56,11 @@
 		return err
 	}
 
-	return c.effective(tree, path)
+	return c.writeEffective(tree, path)
 }
 
-// text returns a version's text; that in force for zero.
-func (c *Config) text(ctx context.Context, version uint64) (uint64, []byte, error) {
+// versionText returns a version and its text; zero is the version in force.
+func (c *ConfigCommands) versionText(ctx context.Context, version uint64) (uint64, []byte, error) {
 	if version > 0 {
 		text, err := publication.TextAt(ctx, c.cfg.Log, version)
 
@@ -73,7 +73,7 @@
 	}
 
 	if version == 0 {
-		return 0, nil, failure.New(failure.NotReady, "nothing was published yet; see ctl config example")
+		return 0, nil, failure.New(failure.NotReady, "no settings have been published yet; see ctl config example")
 	}
 
 	return version, text, nil
@@ -93,25 +93,25 @@
 	return setting.Path{Site: parts[0], Service: parts[1], Organisation: parts[2], Workload: parts[3]}, nil
 }
 
-func (c *Config) effective(tree *setting.Tree, path setting.Path) error {
+func (c *ConfigCommands) writeEffective(tree *setting.Tree, path setting.Path) error {
 	v := reflect.ValueOf(tree.Effective(path))
 	keys := setting.Keys()
 	values := make([]EffectiveValue, 0, len(keys))
 	rows := make([][]string, 0, len(keys))
 
 	for i, key := range keys {
-		one := EffectiveValue{key, fmt.Sprint(v.Field(i).Interface()), tree.Source(path, key)}
-		values = append(values, one)
-		rows = append(rows, []string{one.Key, one.Value, one.From})
+		value := EffectiveValue{key, fmt.Sprint(v.Field(i).Interface()), tree.Source(path, key)}
+		values = append(values, value)
+		rows = append(rows, []string{value.Key, value.Value, value.From})
 	}
 
-	return c.cfg.Terminal.table(values, []string{"KEY", "VALUE", "FROM"}, rows)
+	return c.cfg.Terminal.writeTable(values, []string{"KEY", "VALUE", "FROM"}, rows)
 }
 
-// History writes the newest most changes, also those that were refused.
-func (c *Config) History(ctx context.Context, most int) error {
-	_, entries, err := publication.Read(ctx, c.cfg.Log, most)
-	if err != nil && failure.KindOf(err) != failure.BadSettings { // the newest may be of another release
+// History writes the newest changes, at most limit, including those that were refused.
+func (c *ConfigCommands) History(ctx context.Context, limit int) error {
+	_, entries, err := publication.Read(ctx, c.cfg.Log, limit)
+	if err != nil && failure.KindOf(err) != failure.BadSettings { // BadSettings: the newest version may be from another release
 		return err
 	}
 
@@ -123,9 +123,9 @@
 	for _, e := range entries {
 		rows = append(rows, []string{
 			strconv.FormatUint(e.Offset, 10), e.Reason, strconv.FormatUint(e.Based, 10),
-			e.At.UTC().Format(time.RFC3339), dash(e.Author), dash(e.Note),
+			e.At.UTC().Format(time.RFC3339), dashIfEmpty(e.Author), dashIfEmpty(e.Note),
 		})
 	}
 
-	return c.cfg.Terminal.table(entries, []string{"VERSION", "RESULT", "BASED", "AT", "AUTHOR", "NOTE"}, rows)
+	return c.cfg.Terminal.writeTable(entries, []string{"VERSION", "RESULT", "BASED", "AT", "AUTHOR", "NOTE"}, rows)
 }
--- a/ctl/terminal.go
+++ b/ctl/terminal.go
@@ -1,14 +1,13 @@
-// Package ctl is what operators do from a shell.
+// Package ctl implements the operators' commands.
 //
 // # Model
 //
-// Each command is a method that writes a table for people, or JSON for scripts,
-// and returns an error of a failure kind; Exit turns that into a documented exit
-// status. What changes the fleet is a published change of the settings and
-// nothing else.
+// Each command is a method that writes a table for people, or JSON for scripts, and returns
+// an error of a failure kind; ExitStatus maps that to a documented exit status. Commands change
+// the fleet only by publishing settings.
 //
-// Attach adds the commands to the program's command line; Run carries out the
-// one that was chosen:
+// AttachConfig, AttachEdits, AttachFleet and AttachKeys add the commands to the program's
+// command line and return menus; the Run method of a menu runs the chosen command:
 //
 //	menu := ctl.AttachConfig(parent)
 //	flaggy.Parse()
@@ -28,37 +27,39 @@
 
 // The exit statuses of every command.
 const (
-	// ExitDone means that the command did what it was asked to.
+	// ExitDone means that the command succeeded.
 	ExitDone = 0
-	// ExitFailed is any fault that has no status of its own.
+	// ExitFailed means any other error.
 	ExitFailed = 1
-	// ExitUsage is a wrong command line.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitInvalid means that settings are wrong; file, line and key are told.
+	// ExitInvalid means that settings are invalid; file, line and key of each fault are written.
 	ExitInvalid = 3
-	// ExitConflict means that another operator's change came first.
+	// ExitConflict means that another operator published first, or that the change doesn't
+	// apply to the settings in force.
 	ExitConflict = 4
-	// ExitUnavailable means that the log or the fleet can't be reached; nothing was changed.
+	// ExitUnavailable means that the log or the fleet is unreachable, or that no settings have
+	// been published; nothing was changed.
 	ExitUnavailable = 5
-	// ExitUnknown means that a change may have taken effect.
+	// ExitUnknown means that a change may or may not have taken effect.
 	ExitUnknown = 6
 	// ExitDiffers means that a comparison found differences.
 	ExitDiffers = 7
-	// ExitMissing means that some processes don't have a version in time.
+	// ExitMissing means that some processes didn't have a version in time.
 	ExitMissing = 8
 )
 
 var (
-	// errDiffers ends a comparison that found differences.
-	errDiffers = errors.New("they differ")
-	// errMissing ends a wait in which not all processes got a version.
-	errMissing = errors.New("not in force everywhere")
-	// errUsage ends a command whose arguments don't fit.
-	errUsage = errors.New("wrong usage")
+	// errDiffers is returned by a comparison that found differences.
+	errDiffers = errors.New("settings differ")
+	// errMissing is returned by a wait after which some processes lack the version.
+	errMissing = errors.New("version not in force at all processes")
+	// errUsage is wrapped by errors for invalid arguments.
+	errUsage = errors.New("invalid usage")
 )
 
-// Exit returns the exit status for what a command returned.
-func Exit(err error) int {
+// ExitStatus returns the exit status for a command's error; nil is ExitDone.
+func ExitStatus(err error) int {
 	switch {
 	case err == nil:
 		return ExitDone
@@ -84,20 +85,20 @@
 	}
 }
 
-// Terminal is where a command writes.
+// Terminal takes the output of a command.
 type Terminal struct {
 	// Out takes results.
 	Out io.Writer
-	// Err takes progress and what went wrong.
+	// Err takes progress and diagnostics.
 	Err io.Writer
-	// JSON writes results as JSON, one value a command.
+	// JSON makes commands write results as JSON, one value per command.
 	JSON bool
 }
 
-// table writes rows under a head, or v as JSON.
-func (t Terminal) table(v any, head []string, rows [][]string) error {
+// writeTable writes rows below a head, or v if the output is JSON.
+func (t Terminal) writeTable(v any, head []string, rows [][]string) error {
 	if t.JSON {
-		return t.json(v)
+		return t.writeJSON(v)
 	}
 
 	w := tabwriter.NewWriter(t.Out, 0, 0, 2, ' ', 0)
@@ -110,14 +111,14 @@
 	return w.Flush()
 }
 
-func (t Terminal) json(v any) error {
+func (t Terminal) writeJSON(v any) error {
 	e := json.NewEncoder(t.Out)
 	e.SetIndent("", "  ")
 
 	return e.Encode(v)
 }
 
-// say writes a line of progress for people.
-func (t Terminal) say(format string, args ...any) {
+// writeMessage writes a line of progress or diagnostics for people.
+func (t Terminal) writeMessage(format string, args ...any) {
 	_, _ = fmt.Fprintf(t.Err, format+"\n", args...)
 }
--- a/ctl/wait.go
+++ b/ctl/wait.go
@@ -10,74 +10,75 @@
 	"boragehub/failure"
 )
 
-// Waited is the JSON answer of Wait.
-type Waited struct {
-	// Version is what was waited for.
+// WaitResult is the JSON output of Wait.
+type WaitResult struct {
+	// Version is the version that was waited for.
 	Version uint64 `json:"version"`
-	// Processes is how many are live.
+	// Processes is the number of listed processes.
 	Processes int `json:"processes"`
-	// Missing are those without the version.
+	// Missing are the processes that lack the version, or didn't respond.
 	Missing []ProcessVersion `json:"missing"`
 }
 
-// Wait waits until a version, or the newest for zero, is in force everywhere.
-// It tells who is missing.
-func (c *Config) Wait(ctx context.Context, version uint64, most time.Duration) error {
+// Wait polls the fleet until a version, or the version in force for zero, is in force at all
+// processes, or a newer one is. After timeout it writes the processes that lack it and returns
+// an error with the exit status ExitMissing.
+func (c *ConfigCommands) Wait(ctx context.Context, version uint64, timeout time.Duration) error {
 	if version == 0 {
 		var err error
-		if version, _, err = c.text(ctx, 0); err != nil {
+		if version, _, err = c.versionText(ctx, 0); err != nil {
 			return err
 		}
 	}
 
-	deadline := time.NewTimer(most)
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 
 	for {
-		w, err := c.missing(ctx, version)
+		w, err := c.findMissing(ctx, version)
 		if err != nil {
 			return err
 		}
 
 		if len(w.Missing) == 0 {
-			return c.waited(w)
+			return c.writeWaitResult(w)
 		}
 
-		c.cfg.Terminal.say("version %d: %d of %d processes", version, w.Processes-len(w.Missing), w.Processes)
+		c.cfg.Terminal.writeMessage("version %d: %d of %d processes", version, w.Processes-len(w.Missing), w.Processes)
 
 		select {
-		case <-time.After(c.cfg.Pause):
+		case <-time.After(c.cfg.PollInterval):
 		case <-deadline.C:
-			return errors.Join(c.waited(w), errMissing)
+			return errors.Join(c.writeWaitResult(w), errMissing)
 		case <-ctx.Done():
-			return errors.Join(c.waited(w), errMissing)
+			return errors.Join(c.writeWaitResult(w), errMissing)
 		}
 	}
 }
 
-// missing asks the fleet once.
-func (c *Config) missing(ctx context.Context, version uint64) (Waited, error) {
+// findMissing polls the fleet once.
+func (c *ConfigCommands) findMissing(ctx context.Context, version uint64) (WaitResult, error) {
 	if c.cfg.Fleet == nil {
-		return Waited{}, failure.New(failure.Unavailable, "the fleet can't be asked from here")
+		return WaitResult{}, failure.New(failure.Unavailable, "the fleet is unreachable: ctl has no client for it")
 	}
 
 	all, err := c.cfg.Fleet.Versions(ctx)
 	if err != nil {
-		return Waited{}, err
+		return WaitResult{}, err
 	}
 
-	w := Waited{Version: version, Processes: len(all), Missing: []ProcessVersion{}}
+	w := WaitResult{Version: version, Processes: len(all), Missing: []ProcessVersion{}}
 
-	for _, one := range all {
-		if one.Version < version {
-			w.Missing = append(w.Missing, one)
+	for _, process := range all {
+		if process.Version < version {
+			w.Missing = append(w.Missing, process)
 		}
 	}
 
 	return w, nil
 }
 
-func (c *Config) waited(w Waited) error {
+func (c *ConfigCommands) writeWaitResult(w WaitResult) error {
 	if len(w.Missing) == 0 && !c.cfg.Terminal.JSON {
 		_, err := fmt.Fprintf(c.cfg.Terminal.Out, "version %d is in force at all %d processes\n", w.Version, w.Processes)
 
@@ -85,9 +86,9 @@
 	}
 
 	rows := make([][]string, 0, len(w.Missing))
-	for _, one := range w.Missing {
-		rows = append(rows, []string{one.VM, strconv.FormatUint(one.Version, 10), dash(one.Fault)})
+	for _, process := range w.Missing {
+		rows = append(rows, []string{process.VM, strconv.FormatUint(process.Version, 10), dashIfEmpty(process.Fault)})
 	}
 
-	return c.cfg.Terminal.table(w, []string{"MISSING", "VERSION", "FAULT"}, rows)
+	return c.cfg.Terminal.writeTable(w, []string{"MISSING", "VERSION", "FAULT"}, rows)
 }
