--- a/certificate/authority.go
+++ b/certificate/authority.go
@@ -1,17 +1,17 @@
-// Package certificate makes and keeps the keys by which boragehub's processes
-// know each other.
+// Package certificate issues and reloads the TLS certificates with which
+// boragehub's processes authenticate to each other (mutual TLS).
 //
 // # Model
 //
-// An Authority signs one certificate for each process. It bears the name of
-// the VM as its DNS name, the role as its organisational unit, and both as a
-// URI, as in boragehub://entry/e1. A process gives what it was asked for only
-// to a peer whose certificate its authority has signed.
+// An Authority signs one certificate for each process. The certificate holds
+// the VM's name as its DNS name, the role as its organisational unit, and both
+// as a URI, as in boragehub://entry/e1. A process serves only peers whose
+// certificate was signed by an authority in its ca_file.
 //
-// A Keeper reads a process's files again when they change, so that keys are
-// rotated without a restart. To rotate the authority itself, put the new one's
-// certificate into every ca_file beside the old, then exchange the processes'
-// certificates, then take the old one out.
+// A Keeper reloads a process's files when they change, so that certificates are
+// rotated without a restart. To rotate the authority itself, add the new
+// authority's certificate to every ca_file beside the old one, then replace the
+// processes' certificates, then remove the old authority's certificate.
 //
 //	a, err := certificate.NewAuthority(now)
 //	pair, err := a.Issue(now, certificate.Subject{VM: "e1", Role: "entry"})
@@ -35,43 +35,45 @@
 )
 
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
-	processLife   = 365 * 24 * time.Hour
-	// clockSkew is how far another VM's clock may be behind.
+	authorityLifetime = 10 * 365 * 24 * time.Hour
+	processLifetime   = 365 * 24 * time.Hour
+	// clockSkew is how far another VM's clock may be behind; certificates are valid from that
+	// long before their issue.
 	clockSkew  = time.Hour
 	serialBits = 128
 
-	scheme        = "boragehub"
-	blockKey      = "PRIVATE KEY"
-	blockCert     = "CERTIFICATE"
-	secretMode    = 0o600
-	publicMode    = 0o644
-	directoryMode = 0o755
+	uriScheme           = "boragehub"
+	pemTypeKey          = "PRIVATE KEY"
+	pemTypeCertificate  = "CERTIFICATE"
+	keyFileMode         = 0o600
+	certificateFileMode = 0o644
+	directoryMode       = 0o755
 )
 
-// Names of the files that Authority.Write and Pair.Write make.
+// Names of the files that Authority.Write creates.
 const (
 	// AuthorityFile holds the authority's certificate: the ca_file of every process.
 	AuthorityFile = "ca.pem"
-	// AuthorityKeyFile holds the authority's private key. No process needs it.
+	// AuthorityKeyFile holds the authority's private key. Only issuing certificates needs it; no
+	// running process does.
 	AuthorityKeyFile = "ca.key"
 )
 
 // Pair is a certificate and its private key, both in PEM.
 type Pair struct {
-	// Certificate is public.
+	// Certificate is the X.509 certificate; it is public.
 	Certificate []byte
-	// Key is secret.
+	// Key is the private key in PKCS #8; it is secret.
 	Key []byte
 }
 
-// Subject is whom a certificate is for.
+// Subject identifies the process that a certificate is issued to.
 type Subject struct {
 	// VM is the name of the process's VM.
 	VM string
 	// Role is entry, side or operator.
 	Role string
-	// IPs are addresses that the certificate is valid for besides; may be empty.
+	// IPs are further addresses that the certificate is valid for; may be empty.
 	IPs []net.IP
 }
 
@@ -82,11 +84,12 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an Authority with a new key.
+// NewAuthority returns an Authority with a new key, valid for ten years from now. The error is a
+// failure.Internal.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, failure.Wrap(failure.Internal, err, "no key could be made")
+		return nil, failure.Wrap(failure.Internal, err, "could not generate a key")
 	}
 
 	serial, err := newSerial()
@@ -98,7 +101,7 @@
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: "boragehub authority"},
 		NotBefore:             now.Add(-clockSkew),
-		NotAfter:              now.Add(authorityLife),
+		NotAfter:              now.Add(authorityLifetime),
 		KeyUsage:              x509.KeyUsageCertSign,
 		BasicConstraintsValid: true,
 		IsCA:                  true,
@@ -114,39 +117,40 @@
 	return a, nil
 }
 
-// LoadAuthority reads what Write left in dir.
+// LoadAuthority reads the files that Authority.Write created in dir. The error is a
+// failure.BadSettings.
 func LoadAuthority(dir string) (*Authority, error) {
-	cert, err := os.ReadFile(filepath.Join(dir, AuthorityFile))
+	certPEM, err := os.ReadFile(filepath.Join(dir, AuthorityFile))
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSettings, err, "the authority's certificate can't be read")
+		return nil, failure.Wrap(failure.BadSettings, err, "could not read the authority's certificate")
 	}
 
-	secret, err := os.ReadFile(filepath.Join(dir, AuthorityKeyFile))
+	keyPEM, err := os.ReadFile(filepath.Join(dir, AuthorityKeyFile))
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSettings, err, "the authority's key can't be read")
+		return nil, failure.Wrap(failure.BadSettings, err, "could not read the authority's key")
 	}
 
-	a := &Authority{pair: Pair{cert, secret}}
+	a := &Authority{pair: Pair{certPEM, keyPEM}}
 
-	certBlock, _ := pem.Decode(cert)
-	keyBlock, _ := pem.Decode(secret)
+	certBlock, _ := pem.Decode(certPEM)
+	keyBlock, _ := pem.Decode(keyPEM)
 
 	if certBlock == nil || keyBlock == nil {
-		return nil, failure.New(failure.BadSettings, "the authority's files hold no PEM")
+		return nil, failure.New(failure.BadSettings, "the authority's files contain no PEM block")
 	}
 
 	if a.cert, err = x509.ParseCertificate(certBlock.Bytes); err != nil {
-		return nil, failure.Wrap(failure.BadSettings, err, "the authority's certificate can't be used")
+		return nil, failure.Wrap(failure.BadSettings, err, "could not parse the authority's certificate")
 	}
 
 	key, err := x509.ParsePKCS8PrivateKey(keyBlock.Bytes)
 	if err != nil {
-		return nil, failure.New(failure.BadSettings, "the authority's key can't be used")
+		return nil, failure.New(failure.BadSettings, "could not parse the authority's key")
 	}
 
 	ec, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, failure.New(failure.BadSettings, "the authority's key is of another type")
+		return nil, failure.New(failure.BadSettings, "the authority's key is not an ECDSA key")
 	}
 
 	a.key = ec
@@ -154,11 +158,12 @@
 	return a, nil
 }
 
-// Issue returns a new certificate for s.
+// Issue returns a new key and certificate for s, valid for one year from now. The error is a
+// failure.Internal.
 func (a *Authority) Issue(now time.Time, s Subject) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, failure.Wrap(failure.Internal, err, "no key could be made")
+		return Pair{}, failure.Wrap(failure.Internal, err, "could not generate a key")
 	}
 
 	serial, err := newSerial()
@@ -170,57 +175,59 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: s.VM, OrganizationalUnit: []string{s.Role}},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(processLife),
+		NotAfter:     now.Add(processLifetime),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		DNSNames:     []string{s.VM},
 		IPAddresses:  s.IPs,
-		URIs:         []*url.URL{{Scheme: scheme, Host: s.Role, Path: "/" + s.VM}},
+		URIs:         []*url.URL{{Scheme: uriScheme, Host: s.Role, Path: "/" + s.VM}},
 	}, key)
 }
 
-// sign returns template signed by a, with its key.
+// sign returns the certificate of template for key, signed by a, with key.
 func (a *Authority) sign(template *x509.Certificate, key *ecdsa.PrivateKey) (Pair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, failure.Wrap(failure.Internal, err, "no certificate could be made")
+		return Pair{}, failure.Wrap(failure.Internal, err, "could not create the certificate")
 	}
 
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, failure.Wrap(failure.Internal, err, "a key could not be encoded")
+		return Pair{}, failure.Wrap(failure.Internal, err, "could not encode the private key")
 	}
 
 	return Pair{
-		Certificate: pem.EncodeToMemory(&pem.Block{Type: blockCert, Bytes: der}),
-		Key:         pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: secret}),
+		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: der}),
+		Key:         pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: keyDER}),
 	}, nil
 }
 
-// Pair returns a's own certificate and key.
+// Pair returns the authority's own certificate and key.
 func (a *Authority) Pair() Pair { return a.pair }
 
-// Write puts a's certificate and key into dir.
+// Write stores the authority's certificate and key in dir as AuthorityFile and AuthorityKeyFile.
+// It creates dir if needed and overwrites existing files. The error is a failure.BadSettings.
 func (a *Authority) Write(dir string) error {
 	return a.pair.write(dir, AuthorityFile, AuthorityKeyFile)
 }
 
-// Write puts p into dir as NAME.pem and NAME.key.
+// Write stores p in dir as NAME.pem and NAME.key. It creates dir if needed and overwrites existing
+// files. The error is a failure.BadSettings.
 func (p Pair) Write(dir, name string) error {
 	return p.write(dir, name+".pem", name+".key")
 }
 
-func (p Pair) write(dir, cert, key string) error {
-	if err := os.MkdirAll(dir, directoryMode); err != nil { //nolint:gosec // the certificates are public, the keys have a mode of their own
-		return failure.Wrap(failure.BadSettings, err, "the directory for keys can't be made")
+func (p Pair) write(dir, certFile, keyFile string) error {
+	if err := os.MkdirAll(dir, directoryMode); err != nil { //nolint:gosec // certificates are public, key files have keyFileMode
+		return failure.Wrap(failure.BadSettings, err, "could not create the key directory")
 	}
 
-	if err := os.WriteFile(filepath.Join(dir, key), p.Key, secretMode); err != nil {
-		return failure.Wrap(failure.BadSettings, err, "a key can't be written")
+	if err := os.WriteFile(filepath.Join(dir, keyFile), p.Key, keyFileMode); err != nil {
+		return failure.Wrap(failure.BadSettings, err, "could not write a key file")
 	}
 
-	if err := os.WriteFile(filepath.Join(dir, cert), p.Certificate, publicMode); err != nil { //nolint:gosec // a certificate is public
-		return failure.Wrap(failure.BadSettings, err, "a certificate can't be written")
+	if err := os.WriteFile(filepath.Join(dir, certFile), p.Certificate, certificateFileMode); err != nil { //nolint:gosec // a certificate is public
+		return failure.Wrap(failure.BadSettings, err, "could not write a certificate file")
 	}
 
 	return nil
@@ -229,7 +236,7 @@
 func newSerial() (*big.Int, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, failure.Wrap(failure.Internal, err, "no serial number could be made")
+		return nil, failure.Wrap(failure.Internal, err, "could not generate a serial number")
 	}
 
 	return serial, nil
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -13,8 +13,9 @@
 
 const protocol = "test/1"
 
-// issue writes a pair for vm into dir, signed by a, whose certificate trust holds.
-func issue(t *testing.T, dir, vm string, a *Authority, trust ...*Authority) *Keeper {
+// newTestReloader writes a certificate for vm, signed by a, into dir and returns a Keeper of it that
+// trusts a and alsoTrusted.
+func newTestReloader(t *testing.T, dir, vm string, a *Authority, alsoTrusted ...*Authority) *Keeper {
 	t.Helper()
 
 	pair, err := a.Issue(time.Now(), Subject{VM: vm, Role: "entry"})
@@ -27,8 +28,8 @@
 	}
 
 	var pool []byte
-	for _, one := range append([]*Authority{a}, trust...) {
-		pool = append(pool, one.Pair().Certificate...)
+	for _, authority := range append([]*Authority{a}, alsoTrusted...) {
+		pool = append(pool, authority.Pair().Certificate...)
 	}
 
 	if err := os.WriteFile(filepath.Join(dir, vm+".ca"), pool, 0o600); err != nil {
@@ -46,7 +47,7 @@
 	return k
 }
 
-func authority(t *testing.T) *Authority {
+func newTestAuthority(t *testing.T) *Authority {
 	t.Helper()
 
 	a, err := NewAuthority(time.Now())
@@ -57,8 +58,8 @@
 	return a
 }
 
-// connect shakes hands between two keepers and returns what either end says.
-func connect(t *testing.T, server, client *Keeper, name string) error {
+// handshake connects client to server and returns the first error of either end.
+func handshake(t *testing.T, server, client *Keeper, name string) error {
 	t.Helper()
 
 	a, b := net.Pipe()
@@ -70,7 +71,7 @@
 	cfg.ServerName = name
 	c := tls.Client(b, cfg)
 
-	served := make(chan error, 1)
+	serverDone := make(chan error, 1)
 
 	go func() {
 		err := s.Handshake()
@@ -80,7 +81,7 @@
 			_, err = s.Write([]byte{1})
 		}
 
-		served <- err
+		serverDone <- err
 	}()
 
 	err := c.Handshake()
@@ -90,20 +91,20 @@
 
 	_ = b.Close()
 
-	if other := <-served; err == nil {
-		err = other
+	if serverErr := <-serverDone; err == nil {
+		err = serverErr
 	}
 
 	return err
 }
 
 func TestOnlyOwnProcessesConnect(t *testing.T) {
-	ours, theirs := authority(t), authority(t)
+	ownAuthority, foreignAuthority := newTestAuthority(t), newTestAuthority(t)
 	dir := t.TempDir()
-	e1 := issue(t, dir, "e1", ours)
-	e2 := issue(t, dir, "e2", ours)
-	foreign := issue(t, dir, "e3", theirs)
-	trusting := issue(t, dir, "e4", theirs, ours)
+	e1 := newTestReloader(t, dir, "e1", ownAuthority)
+	e2 := newTestReloader(t, dir, "e2", ownAuthority)
+	foreign := newTestReloader(t, dir, "e3", foreignAuthority)
+	trusting := newTestReloader(t, dir, "e4", foreignAuthority, ownAuthority)
 
 	cases := []struct {
 		name           string
@@ -111,76 +112,77 @@
 		vm             string
 		want           bool
 	}{
-		{"own", e1, e2, "e1", true},
-		{"another VM's certificate", e1, e2, "e9", false},
-		{"foreign server", foreign, e1, "e3", false},
-		{"foreign client", e1, trusting, "e1", false},
+		{"same authority", e1, e2, "e1", true},
+		{"certificate of another VM", e1, e2, "e9", false},
+		{"server of an untrusted authority", foreign, e1, "e3", false},
+		{"client of an untrusted authority", e1, trusting, "e1", false},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if err := connect(t, c.server, c.client, c.vm); (err == nil) != c.want {
+			if err := handshake(t, c.server, c.client, c.vm); (err == nil) != c.want {
 				t.Errorf("got %v, want connected %v", err, c.want)
 			}
 		})
 	}
 }
 
-// The authority is rotated while processes run: its new certificate is put
-// beside the old one, then each process gets a new pair. A process that reads
-// its files only at its start is cut off from all that were given new ones.
+// Guards against a process that loads its files only at its start: when the
+// authority is rotated (its new certificate is added beside the old one, then
+// each process gets a new certificate), it could no longer connect to processes
+// that have new certificates.
 func TestRotationNeedsNoRestart(t *testing.T) {
-	before, after := authority(t), authority(t)
+	oldAuthority, newAuthority := newTestAuthority(t), newTestAuthority(t)
 	dir := t.TempDir()
-	e1 := issue(t, dir, "e1", before)
-	e2 := issue(t, dir, "e2", before)
+	e1 := newTestReloader(t, dir, "e1", oldAuthority)
+	e2 := newTestReloader(t, dir, "e2", oldAuthority)
 
-	issue(t, dir, "e2", after, before)
+	newTestReloader(t, dir, "e2", newAuthority, oldAuthority)
 
 	if changed, err := e2.Reload(); !changed || err != nil {
-		t.Fatalf("got %v %v, want changed", changed, err)
+		t.Fatalf("got changed %v, error %v, want true and no error", changed, err)
 	}
 
-	if err := connect(t, e1, e2, "e1"); err == nil {
-		t.Error("connected before the new authority was trusted")
+	if err := handshake(t, e1, e2, "e1"); err == nil {
+		t.Error("connected although e1 does not trust the new authority yet")
 	}
 
-	issue(t, dir, "e1", before, after)
+	newTestReloader(t, dir, "e1", oldAuthority, newAuthority)
 
 	if _, err := e1.Reload(); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := connect(t, e1, e2, "e1"); err != nil {
+	if err := handshake(t, e1, e2, "e1"); err != nil {
 		t.Errorf("e2 to e1: %v", err)
 	}
 
-	if err := connect(t, e2, e1, "e2"); err != nil {
+	if err := handshake(t, e2, e1, "e2"); err != nil {
 		t.Errorf("e1 to e2: %v", err)
 	}
 }
 
 func TestHalfWrittenKeysAreNotTaken(t *testing.T) {
-	a := authority(t)
+	a := newTestAuthority(t)
 	dir := t.TempDir()
-	e1, e2 := issue(t, dir, "e1", a), issue(t, dir, "e2", a)
+	e1, e2 := newTestReloader(t, dir, "e1", a), newTestReloader(t, dir, "e2", a)
 
 	if err := os.WriteFile(filepath.Join(dir, "e1.key"), []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 
 	if changed, err := e1.Reload(); changed || err == nil {
-		t.Errorf("got %v %v, want an error", changed, err)
+		t.Errorf("got changed %v, error %v, want false and an error", changed, err)
 	}
 
-	if err := connect(t, e1, e2, "e1"); err != nil {
-		t.Errorf("the last good keys: %v", err)
+	if err := handshake(t, e1, e2, "e1"); err != nil {
+		t.Errorf("with the last valid credentials: %v", err)
 	}
 }
 
 func TestAuthorityIsReadBack(t *testing.T) {
 	dir := t.TempDir()
-	a := authority(t)
+	a := newTestAuthority(t)
 
 	if err := a.Write(dir); err != nil {
 		t.Fatal(err)
@@ -191,12 +193,12 @@
 		t.Fatal(err)
 	}
 
-	if err := connect(t, issue(t, dir, "e1", a), issue(t, dir, "e2", b), "e1"); err != nil {
-		t.Errorf("signed by the one read back: %v", err)
+	if err := handshake(t, newTestReloader(t, dir, "e1", a), newTestReloader(t, dir, "e2", b), "e1"); err != nil {
+		t.Errorf("certificate signed by the loaded authority: %v", err)
 	}
 
 	info, err := os.Stat(filepath.Join(dir, AuthorityKeyFile))
-	if err != nil || info.Mode().Perm() != secretMode {
-		t.Errorf("mode of the key: got %v %v, want %o", info.Mode(), err, secretMode)
+	if err != nil || info.Mode().Perm() != keyFileMode {
+		t.Errorf("mode of the key: got %v %v, want %o", info.Mode(), err, keyFileMode)
 	}
 }
