--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,12 +1,12 @@
-// Package ring joins the goroutines of a process by bounded queues.
+// Package ring provides bounded queues between the goroutines of a process.
 //
-// Each duty of a process runs in a goroutine of its own and takes its input
-// from one Ring. Putting into a full Ring fails at once, so that an overload
-// becomes a refusal with a kind where it arises, and never a silent wait:
+// Each task of a process runs in a goroutine of its own and takes its input
+// from one Ring. Adding to a full Ring fails at once, so that an overload is
+// refused with a failure kind where it arises and never becomes a silent wait:
 //
 //	r := ring.New[Job](256)
 //	if !r.Offer(job) {
-//		return failure.New(failure.QueueFull, "the sweeper is busy")
+//		return failure.New(failure.QueueFull, "the job queue is full")
 //	}
 package ring
 
@@ -17,19 +17,20 @@
 
 // Ring is a bounded first-in first-out queue between goroutines. Use New.
 type Ring[T any] struct {
-	c       chan T
+	values  chan T
 	refused atomic.Uint64
 }
 
-// New returns an empty Ring that holds n values; n under 1 counts as 1.
+// New returns an empty Ring with a capacity of n values; an n below 1 counts as 1.
 func New[T any](n int) *Ring[T] {
-	return &Ring[T]{c: make(chan T, max(n, 1))}
+	return &Ring[T]{values: make(chan T, max(n, 1))}
 }
 
-// Offer puts v and reports whether there was room. It never blocks.
+// Offer adds v and reports whether there was free space. It never blocks. When the Ring is full, v
+// is not added and counts as refused.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
-	case r.c <- v:
+	case r.values <- v:
 		return true
 	default:
 		r.refused.Add(1)
@@ -37,10 +38,11 @@
 	}
 }
 
-// Take waits for the next value; it returns false when ctx ends first.
+// Take waits for the next value and removes it. It returns the zero value and false when ctx ends
+// first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
-	case v := <-r.c:
+	case v := <-r.values:
 		return v, true
 	case <-ctx.Done():
 		var zero T
@@ -48,14 +50,14 @@
 	}
 }
 
-// C returns the channel to receive from, for use in a select.
-func (r *Ring[T]) C() <-chan T { return r.c }
+// C returns the channel of the queued values, for use in a select.
+func (r *Ring[T]) C() <-chan T { return r.values }
 
-// Len returns how many values wait.
-func (r *Ring[T]) Len() int { return len(r.c) }
+// Len returns the number of queued values.
+func (r *Ring[T]) Len() int { return len(r.values) }
 
-// Cap returns how many values fit.
-func (r *Ring[T]) Cap() int { return cap(r.c) }
+// Cap returns the capacity in values.
+func (r *Ring[T]) Cap() int { return cap(r.values) }
 
-// Refused returns how many values found the Ring full.
+// Refused returns how many values Offer has refused because the Ring was full.
 func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
