--- a/site/site.go
+++ b/site/site.go
@@ -1,12 +1,12 @@
-// Package site holds what the operators of one site have published: routes,
-// services, organisations and limits.
+// Package site holds the configuration that the operators of one site have
+// published: routes, services, organisations and limits.
 //
 // # Model
 //
-// A Configuration never changes once it is made; a newer version replaces it as
-// a whole, so whoever holds one sees a consistent set. A request is matched by
-// host and path to a Route, which names the services that may run it and what
-// may be repeated.
+// A Configuration is immutable; a newer version replaces it as a whole, so each
+// reader sees a consistent set. A request is matched by host and path to a
+// Route, which names the services that may run the request and says whether it
+// may be retried.
 //
 // # Example
 //
@@ -20,16 +20,16 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may run more than once.
 type Kind uint8
 
-// The kinds. The zero Kind is the most careful one.
+// The kinds. The zero value is the strictest: no retry once a request may have run.
 const (
-	// Once requests run at most once for each time that a caller sends them.
+	// Once requests run at most once each time a caller sends them.
 	Once Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a series of events; unless the route is
+	// Stream requests have a stream of events as their response; unless the route is
 	// resumable they run at most once.
 	Stream
 )
@@ -46,53 +46,54 @@
 	}
 }
 
-// Share is one service of a route and its part of the route's requests.
+// Share is one service of a route with its weight in the split of the route's requests.
 type Share struct {
 	// Service is the service's name.
 	Service string
-	// Weight is its part, relative to the other shares.
+	// Weight is relative to the weights of the other shares; negative counts as zero.
 	Weight int
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route says which services run the requests of a host and path prefix, and how.
 type Route struct {
 	// Name is the route's name in logs and metrics.
 	Name string
-	// Host is the host that callers name, without a port.
+	// Host is the host name in the callers' requests, without a port; case doesn't matter.
 	Host string
-	// Prefix begins the paths of the route; it begins and ends with a slash.
+	// Prefix is the path prefix; it begins and ends with a slash.
 	Prefix string
-	// Kind says what may be repeated.
+	// Kind says whether requests may run more than once.
 	Kind Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits for the response.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or a stream's first event, is on time.
+	// Aim is the latency target: a response, or a stream's first event, is on time within it.
 	Aim time.Duration
-	// Gap is the longest pause between two events that is still on time.
+	// Gap is the maximum time between two events of a stream that is still on time.
 	Gap time.Duration
-	// Patience is how long callers wait for a stream's next event before they leave;
-	// zero when that is not known.
+	// Patience is the callers' timeout for a stream's next event, after which they
+	// disconnect; zero if unknown.
 	Patience time.Duration
-	// Priority is the rank among requests, 0 first.
+	// Priority is the rank among requests; 0 is served first.
 	Priority int
-	// Shares are the services that run the requests.
+	// Shares are the services among which the requests are split.
 	Shares []Share
-	// MaxAttempts is how many targets may run one request.
+	// MaxAttempts is the maximum number of targets that may run one request.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes accept requests without an API key.
 	Public bool
-	// Resumable streams may go on at another target.
+	// Resumable streams may be resumed at another target.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may run again after it may
-// have run.
+// Repeatable reports whether a request of the route may be retried once it may have
+// run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick returns the service for a request; draw is any evenly spread number that
-// stays the same for the request.
+// Pick returns the service for a request, in proportion to the weights. draw is a
+// uniformly distributed number that stays the same for the request. If all weights are
+// zero, Pick returns the first service; without shares, an empty string.
 func (r *Route) Pick(draw uint64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -107,10 +108,10 @@
 		return r.Shares[0].Service
 	}
 
-	left := int(draw % uint64(total))
+	remaining := int(draw % uint64(total))
 	for _, s := range r.Shares {
-		left -= max(s.Weight, 0)
-		if left < 0 {
+		remaining -= max(s.Weight, 0)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -118,32 +119,32 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// SlowStart is what a target of a service bears after its start. The zero value bounds
-// nothing.
+// SlowStart limits the request rate of a target after its start. The zero value sets no
+// limit.
 type SlowStart struct {
-	// Duration is how long it is cold.
+	// Duration is how long a target is cold after its start.
 	Duration time.Duration
-	// PerSecond is how many requests a second it tolerates meanwhile.
+	// PerSecond is the maximum number of requests a second while it is cold.
 	PerSecond float64
 }
 
 // Engines describes the model engines of a service.
 type Engines struct {
-	// Slots is how many requests one engine runs at once.
+	// Slots is the number of batch slots: the requests that one engine runs at once.
 	Slots int
-	// MemoryTokens is how many tokens one engine's memory holds.
+	// MemoryTokens is the capacity of one engine's KV cache in tokens.
 	MemoryTokens int
-	// TokenBytes is the memory of one token.
+	// TokenBytes is the size of one token's KV cache in bytes.
 	TokenBytes float64
-	// LinkMbps is the speed of an engine's link, in Mbit/s, on which it sends and
-	// fetches contexts.
+	// LinkMbps is the bandwidth, in Mbit/s, of the engine's link, over which it sends and
+	// fetches parts of the KV cache.
 	LinkMbps float64
-	// Models are the names of the models they run.
+	// Models are the names of the models that the engines run.
 	Models []string
 }
 
-// TokensPerMs returns how many tokens' memory a link of so many Mbit/s carries in a
-// ms; zero when the memory of a token isn't known.
+// TokensPerMs returns how many tokens of KV cache a link of mbps Mbit/s transfers per
+// millisecond; zero if tokenBytes, the size of one token in bytes, is unknown (zero or less).
 func TokensPerMs(mbps, tokenBytes float64) float64 {
 	if tokenBytes <= 0 {
 		return 0
@@ -154,102 +155,103 @@
 	return mbps * bytesPerMbitMs / tokenBytes
 }
 
-// Vault describes a store of kept contexts.
+// Vault describes a store: a process that keeps parts of prompts' KV caches.
 type Vault struct {
-	// Address is where it is called.
+	// Address is the store's host and port.
 	Address string
-	// DataCentre is where it stands.
+	// DataCentre is the data centre that it runs in.
 	DataCentre string
-	// RoomTokens is how many tokens it holds.
+	// RoomTokens is its capacity in tokens.
 	RoomTokens int
-	// MaxCalls is how many event calls it holds open at once.
+	// MaxCalls is the maximum number of event streams that it keeps open at once.
 	MaxCalls int
-	// FirstByte is the wait before each transfer.
+	// FirstByte is the latency until the first byte of each transfer.
 	FirstByte time.Duration
-	// LinkMbps is its link's speed in Mbit/s.
+	// LinkMbps is its link's bandwidth in Mbit/s.
 	LinkMbps float64
 }
 
-// Service is a group of targets that do the same work.
+// Service is a group of interchangeable targets.
 type Service struct {
 	// Name is the service's name.
 	Name string
-	// MaxConnections is how many connections one target takes from all callers.
+	// MaxConnections is the maximum number of connections that one target accepts in total.
 	MaxConnections int
-	// Engines is set for services of model engines.
+	// Engines describes the engines; nil if the targets aren't model engines.
 	Engines *Engines
-	// Vault is set for stores of kept contexts.
+	// Vault describes the store; nil if the service isn't a store.
 	Vault *Vault
-	// SlowStart is what one target bears after its start.
+	// SlowStart limits the request rate of one target after its start.
 	SlowStart SlowStart
-	// HealthPath is where targets say how they are; empty where they don't.
+	// HealthPath is the path of the targets' health check; empty if they have none.
 	HealthPath string
 }
 
-// Organisation is one customer and the keys of its callers.
+// Organisation is one customer with its callers' API keys.
 type Organisation struct {
 	// Name is the organisation's name.
 	Name string
-	// Keys are its callers' keys.
+	// Keys are the API keys of its callers.
 	Keys []string
-	// Priority takes precedence over a route's priority where HasPriority says so.
+	// Priority replaces the route's priority if HasPriority is true.
 	Priority int
-	// HasPriority says that Priority is set.
+	// HasPriority reports whether Priority is set.
 	HasPriority bool
-	// Isolated organisations share no cached context with others.
+	// Isolated organisations share no cached contexts with other organisations.
 	Isolated bool
 }
 
-// Limits bound what a caller may send.
+// Limits bound callers' requests and connections.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest header and body; zero is unlimited.
+	// HeaderBytes and BodyBytes are the maximum sizes of header and body; zero means no limit.
 	HeaderBytes, BodyBytes int64
-	// Header is how long a caller may take to send a header.
+	// Header is the timeout for receiving a request's header.
 	Header time.Duration
-	// Idle is how long a connection may stay unused.
+	// Idle is the timeout of an unused connection.
 	Idle time.Duration
 }
 
-// Published is a configuration as operators wrote it.
+// Published is a configuration as the operators published it.
 type Published struct {
-	// Version rises with each change.
+	// Version increases with each change.
 	Version int64
 	// Routes, Services and Organisations are in no order.
 	Routes        []Route
 	Services      []Service
 	Organisations []Organisation
-	// Limits bound what callers may send.
+	// Limits bound callers' requests and connections.
 	Limits Limits
 }
 
-// Configuration is one version in force. Use New.
+// Configuration is one version of the published configuration, indexed. It is immutable. Use
+// New.
 type Configuration struct {
-	version  int64
-	hosts    map[string][]*Route
-	services map[string]Service
-	keys     map[string]*Organisation
-	tenanted bool
-	limits   Limits
+	version            int64
+	routesByHost       map[string][]*Route
+	services           map[string]Service
+	organisationsByKey map[string]*Organisation
+	requiresKey        bool
+	limits             Limits
 }
 
-// New indexes what was published.
+// New returns the Configuration of p. It keeps pointers into p, which must not change afterwards.
 func New(p Published) *Configuration {
 	c := &Configuration{
-		version:  p.Version,
-		hosts:    make(map[string][]*Route),
-		services: make(map[string]Service, len(p.Services)),
-		keys:     make(map[string]*Organisation),
-		tenanted: len(p.Organisations) > 0,
-		limits:   p.Limits,
+		version:            p.Version,
+		routesByHost:       make(map[string][]*Route),
+		services:           make(map[string]Service, len(p.Services)),
+		organisationsByKey: make(map[string]*Organisation),
+		requiresKey:        len(p.Organisations) > 0,
+		limits:             p.Limits,
 	}
 
 	for i := range p.Routes {
 		r := &p.Routes[i]
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
 
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 
@@ -260,30 +262,31 @@
 	for i := range p.Organisations {
 		o := &p.Organisations[i]
 		for _, k := range o.Keys {
-			c.keys[k] = o
+			c.organisationsByKey[k] = o
 		}
 	}
 
 	return c
 }
 
-// Version returns the version, which rises with each change.
+// Version returns the version, which increases with each change.
 func (c *Configuration) Version() int64 { return c.version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the limits on callers' requests and connections.
 func (c *Configuration) Limits() Limits { return c.limits }
 
-// Tenanted reports whether callers need a key on routes that aren't public.
-func (c *Configuration) Tenanted() bool { return c.tenanted }
+// Tenanted reports whether routes that aren't public require an API key: whether any organisation
+// is configured.
+func (c *Configuration) Tenanted() bool { return c.requiresKey }
 
-// Match returns the route of a host, with or without a port, and a path: the one
-// with the longest prefix.
+// Match returns the route with the longest prefix of path for host, which may include a port. It
+// returns false if no route matches.
 func (c *Configuration) Match(host, path string) (*Route, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 
-	for _, r := range c.hosts[strings.ToLower(host)] {
+	for _, r := range c.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -292,44 +295,45 @@
 	return nil, false
 }
 
-// Caller returns the organisation that holds a key.
+// Caller returns the organisation of an API key; false if the key is unknown.
 func (c *Configuration) Caller(key string) (*Organisation, bool) {
-	o, ok := c.keys[key]
+	o, ok := c.organisationsByKey[key]
 
 	return o, ok
 }
 
-// Service returns a service by name.
+// Service returns a service by name; false if there is none.
 func (c *Configuration) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
 
 	return s, ok
 }
 
-// TokenBytes returns the memory of one token, zero when no service tells.
+// TokenBytes returns the size of one token's KV cache in bytes: the largest of all services, zero
+// if none gives one.
 func (c *Configuration) TokenBytes() float64 {
-	most := 0.0
+	largest := 0.0
 
 	for _, s := range c.services {
 		if s.Engines != nil {
-			most = max(most, s.Engines.TokenBytes)
+			largest = max(largest, s.Engines.TokenBytes)
 		}
 	}
 
-	return most
+	return largest
 }
 
-// Vaults returns the stores of kept contexts in order of name.
+// Vaults returns the services that are stores, sorted by name.
 func (c *Configuration) Vaults() []Service {
-	var all []Service
+	var stores []Service
 
 	for _, s := range c.services {
 		if s.Vault != nil {
-			all = append(all, s)
+			stores = append(stores, s)
 		}
 	}
 
-	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
+	sort.Slice(stores, func(i, j int) bool { return stores[i].Name < stores[j].Name })
 
-	return all
+	return stores
 }
