--- a/socket/socket.go
+++ b/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket tells what the operating system knows of a TCP connection and Go's
-// standard library doesn't say.
+// Package socket gives access to TCP socket state that the operating system has and
+// Go's standard library doesn't expose.
 package socket
 
 import (
@@ -9,21 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a connection's receive queue holds.
+// State is the state of a connection's receive queue.
 type State uint8
 
 // The values of State.
 const (
-	// Quiet: the connection is open and nothing waits to be read.
+	// Quiet means that the connection is open and has nothing to read.
 	Quiet State = iota
-	// Unread: bytes have arrived that nobody has read.
+	// Unread means that bytes have arrived that have not been read yet.
 	Unread
-	// Ended: the other side has closed, or the connection has failed.
+	// Ended means that the peer has closed its side, or that the connection is closed or has
+	// failed.
 	Ended
 )
 
-// Peek looks at a connection without taking bytes from it and without waiting. A
-// connection without a socket, such as a pipe in a test, is Quiet.
+// Peek returns the state of a connection without consuming bytes and without blocking.
+// A connection without a socket, such as a pipe in a test, is Quiet.
 func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -37,7 +38,7 @@
 
 	state := Ended
 
-	// Control, and not Read, which would wait for whoever is reading.
+	// Control rather than Read: Read would block while another goroutine reads.
 	if err := raw.Control(func(fd uintptr) { state = peek(int(fd)) }); err != nil {
 		return Ended
 	}
@@ -51,7 +52,7 @@
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 
 	switch {
-	case err == syscall.EAGAIN: //nolint:errorlint // a bare number from the kernel, the same as EWOULDBLOCK
+	case err == syscall.EAGAIN: //nolint:errorlint // a plain errno from the kernel, equal to EWOULDBLOCK
 		return Quiet
 	case err == nil && n > 0:
 		return Unread
@@ -60,11 +61,13 @@
 	}
 }
 
-// Shut makes a listener take no more connections, unless one waits to be accepted; it
-// reports whether it did. A connection that waits is open for the one that made it, who
-// may have sent a request on it, and is reset when the listener closes. Looking and
-// closing as two steps would leave a moment between them, and a process that is held up
-// just there resets all that came meanwhile. The listener still has to be closed.
+// Shut stops a listener from taking new connections, unless a connection is pending in
+// its accept queue, and reports whether it stopped it. For its client a pending connection
+// is established and may carry a request already; closing the listener would reset it.
+// A check followed by a separate Close would leave a window in which a process that is
+// paused resets all connections that arrive meanwhile; here the window is the time between
+// two successive system calls. The listener must still be closed. A listener without a
+// socket, or one that is closed, counts as stopped.
 func Shut(l net.Listener) bool {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
@@ -76,20 +79,20 @@
 		return true
 	}
 
-	shut := true
+	stopped := true
 
-	//nolint:errcheck,gosec // a closed listener has nobody waiting
+	//nolint:errcheck,gosec // a closed listener has no pending connections
 	raw.Control(func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		if n, err := unix.Poll(p, 0); err == nil && n > 0 {
-			shut = false
+			stopped = false
 
 			return
 		}
 
-		//nolint:errcheck // closing does the same, a moment later
+		//nolint:errcheck // if it fails, the caller's Close stops the listener
 		unix.Shutdown(int(fd), unix.SHUT_RD)
 	})
 
-	return shut
+	return stopped
 }
--- a/socket/socket_test.go
+++ b/socket/socket_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// dialled returns a listener and the far end of a connection that waits to be accepted.
-func dialled(t *testing.T) (net.Listener, net.Conn) {
+// dialPending returns a listener and the client's end of a connection that is pending in its accept
+// queue.
+func dialPending(t *testing.T) (net.Listener, net.Conn) {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -17,24 +18,24 @@
 
 	t.Cleanup(func() { _ = l.Close() })
 
-	far, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	t.Cleanup(func() { _ = far.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 
-	return l, far
+	return l, client
 }
 
 func TestPeek(t *testing.T) {
-	l, far := dialled(t)
+	l, client := dialPending(t)
 
-	near, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = near.Close() }()
+	defer func() { _ = accepted.Close() }()
 
 	steps := []struct {
 		name string
@@ -42,12 +43,12 @@
 		want State
 	}{
 		{"nothing sent", func() error { return nil }, Quiet},
-		{"a byte sent", func() error { _, err := far.Write([]byte("x")); return err }, Unread},
-		{"looked at before", func() error { return nil }, Unread},
-		{"the byte read", func() error { _, err := near.Read(make([]byte, 1)); return err }, Quiet},
-		{"while somebody reads", func() error { go func() { _, _ = near.Read(make([]byte, 1)) }(); return nil }, Quiet},
-		{"closed by the other side", func() error { return far.Close() }, Ended},
-		{"closed by this side", func() error { return near.Close() }, Ended},
+		{"one byte sent", func() error { _, err := client.Write([]byte("x")); return err }, Unread},
+		{"the byte peeked at before", func() error { return nil }, Unread},
+		{"the byte read", func() error { _, err := accepted.Read(make([]byte, 1)); return err }, Quiet},
+		{"during a blocked read", func() error { go func() { _, _ = accepted.Read(make([]byte, 1)) }(); return nil }, Quiet},
+		{"closed by the client", func() error { return client.Close() }, Ended},
+		{"closed by the server", func() error { return accepted.Close() }, Ended},
 	}
 
 	for _, s := range steps {
@@ -55,9 +56,9 @@
 			t.Fatalf("%s: %v", s.name, err)
 		}
 
-		got := Peek(near)
-		for deadline := time.Now().Add(10 * time.Second); got != s.want && time.Now().Before(deadline); got = Peek(near) {
-			time.Sleep(time.Millisecond) // the bytes are on their way
+		got := Peek(accepted)
+		for deadline := time.Now().Add(10 * time.Second); got != s.want && time.Now().Before(deadline); got = Peek(accepted) {
+			time.Sleep(time.Millisecond) // the bytes may still be in transit
 		}
 
 		if got != s.want {
@@ -66,34 +67,34 @@
 	}
 
 	if got := Peek(&net.UnixConn{}); got != Ended {
-		t.Errorf("without a connection: got %d, want %d", got, Ended)
+		t.Errorf("uninitialised connection: got %d, want %d", got, Ended)
 	}
 }
 
-// A connection is made just as a server looks whether it may close its port. It is to be
-// accepted first, or its maker's request is lost.
+// Guards against lost requests: a client connects just as a server stops its listener. The
+// connection must be accepted first, or the client's request is reset.
 func TestShutWaitsForWhoeverArrives(t *testing.T) {
-	l, _ := dialled(t)
+	l, _ := dialPending(t)
 
 	if Shut(l) {
-		t.Error("with a connection waiting: got shut, want it left open")
+		t.Error("with a pending connection: got the listener stopped, want it open")
 	}
 
-	near, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = near.Close() }()
+	defer func() { _ = accepted.Close() }()
 
 	if !Shut(l) {
-		t.Error("with nobody waiting: got it left open, want it shut")
+		t.Error("without pending connections: got the listener open, want it stopped")
 	}
 
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		t.Errorf("got a connection to %v, want none", c.RemoteAddr())
 	}
 
-	if Peek(near) != Quiet {
-		t.Error("got the accepted connection disturbed")
+	if Peek(accepted) != Quiet {
+		t.Error("got the accepted connection changed, want it open and empty")
 	}
 }
