--- a/store/client.go
+++ b/store/client.go
@@ -13,141 +13,142 @@
 	"boragehub/failure"
 )
 
-// Client speaks to one store VM. See docs/PLATFORM.md.
+// Client calls the HTTP interface of one store VM, which docs/PLATFORM.md describes.
 type Client struct {
-	// Address is the store's IP and port.
+	// Address is the store's IP address and port.
 	Address string
-	// HTTP does the calls; nil uses http.DefaultClient.
+	// HTTP makes the calls; nil means http.DefaultClient.
 	HTTP *http.Client
-	// MaxBytes is the largest copy that Get takes; zero is DefaultMaxBytes.
+	// MaxBytes is the maximum size of a response body in bytes; the rest is cut off. Zero means
+	// DefaultMaxBytes.
 	MaxBytes int64
-	// Progress counts the bytes of answers as they come; nil counts nothing.
+	// Progress counts the bytes of response bodies as they arrive; nil disables it.
 	Progress *atomic.Int64
 }
 
-// DefaultMaxBytes is the largest copy taken where Client says nothing.
+// DefaultMaxBytes is the default of Client.MaxBytes: 1 GiB.
 const DefaultMaxBytes = 1 << 30
 
-// Space is a store's room.
+// Space is a store's capacity and its use.
 type Space struct {
-	// UsedBytes and TotalBytes are in bytes.
+	// UsedBytes is the space in use, TotalBytes the capacity, both in bytes.
 	UsedBytes  int64 `json:"used_bytes"`
 	TotalBytes int64 `json:"total_bytes"`
 }
 
-// Put writes a copy; failure.StoreFull when there is no room.
+// Put writes a copy under id. The error is failure.StoreFull if the store has no free space for it.
 func (c Client) Put(ctx context.Context, id string, b []byte) error {
-	a, err := c.do(ctx, http.MethodPut, objectPath(id), b)
+	resp, err := c.do(ctx, http.MethodPut, objectPath(id), b)
 	if err != nil {
 		return err
 	}
 
-	switch a.status {
+	switch resp.status {
 	case http.StatusCreated, http.StatusOK:
 		return nil
 	case http.StatusInsufficientStorage:
 		return failure.New(failure.StoreFull, "store %s is full", c.Address)
 	default:
-		return a.unexpected()
+		return resp.unexpectedStatus()
 	}
 }
 
-// Get reads a copy as it is in the store; the caller opens it. A copy that is
-// not there is failure.TornCopy like any other that can't be used.
+// Get reads the bytes of a copy; the caller checks them with Open. A missing
+// copy is failure.TornCopy, like any other copy that can't be used.
 func (c Client) Get(ctx context.Context, id string) ([]byte, error) {
-	a, err := c.do(ctx, http.MethodGet, objectPath(id), nil)
+	resp, err := c.do(ctx, http.MethodGet, objectPath(id), nil)
 	if err != nil {
 		return nil, err
 	}
 
-	switch a.status {
+	switch resp.status {
 	case http.StatusOK:
-		return a.body, nil
+		return resp.body, nil
 	case http.StatusNotFound:
-		return nil, torn("store %s has no copy %s", c.Address, id)
+		return nil, tornCopy("store %s has no copy %s", c.Address, id)
 	default:
-		return nil, a.unexpected()
+		return nil, resp.unexpectedStatus()
 	}
 }
 
-// Delete frees a copy; one that is gone already is no error.
+// Delete removes a copy. A missing copy is not an error.
 func (c Client) Delete(ctx context.Context, id string) error {
-	a, err := c.do(ctx, http.MethodDelete, objectPath(id), nil)
+	resp, err := c.do(ctx, http.MethodDelete, objectPath(id), nil)
 	if err != nil {
 		return err
 	}
 
-	if a.status != http.StatusNoContent && a.status != http.StatusNotFound {
-		return a.unexpected()
+	if resp.status != http.StatusNoContent && resp.status != http.StatusNotFound {
+		return resp.unexpectedStatus()
 	}
 
 	return nil
 }
 
-// Space asks for the store's room.
+// Space returns the store's capacity and its use.
 func (c Client) Space(ctx context.Context) (Space, error) {
 	var s Space
 
-	a, err := c.do(ctx, http.MethodGet, "/space", nil)
+	resp, err := c.do(ctx, http.MethodGet, "/space", nil)
 	if err != nil {
 		return s, err
 	}
 
-	if a.status != http.StatusOK {
-		return s, a.unexpected()
+	if resp.status != http.StatusOK {
+		return s, resp.unexpectedStatus()
 	}
 
-	if err := json.Unmarshal(a.body, &s); err != nil {
-		return s, failure.Wrap(failure.TargetLost, err, "store %s gave no space", c.Address)
+	if err := json.Unmarshal(resp.body, &s); err != nil {
+		return s, failure.Wrap(failure.TargetLost, err, "could not decode the space of store %s", c.Address)
 	}
 
 	return s, nil
 }
 
-// Object is one line of a store's list.
+// Object is one entry of a store's list.
 type Object struct {
-	// ID is the copy's id.
+	// ID is the object's id; for a copy, that of a CopyID.
 	ID string `json:"id"`
-	// Bytes is its size.
+	// Bytes is the object's size in bytes.
 	Bytes int64 `json:"bytes"`
 }
 
-// List asks for all that the store holds.
+// List returns all objects in the store.
 func (c Client) List(ctx context.Context) ([]Object, error) {
-	a, err := c.do(ctx, http.MethodGet, "/objects", nil)
+	resp, err := c.do(ctx, http.MethodGet, "/objects", nil)
 	if err != nil {
 		return nil, err
 	}
 
-	if a.status != http.StatusOK {
-		return nil, a.unexpected()
+	if resp.status != http.StatusOK {
+		return nil, resp.unexpectedStatus()
 	}
 
-	var got struct {
+	var list struct {
 		Objects []Object `json:"objects"`
 	}
 
-	if err := json.Unmarshal(a.body, &got); err != nil {
-		return nil, failure.Wrap(failure.TargetLost, err, "store %s gave no list", c.Address)
+	if err := json.Unmarshal(resp.body, &list); err != nil {
+		return nil, failure.Wrap(failure.TargetLost, err, "could not decode the object list of store %s", c.Address)
 	}
 
-	return got.Objects, nil
+	return list.Objects, nil
 }
 
-// answer is a store's whole answer.
-type answer struct {
+// response is a complete response of a store.
+type response struct {
 	status int
 	body   []byte
 }
 
-func (a answer) unexpected() error {
-	return failure.New(failure.TargetLost, "the store answered %d", a.status)
+func (r response) unexpectedStatus() error {
+	return failure.New(failure.TargetLost, "the store responded with status %d", r.status)
 }
 
-func (c Client) do(ctx context.Context, method, path string, body []byte) (answer, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, bytes.NewReader(body))
+func (c Client) do(ctx context.Context, method, path string, data []byte) (response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, bytes.NewReader(data))
 	if err != nil {
-		return answer{}, failure.Wrap(failure.Internal, err, "store address %q", c.Address)
+		return response{}, failure.Wrap(failure.Internal, err, "invalid store address %q", c.Address)
 	}
 
 	client := c.HTTP
@@ -157,36 +158,36 @@
 
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{}, failure.Wrap(failure.TargetLost, err, "store %s does not answer", c.Address)
+		return response{}, failure.Wrap(failure.TargetLost, err, "no response from store %s", c.Address)
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
-	most := c.MaxBytes
-	if most <= 0 {
-		most = DefaultMaxBytes
+	limit := c.MaxBytes
+	if limit <= 0 {
+		limit = DefaultMaxBytes
 	}
 
-	got, err := io.ReadAll(counted{io.LimitReader(resp.Body, most), c.Progress})
+	body, err := io.ReadAll(countingReader{io.LimitReader(resp.Body, limit), c.Progress})
 	if ctx.Err() != nil {
-		return answer{}, failure.Wrap(failure.Cancelled, err, "the transfer from store %s was given up", c.Address)
+		return response{}, failure.Wrap(failure.Cancelled, err, "the transfer from store %s was cancelled", c.Address)
 	}
 
 	if err != nil {
-		return answer{}, failure.Wrap(failure.TornCopy, err, "the answer of store %s was cut", c.Address)
+		return response{}, failure.Wrap(failure.TornCopy, err, "the response of store %s was cut off", c.Address)
 	}
 
-	return answer{status: resp.StatusCode, body: got}, nil
+	return response{status: resp.StatusCode, body: body}, nil
 }
 
-// counted counts what is read through it.
-type counted struct {
+// countingReader adds the number of bytes read from r to n, unless n is nil.
+type countingReader struct {
 	r io.Reader
 	n *atomic.Int64
 }
 
 // Read implements io.Reader.
-func (c counted) Read(b []byte) (int, error) {
+func (c countingReader) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
 	if c.n != nil {
 		c.n.Add(int64(n))
@@ -199,7 +200,7 @@
 	return "/objects/" + url.PathEscape(id)
 }
 
-// NewHTTP returns an HTTP client that gives a store up after timeout.
+// NewHTTP returns an HTTP client whose calls fail after timeout, transfer of the body included.
 func NewHTTP(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout}
 }
--- a/store/evict.go
+++ b/store/evict.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// maxEvicted bounds how many copies are dropped for one new one.
-const maxEvicted = 64
-
-// Oldest returns the copies to drop so that a new one of n bytes finds room, in
-// the order in which they were made. A context that is used again is parked
-// again under a new id, so the copies that were made first are those that did
-// not return for longest; the value of a byte differs little otherwise. Objects
-// that are no copies are left alone. It returns nothing when dropping the most
-// that it may would not be enough.
-func Oldest(all []Object, n int64) []Object {
-	type aged struct {
+// maxEvictions is the maximum number of copies evicted for one new copy.
+const maxEvictions = 64
+
+// Oldest returns the copies to evict to free n bytes for a new one, oldest
+// first. A context that is used again is parked again under a new id, so
+// evicting by creation time evicts the least recently used contexts; apart from
+// that, the value per byte differs little between copies. Objects that are not
+// copies are never evicted. It returns nil if evicting maxEvictions copies would
+// not free enough.
+func Oldest(objects []Object, n int64) []Object {
+	type datedCopy struct {
 		Object
-		made time.Time
+		created time.Time
 	}
 
-	var copies []aged
+	var copies []datedCopy
 
-	for _, o := range all {
+	for _, o := range objects {
 		if id, err := ParseCopyID(o.ID); err == nil {
-			copies = append(copies, aged{o, id.Made()})
+			copies = append(copies, datedCopy{o, id.Created()})
 		}
 	}
 
-	slices.SortFunc(copies, func(a, b aged) int { return a.made.Compare(b.made) })
+	slices.SortFunc(copies, func(a, b datedCopy) int { return a.created.Compare(b.created) })
 
-	var drop []Object
+	var evicted []Object
 
 	freed := int64(0)
 
-	for _, c := range copies[:min(len(copies), maxEvicted)] {
-		drop = append(drop, c.Object)
+	for _, c := range copies[:min(len(copies), maxEvictions)] {
+		evicted = append(evicted, c.Object)
 		freed += c.Bytes
 
 		if freed >= n {
-			return drop
+			return evicted
 		}
 	}
 
--- a/store/evict_test.go
+++ b/store/evict_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// copyOf returns a copy made at the given millisecond.
-func copyOf(ms int, bytes int64) Object {
+// copyMadeAt returns a copy created ms milliseconds after the Unix epoch.
+func copyMadeAt(ms int, bytes int64) Object {
 	return Object{ID: fmt.Sprintf("%08x-%04x-7000-8000-000000000000.4", ms>>16, ms&0xffff), Bytes: bytes}
 }
 
 func TestOldest(t *testing.T) {
-	all := []Object{copyOf(300, 10), copyOf(100, 10), {ID: "notes.txt", Bytes: 1000}, copyOf(200, 10)}
+	all := []Object{copyMadeAt(300, 10), copyMadeAt(100, 10), {ID: "notes.txt", Bytes: 1000}, copyMadeAt(200, 10)}
 	cases := []struct {
 		name string
 		n    int64
 		want []Object
 	}{
-		{"one is enough", 10, []Object{copyOf(100, 10)}},
-		{"two are needed", 11, []Object{copyOf(100, 10), copyOf(200, 10)}},
-		{"nothing helps", 31, nil},
+		{"one eviction suffices", 10, []Object{copyMadeAt(100, 10)}},
+		{"two evictions needed", 11, []Object{copyMadeAt(100, 10), copyMadeAt(200, 10)}},
+		{"all copies together too small", 31, nil},
 	}
 
 	for _, c := range cases {
--- a/store/seal.go
+++ b/store/seal.go
@@ -1,25 +1,29 @@
-// Package store keeps copies of contexts in store VMs, so that they outlive the
-// engine's memory.
+// Package store keeps copies of contexts (parts of prompts' KV caches) in store
+// VMs, so that they remain available after an engine has evicted them.
 //
 // # Sealed copies
 //
-// A copy is written once under an id that is never used again, and ends with a
-// seal: what the copy is of, its length and a hash over everything. A reader
-// takes a copy only when the seal is there, matches and names the context that
-// it asked for. So a copy that is cut, altered, half written, freed and
-// overwritten, or somebody else's, is a miss and never an answer. The layout is
+// A copy is written once under an id that is never reused. It is sealed: a
+// header says which context it belongs to and how long it is, and a hash covers
+// everything. A seal detects damage and mix-ups; it doesn't encrypt or
+// authenticate. A reader uses a copy only if the hash matches and the header
+// names the context it asked for. So a copy that is truncated, altered, half
+// written, overwritten after its deletion, or of another organisation is a cache
+// miss and never leads to a wrong response. The layout is
 //
 //	magic | header length (4) | header (CBOR) | body | hash (32)
 //
-// with a SHA-256 hash over all bytes before it.
+// with lengths in bytes, integers in big-endian order and a SHA-256 hash of all
+// bytes before it.
 //
 //	b, err := store.Seal(store.Header{Chain: chain, Version: "v1"}, body)
 //	err = client.Put(ctx, id, b)
 //	body, blocks, err := store.Open(b, want)
 //
-// A returning prompt need not go on where the copy ends: an answer that is asked
-// for again shares only the blocks before it. So the header holds the copy's
-// whole chain, and Open tells how many leading blocks are of use.
+// A later prompt doesn't always extend the copied one: if a caller asks for
+// another response to the same turn, the prompt shares only the blocks before
+// it. So the header holds the copy's whole chain of block hashes, and Open
+// returns how many leading blocks the prompt shares.
 package store
 
 import (
@@ -37,29 +41,31 @@
 
 const lengthSize = 4
 
-// Header says what a copy is of.
+// Header identifies the context of a copy.
 type Header struct {
 	// ID is the copy's own id in its store.
 	ID string `cbor:"1,keyasint"`
-	// Organisation owns the context.
+	// Organisation is the owner of the context.
 	Organisation string `cbor:"2,keyasint"`
-	// Model, Version and Adapter are what computed the blocks.
+	// Model, Version and Adapter are the model, weight version and adapter (empty for
+	// none) that computed the blocks.
 	Model   string `cbor:"3,keyasint"`
 	Version string `cbor:"4,keyasint"`
 	Adapter string `cbor:"5,keyasint,omitempty"`
-	// Chain are the hashes of the blocks in the body, from the first on.
+	// Chain holds the hashes of all blocks in the body, in order.
 	Chain prompt.Chain `cbor:"6,keyasint"`
-	// Bytes is the body's length.
+	// Bytes is the body's length in bytes; Seal sets it.
 	Bytes int64 `cbor:"7,keyasint"`
 }
 
-// Seal returns the bytes of a copy. It sets h.Bytes.
+// Seal returns the sealed copy of body. It overwrites h.Bytes with the length of body. The error is
+// failure.Internal.
 func Seal(h Header, body []byte) ([]byte, error) {
 	h.Bytes = int64(len(body))
 
 	header, err := cbor.Marshal(h)
 	if err != nil {
-		return nil, failure.Wrap(failure.Internal, err, "a copy's header could not be encoded")
+		return nil, failure.Wrap(failure.Internal, err, "could not encode the copy's header")
 	}
 
 	b := make([]byte, 0, len(magic)+lengthSize+len(header)+len(body)+sha256.Size)
@@ -72,33 +78,35 @@
 	return append(b, sum[:]...), nil
 }
 
-// Open returns the body of a copy if it is whole and belongs to what want says,
-// and how many of its leading blocks are those of want.Chain; at least one is.
-// Every other case is failure.TornCopy.
+// Open returns the body of a copy if it is complete, undamaged and matches want,
+// and the number of its leading blocks that it shares with want.Chain, which is
+// at least one. It ignores want.Bytes. In every other case the error is
+// failure.TornCopy.
 func Open(b []byte, want Header) (body []byte, blocks int, err error) {
-	h, body, err := split(b)
+	h, body, err := parse(b)
 	if err != nil {
 		return nil, 0, err
 	}
 
 	if int64(len(body)) != h.Bytes {
-		return nil, 0, torn("the copy has %d bytes of %d", len(body), h.Bytes)
+		return nil, 0, tornCopy("the copy's body has %d bytes, its header says %d", len(body), h.Bytes)
 	}
 
-	if !h.belongs(want) {
-		return nil, 0, torn("the copy is of another context")
+	if !h.matches(want) {
+		return nil, 0, tornCopy("the copy belongs to another context")
 	}
 
 	blocks = h.Chain.Shared(want.Chain)
 	if blocks == 0 {
-		return nil, 0, torn("the copy shares no block with the prompt")
+		return nil, 0, tornCopy("the copy shares no block with the prompt")
 	}
 
 	return body, blocks, nil
 }
 
-// belongs reports whether h names the copy, the owner and the weights of want.
-func (h Header) belongs(want Header) bool {
+// matches reports whether h and want have the same copy id, organisation and weights (model, version
+// and adapter).
+func (h Header) matches(want Header) bool {
 	return h.ID == want.ID &&
 		h.Organisation == want.Organisation &&
 		h.Model == want.Model &&
@@ -106,31 +114,31 @@
 		h.Adapter == want.Adapter
 }
 
-func split(b []byte) (Header, []byte, error) {
+func parse(b []byte) (Header, []byte, error) {
 	var h Header
 
-	fixed := len(magic) + lengthSize
-	if len(b) < fixed+sha256.Size || !bytes.Equal(b[:len(magic)], magic) {
-		return h, nil, torn("the copy has no beginning or no end")
+	headerStart := len(magic) + lengthSize
+	if len(b) < headerStart+sha256.Size || !bytes.Equal(b[:len(magic)], magic) {
+		return h, nil, tornCopy("the copy is too short or does not begin with the magic bytes")
 	}
 
-	end := len(b) - sha256.Size
-	if sum := sha256.Sum256(b[:end]); !bytes.Equal(sum[:], b[end:]) {
-		return h, nil, torn("the copy's hash does not match")
+	hashStart := len(b) - sha256.Size
+	if sum := sha256.Sum256(b[:hashStart]); !bytes.Equal(sum[:], b[hashStart:]) {
+		return h, nil, tornCopy("the copy's hash does not match")
 	}
 
-	n := binary.BigEndian.Uint32(b[len(magic):fixed])
-	if int64(fixed)+int64(n) > int64(end) {
-		return h, nil, torn("the copy's header is cut")
+	n := binary.BigEndian.Uint32(b[len(magic):headerStart])
+	if int64(headerStart)+int64(n) > int64(hashStart) {
+		return h, nil, tornCopy("the copy's header is longer than the copy")
 	}
 
-	if err := cbor.Unmarshal(b[fixed:fixed+int(n)], &h); err != nil {
-		return h, nil, failure.Wrap(failure.TornCopy, err, "the copy's header could not be decoded")
+	if err := cbor.Unmarshal(b[headerStart:headerStart+int(n)], &h); err != nil {
+		return h, nil, failure.Wrap(failure.TornCopy, err, "could not decode the copy's header")
 	}
 
-	return h, b[fixed+int(n) : end], nil
+	return h, b[headerStart+int(n) : hashStart], nil
 }
 
-func torn(format string, args ...any) error {
+func tornCopy(format string, args ...any) error {
 	return failure.New(failure.TornCopy, format, args...)
 }
--- a/store/seal_test.go
+++ b/store/seal_test.go
@@ -10,28 +10,29 @@
 	"boragehub/prompt"
 )
 
-func header() Header {
+func testHeader() Header {
 	return Header{ID: "c1", Organisation: "bureau", Model: "casemodel", Version: "v1", Chain: prompt.Chain{{1}, {2}, {3}}}
 }
 
 func TestSealedCopyOpens(t *testing.T) {
-	want := []byte("the blocks of a case file")
+	want := []byte("the blocks of a context")
 
-	b, err := Seal(header(), want)
+	b, err := Seal(testHeader(), want)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	got, blocks, err := Open(b, header())
+	got, blocks, err := Open(b, testHeader())
 	if err != nil || !bytes.Equal(got, want) || blocks != 3 {
 		t.Errorf("got %q %d %v, want %q 3", got, blocks, err, want)
 	}
 }
 
-// A caller asks for an answer again, or edits a turn: the prompt leaves the copy
-// before its end. Only the blocks before that point may count as brought.
+// Guards against counting blocks that the prompt doesn't share: when a caller
+// asks for another response or edits a turn, the prompt diverges before the end
+// of the copy, and only the blocks before that point are usable.
 func TestOpenTellsHowManyBlocksAreOfUse(t *testing.T) {
-	b, err := Seal(header(), []byte("body"))
+	b, err := Seal(testHeader(), []byte("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +42,14 @@
 		chain prompt.Chain
 		want  int
 	}{
-		{"goes on", prompt.Chain{{1}, {2}, {3}, {4}}, 3},
-		{"ends before", prompt.Chain{{1}, {2}}, 2},
-		{"leaves", prompt.Chain{{1}, {8}, {9}, {7}}, 1},
+		{"prompt extends the copy", prompt.Chain{{1}, {2}, {3}, {4}}, 3},
+		{"prompt ends within the copy", prompt.Chain{{1}, {2}}, 2},
+		{"prompt diverges from the copy", prompt.Chain{{1}, {8}, {9}, {7}}, 1},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			want := header()
+			want := testHeader()
 			want.Chain = c.chain
 
 			_, got, err := Open(b, want)
@@ -59,10 +60,11 @@
 	}
 }
 
-// A store frees a copy and gives its place to another one, or mixes two ids up.
-// A reader that took it would answer from somebody else's context.
+// Guards against responses from another context: a store may return another
+// copy than the one asked for, because it reused the place of a deleted one or
+// confused two ids.
 func TestForeignCopyIsAMiss(t *testing.T) {
-	b, err := Seal(header(), []byte("body"))
+	b, err := Seal(testHeader(), []byte("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +84,7 @@
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			want := header()
+			want := testHeader()
 			c.change(&want)
 
 			_, _, err := Open(b, want)
@@ -93,42 +95,43 @@
 	}
 }
 
-// A store VM dies while a copy is written, a link cuts it off, or memory flips a
-// bit. Blocks read from it would give the caller a wrong answer without an error.
+// Guards against the use of damaged copies, which would give the caller a wrong
+// response without an error: a store VM may crash during a write, a connection
+// may truncate a copy, or memory may flip a bit.
 func TestDamagedCopyIsAMiss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body")
 
-		b, err := Seal(header(), body)
+		b, err := Seal(testHeader(), body)
 		if err != nil {
 			t.Fatal(err)
 		}
 
 		cut := rapid.IntRange(0, len(b)-1).Draw(t, "cut")
-		if _, _, err := Open(b[:cut], header()); failure.KindOf(err) != failure.TornCopy {
-			t.Fatalf("cut at %d of %d: got %v, want %v", cut, len(b), err, failure.TornCopy)
+		if _, _, err := Open(b[:cut], testHeader()); failure.KindOf(err) != failure.TornCopy {
+			t.Fatalf("truncated to %d of %d bytes: got %v, want %v", cut, len(b), err, failure.TornCopy)
 		}
 
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 
-		if _, _, err := Open(b, header()); failure.KindOf(err) != failure.TornCopy {
-			t.Fatalf("bit at %d of %d: got %v, want %v", at, len(b), err, failure.TornCopy)
+		if _, _, err := Open(b, testHeader()); failure.KindOf(err) != failure.TornCopy {
+			t.Fatalf("bit flipped in byte %d of %d: got %v, want %v", at, len(b), err, failure.TornCopy)
 		}
 	})
 }
 
 func BenchmarkOpen(b *testing.B) {
-	copied, err := Seal(header(), make([]byte, 1<<20))
+	sealed, err := Seal(testHeader(), make([]byte, 1<<20))
 	if err != nil {
 		b.Fatal(err)
 	}
 
-	b.SetBytes(int64(len(copied)))
+	b.SetBytes(int64(len(sealed)))
 	b.ReportAllocs()
 
 	for b.Loop() {
-		if _, _, err := Open(copied, header()); err != nil {
+		if _, _, err := Open(sealed, testHeader()); err != nil {
 			b.Fatal(err)
 		}
 	}
