--- a/story/story.go
+++ b/story/story.go
@@ -1,9 +1,9 @@
-// Package story tells what happened to one request, from the logs of several
+// Package story reconstructs the timeline of one request from the logs of several
 // processes.
 //
-// Each process writes a line for every decision that touches a request, with the
-// request's id. A Story gathers the lines with one id from any number of logs, in
-// any order, and sorts them by time.
+// Each process logs every decision about a request as an event with the request's
+// id. A Story collects the events with one id from any number of logs, in any
+// order, and sorts them by time.
 //
 //	s := story.New("9c41d07be2a35f68")
 //	err := s.Read(file)
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// Keys that every line has.
+// JSON keys of a log line that Line holds in fields of its own or omits.
 const (
 	keyRequest = "request_id"
 	keyTime    = "time"
@@ -32,50 +32,51 @@
 	keyLevel   = "level"
 )
 
-// Line is one line about the request.
+// Line is one log line, that is one event, about the request.
 type Line struct {
-	// At is when it was written, by its process's clock.
+	// At is the time of the event by its process's clock, to the millisecond.
 	At time.Time `json:"at"`
-	// Self is the process's VM.
+	// Self is the name of the process's VM.
 	Self string `json:"self"`
-	// Event is the event's number, Name its name.
+	// Event is the number of the event, Name is its name.
 	Event int    `json:"event"`
 	Name  string `json:"name"`
-	// Fields are the line's other keys and values.
+	// Fields holds the line's other keys and values.
 	Fields map[string]any `json:"fields"`
 }
 
-// Story is what is known of one request. Use New.
+// Story is the timeline of one request. Use New; it is not safe for concurrent use.
 type Story struct {
-	request []byte
-	id      string
-	lines   []Line
+	quotedID []byte
+	id       string
+	lines    []Line
 }
 
-// New returns a Story of a request without lines.
-func New(id string) *Story { return &Story{id: id, request: []byte(`"` + id + `"`)} }
+// New returns an empty Story of the request with the given id.
+func New(id string) *Story { return &Story{id: id, quotedID: []byte(`"` + id + `"`)} }
 
-// maxLine is the longest line that is read; longer ones are no events.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line. Events are never longer; Read stops with an
+// error at a longer line.
+const maxLineBytes = 1 << 20
 
-// Read takes the request's lines from a log. Lines that aren't events are passed
-// over: a log may be cut off anywhere.
+// Read adds the request's events from a log. It skips lines that aren't events,
+// such as the last line of a log that was cut off.
 func (s *Story) Read(r io.Reader) error {
-	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 
-	for in.Scan() {
-		if bytes.Contains(in.Bytes(), s.request) {
-			s.take(in.Bytes())
+	for scanner.Scan() {
+		if bytes.Contains(scanner.Bytes(), s.quotedID) {
+			s.addLine(scanner.Bytes())
 		}
 	}
 
-	return in.Err()
+	return scanner.Err()
 }
 
-// take takes one line if it is an event of the request. What stands before the
-// first brace, as a time that a collector wrote, is passed over.
-func (s *Story) take(text []byte) {
+// addLine adds a log line if it is an event of the request. It ignores what precedes
+// the first brace, such as a timestamp added by a log collector.
+func (s *Story) addLine(text []byte) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
 		return
@@ -98,19 +99,20 @@
 	s.lines = append(s.lines, Line{At: time.UnixMilli(int64(ms)), Self: self, Event: int(number), Name: name, Fields: m})
 }
 
-// Lines returns the lines in order of time.
+// Lines returns the lines sorted by time; lines of the same time stay in the order in which they
+// were read.
 func (s *Story) Lines() []Line {
 	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].At.Before(s.lines[j].At) })
 
 	return s.lines
 }
 
-// Write writes the story for people: a line each, times counted from the first.
+// Write writes the timeline as text, one line for each event, with times relative to the first.
 func (s *Story) Write(w io.Writer) error {
 	lines := s.Lines()
 
 	for _, l := range lines {
-		if _, err := fmt.Fprintf(w, "%+8d ms  %-18s %d %-18s %s\n", l.At.Sub(lines[0].At).Milliseconds(), l.Self, l.Event, l.Name, fields(l.Fields)); err != nil {
+		if _, err := fmt.Fprintf(w, "%+8d ms  %-18s %d %-18s %s\n", l.At.Sub(lines[0].At).Milliseconds(), l.Self, l.Event, l.Name, formatFields(l.Fields)); err != nil {
 			return err
 		}
 	}
@@ -118,13 +120,13 @@
 	return nil
 }
 
-// WriteJSON writes the story for scripts.
+// WriteJSON writes the lines as a JSON array, for scripts.
 func (s *Story) WriteJSON(w io.Writer) error {
 	return json.NewEncoder(w).Encode(s.Lines())
 }
 
-// fields returns keys and values in order of key.
-func fields(m map[string]any) string {
+// formatFields returns the pairs key=value, sorted by key and separated by spaces.
+func formatFields(m map[string]any) string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-const logOfOne = `{"level":"info","role":"gateway","self":"edge-1","event":2301,"request_id":"r1","status":200,"first_ms":60,"time":1700,"message":"request_served"}
+const firstLog = `{"level":"info","role":"gateway","self":"edge-1","event":2301,"request_id":"r1","status":200,"first_ms":60,"time":1700,"message":"request_served"}
 not a line
 {"level":"info","self":"edge-1","event":2300,"request_id":"r2","time":1500,"message":"attempt_sent"}
 {"level":"info","self":"edge-1","event":23`
 
-const logOfOther = `  12.3 edge-2 {"level":"info","self":"edge-2","event":2300,"request_id":"r1","target":"e7","time":1600,"message":"attempt_sent"}
+const secondLog = `  12.3 edge-2 {"level":"info","self":"edge-2","event":2300,"request_id":"r1","target":"e7","time":1600,"message":"attempt_sent"}
 {"event":1,"other":"r1","time":1,"message":"mentions it elsewhere"}
 `
 
 func TestStoryIsToldInOrder(t *testing.T) {
 	s := New("r1")
-	for _, l := range []string{logOfOne, logOfOther} {
+	for _, l := range []string{firstLog, secondLog} {
 		if err := s.Read(strings.NewReader(l)); err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 
 func TestUnknownRequestHasNoStory(t *testing.T) {
 	s := New("r9")
-	if err := s.Read(strings.NewReader(logOfOne)); err != nil || len(s.Lines()) != 0 {
+	if err := s.Read(strings.NewReader(firstLog)); err != nil || len(s.Lines()) != 0 {
 		t.Errorf("got %v %v, want nothing", s.Lines(), err)
 	}
 }
