--- a/vm/follower.go
+++ b/vm/follower.go
@@ -16,32 +16,32 @@
 	"boragehub/pause"
 )
 
-// Timing of the follower.
+// Bounds of the long polls.
 const (
-	pollWait = 10 * time.Second
-	// pollTimeout is longer than a poll may last: beyond it the connection has
-	// gone silent and the next poll takes a new one.
-	pollTimeout = pollWait + 5*time.Second
-	retryPause  = time.Second
-	maxList     = 16 << 20
+	longPollWait = 10 * time.Second
+	// pollTimeout is longer than the platform may hold a poll. A poll that takes
+	// longer means an unresponsive connection; the next poll opens a new one.
+	pollTimeout   = longPollWait + 5*time.Second
+	retryInterval = time.Second
+	maxListBytes  = 16 << 20
 )
 
-// FollowerConfig says what to follow.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	// URL is the platform's list.
+	// URL is the base URL of the platform's VM list, to which /vms is added.
 	URL string
-	// Log gets a line for each change.
+	// Log receives an event for each new list and each failed poll.
 	Log logr.Logger
-	// OnList is called with each new list, in order; nil calls nothing.
+	// OnList is called with each new list, in order, from the goroutine of Run; may be nil.
 	OnList func(now time.Time, l *List)
 }
 
-// Follower keeps the newest list. Use NewFollower.
+// Follower polls the platform's VM list and holds the newest one. Use NewFollower.
 type Follower struct {
-	cfg  FollowerConfig
-	http *http.Client
-	list atomic.Pointer[List]
-	seen atomic.Int64
+	cfg          FollowerConfig
+	http         *http.Client
+	list         atomic.Pointer[List]
+	lastResponse atomic.Int64
 }
 
 // NewFollower returns a Follower with an empty list.
@@ -52,72 +52,74 @@
 	return f
 }
 
-// List returns the newest list known.
+// List returns the newest list; before the first response it is empty.
 func (f *Follower) List() *List { return f.list.Load() }
 
-// Age returns how long ago the platform last answered; it grows in an outage.
+// Age returns the time since the platform's last valid response; it grows during an outage. Before
+// the first response it is the time since the Unix epoch.
 func (f *Follower) Age(now time.Time) time.Duration {
-	return now.Sub(time.UnixMilli(f.seen.Load()))
+	return now.Sub(time.UnixMilli(f.lastResponse.Load()))
 }
 
-// Run polls until ctx ends.
+// Run polls the list until ctx ends. After a failed poll it opens a new connection, one second
+// later.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			event.Fail(f.cfg.Log, err, event.VMListLost)
 			f.http.CloseIdleConnections()
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryInterval)
 		}
 	}
 }
 
 func (f *Follower) poll(ctx context.Context) error {
-	q := "?after=" + strconv.FormatUint(f.List().Version(), 10) + "&wait_ms=" + strconv.FormatInt(pollWait.Milliseconds(), 10)
+	query := "?after=" + strconv.FormatUint(f.List().Version(), 10) + "&wait_ms=" + strconv.FormatInt(longPollWait.Milliseconds(), 10)
 
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.cfg.URL+"/vms"+q, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.cfg.URL+"/vms"+query, nil)
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "VM list %q", f.cfg.URL)
+		return failure.Wrap(failure.BadSettings, err, "invalid URL of the VM list: %q", f.cfg.URL)
 	}
 
 	resp, err := f.http.Do(req)
 	if err != nil {
-		return failure.Wrap(failure.Unavailable, err, "the VM list does not answer")
+		return failure.Wrap(failure.Unavailable, err, "no response from the VM list")
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		return failure.Wrap(failure.Unavailable, err, "the VM list was cut")
+		return failure.Wrap(failure.Unavailable, err, "the response of the VM list was cut off")
 	}
 
 	now := time.Now()
 
 	switch resp.StatusCode {
 	case http.StatusNoContent:
-		f.seen.Store(now.UnixMilli())
+		f.lastResponse.Store(now.UnixMilli())
 
 		return nil
 	case http.StatusOK:
-		return f.take(now, body)
+		return f.apply(now, body)
 	default:
-		return failure.New(failure.Unavailable, "the VM list answered %d", resp.StatusCode)
+		return failure.New(failure.Unavailable, "the VM list responded with status %d", resp.StatusCode)
 	}
 }
 
-func (f *Follower) take(now time.Time, body []byte) error {
-	var got struct {
+func (f *Follower) apply(now time.Time, body []byte) error {
+	var response struct {
 		Version uint64 `json:"version"`
 		VMs     []VM   `json:"vms"`
 	}
 
-	if err := json.Unmarshal(body, &got); err != nil {
-		return failure.Wrap(failure.BadMessage, err, "the VM list could not be read")
+	if err := json.Unmarshal(body, &response); err != nil {
+		return failure.Wrap(failure.BadMessage, err, "could not decode the VM list")
 	}
 
-	l := NewList(got.Version, got.VMs)
+	l := NewList(response.Version, response.VMs)
 	f.list.Store(l)
-	f.seen.Store(now.UnixMilli())
+	f.lastResponse.Store(now.UnixMilli())
 	event.Log(f.cfg.Log, event.VMListChanged, "version", l.Version(), "vms", len(l.All()))
 
 	if f.cfg.OnList != nil {
@@ -127,7 +129,9 @@
 	return nil
 }
 
-// Fetch asks for the list once.
+// Fetch gets the list once, from the base URL url. The error is failure.Unavailable if the platform
+// gives no valid response within timeout, failure.BadMessage if the list can't be decoded, and
+// failure.BadSettings if url is invalid.
 func Fetch(ctx context.Context, url string, timeout time.Duration) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/vm/list.go
+++ b/vm/list.go
@@ -2,10 +2,10 @@
 //
 // # Model
 //
-// The platform says which VMs are live and which are leaving, and says it late.
-// A VM that was on the list and is on it no longer is gone for certain; one that
-// is not on it yet may be new. List is one state of the list and never changes;
-// Follower keeps the newest one and hands each on to those who need it.
+// The platform lists which VMs are live and which are leaving, with a delay. A VM
+// that was on the list and no longer is has certainly been removed; one that has
+// not appeared yet may be new. List is an immutable snapshot of the list;
+// Follower holds the newest one and passes each new one to a callback.
 //
 //	f := vm.NewFollower(vm.FollowerConfig{URL: "http://127.0.0.1:9200"})
 //	go f.Run(ctx)
@@ -18,30 +18,31 @@
 	"boragehub/failure"
 )
 
-// Kind is what a VM is there for.
+// Kind is the purpose of a VM.
 type Kind uint8
 
-// The kinds.
+// The kinds. The zero value is not a valid kind.
 const (
-	// Entry runs an entry of boragehub.
+	// Entry VMs run an entry of boragehub.
 	Entry Kind = iota + 1
-	// Engine runs a model engine.
+	// Engine VMs run a model engine.
 	Engine
-	// Plain runs a plain service.
+	// Plain VMs run a plain service.
 	Plain
-	// Store keeps copies of contexts.
+	// Store VMs keep copies of contexts.
 	Store
 )
 
 var kindNames = map[Kind]string{Entry: "entry", Engine: "engine", Plain: "plain", Store: "store"}
 
-// String returns the word in the platform's list.
+// String returns the kind's name in the platform's list; empty for an invalid kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// MarshalText returns the word in the platform's list.
+// MarshalText implements encoding.TextMarshaler with the result of String.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads the word in the platform's list.
+// UnmarshalText implements encoding.TextUnmarshaler. The error for an unknown kind is
+// failure.BadMessage.
 func (k *Kind) UnmarshalText(b []byte) error {
 	for kind, name := range kindNames {
 		if name == string(b) {
@@ -51,21 +52,21 @@
 		}
 	}
 
-	return failure.New(failure.BadMessage, "VM kind %q is not known", b)
+	return failure.New(failure.BadMessage, "unknown VM kind %q", b)
 }
 
-// State is what the platform says of a VM.
+// State is a VM's state according to the platform.
 type State uint8
 
 // The states.
 const (
-	// Live VMs stay.
+	// Live VMs are in use.
 	Live State = iota
-	// Leaving VMs go soon.
+	// Leaving VMs will be removed soon.
 	Leaving
 )
 
-// String returns the word in the platform's list.
+// String returns the state's name in the platform's list.
 func (s State) String() string {
 	if s == Leaving {
 		return "leaving"
@@ -74,10 +75,11 @@
 	return "live"
 }
 
-// MarshalText returns the word in the platform's list.
+// MarshalText implements encoding.TextMarshaler with the result of String.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the word in the platform's list.
+// UnmarshalText implements encoding.TextUnmarshaler. The error for an unknown state is
+// failure.BadMessage.
 func (s *State) UnmarshalText(b []byte) error {
 	switch string(b) {
 	case "live":
@@ -85,38 +87,39 @@
 	case "leaving":
 		*s = Leaving
 	default:
-		return failure.New(failure.BadMessage, "VM state %q is not known", b)
+		return failure.New(failure.BadMessage, "unknown VM state %q", b)
 	}
 
 	return nil
 }
 
-// VM is one line of the list.
+// VM is one VM of the platform's list.
 type VM struct {
 	// Name identifies the VM.
 	Name string `json:"vm"`
-	// DataCentre is where it runs.
+	// DataCentre is the data centre it runs in.
 	DataCentre string `json:"data_centre"`
-	// Kind is what it is there for.
+	// Kind is its purpose.
 	Kind Kind `json:"kind"`
-	// Service is what a target serves; empty for others.
+	// Service is the service of a target; empty for entries and stores.
 	Service string `json:"service,omitempty"`
-	// Address is where the target or store answers, or an entry's callers connect.
+	// Address is the address of the target or store, or of an entry's port for callers.
 	Address string `json:"address"`
-	// SideAddress is where boragehub's own process on the VM listens for its peers.
+	// SideAddress is the address on which boragehub's process on the VM listens for other
+	// processes of boragehub; empty if it runs none.
 	SideAddress string `json:"side_address,omitempty"`
-	// State is live or leaving.
+	// State says whether the VM stays or is being removed.
 	State State `json:"state"`
 }
 
-// List is one state of the platform's list. The zero List is empty.
+// List is an immutable snapshot of the platform's list. The zero List is empty.
 type List struct {
 	version uint64
 	vms     []VM
 	byName  map[string]int
 }
 
-// NewList returns a List of vms in order of name.
+// NewList returns a List of vms, sorted by name. It copies vms.
 func NewList(version uint64, vms []VM) *List {
 	l := &List{version: version, vms: append([]VM(nil), vms...), byName: make(map[string]int, len(vms))}
 
@@ -129,13 +132,13 @@
 	return l
 }
 
-// Version is the list's version at the platform; zero before the first one came.
+// Version returns the platform's version of the list; zero before the first list was received.
 func (l *List) Version() uint64 { return l.version }
 
-// All returns all VMs in order of name. The caller must not change them.
+// All returns all VMs, sorted by name. The caller must not change the slice.
 func (l *List) All() []VM { return l.vms }
 
-// Get returns a VM by name.
+// Get returns a VM by name; false if the list doesn't contain it.
 func (l *List) Get(name string) (VM, bool) {
 	i, ok := l.byName[name]
 	if !ok {
@@ -145,19 +148,19 @@
 	return l.vms[i], true
 }
 
-// Of returns the VMs of a kind; those of dataCentre come first when it is not empty.
+// Of returns the VMs of kind k: those in dataCentre first, then the others, each sorted by name.
 func (l *List) Of(k Kind, dataCentre string) []VM {
-	var near, far []VM
+	var local, remote []VM
 
 	for _, m := range l.vms {
 		switch {
 		case m.Kind != k:
 		case m.DataCentre == dataCentre:
-			near = append(near, m)
+			local = append(local, m)
 		default:
-			far = append(far, m)
+			remote = append(remote, m)
 		}
 	}
 
-	return append(near, far...)
+	return append(local, remote...)
 }
