--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,11 +1,16 @@
 #!/usr/bin/env bash
-# Measures what the system adds to a request: the same load once straight to an
-# engine stand-in and once through an entry and a side process, at 1, 64 and 512
-# streams; then what entry and side process spend while idle.
+# Measures the overhead of the system: runs the same load directly against an
+# engine stand-in and through an entry and a side process, with 1, 64 and 512
+# concurrent streams. Then measures the processor time and memory of the idle
+# processes.
+#
+# STREAMS is the list of stream counts, ROUNDS the number of requests per stream
+# (with one stream always 100), PROFILE the stream count at which to write
+# processor profiles of entry-1 and engine-1 to tmp-entry.prof and tmp-side.prof.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 # The engines decode 200 tokens a second for each stream, so that many streams are
-# open at once without the machine being full; prefill costs nothing.
+# open at once without saturating the machine; prefill takes almost no time.
 export ENGINE_FLAGS="--prefill 1000000000 --decode 200 --max-running 4096 --cache-blocks 200000" TRIAL_RATE=100000.0
 source scripts/system.sh
 measure=$PWD/bin/measure
@@ -35,7 +40,7 @@
   sleep $idle
   after=$(awk '{print $14 + $15}' "/proc/$p/stat")
   memory=$(awk '/VmRSS/ {print $2}' "/proc/$p/status")
-  echo "idle $name: $(((after - before) * 10 * 1000 / idle / 1000)) ms of processor time a second, $memory KiB resident"
+  echo "idle $name: $(((after - before) * 10 * 1000 / idle / 1000)) ms of processor time per second, $memory KiB resident"
 done
 
 for n in entry-1 entry-2 engine-1 engine-2 booking-1; do stop "$n"; done
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,8 +1,9 @@
-# Functions that start the whole system on loopback, each part a process of its
-# own, and stop it in order. Sourced by run.sh and measure.sh.
+# Functions that start the whole system on loopback, each part in a process of its
+# own, and stop it cleanly. Sourced by run.sh and measure.sh.
 #
-# ENGINE_FLAGS are given to the engine stand-ins, TRIAL_RATE is the organisation's
-# rate of requests.
+# ENGINE_FLAGS are extra flags of the engine stand-ins, TRIAL_RATE is the
+# organisation's limit in requests per second, BASE_PORT (21000 if unset) is the
+# number that is added to each port number below.
 
 bin=$PWD/bin/boragehub
 trial=$PWD/bin/trial
@@ -24,12 +25,12 @@
   echo "run: $1" >&2
   for n in "${names[@]}"; do echo "--- last lines of $n" >&2; tail -n 5 "$work/$n.log" >&2; done
   stop_all
-  echo "run: logs are in $work" >&2
+  echo "run: the logs are in $work" >&2
   exit 1
 }
 trap 'fail "interrupted"' INT TERM
 
-start() { # start NAME COMMAND...
+start() { # start NAME COMMAND...: starts a process in the background, with its output in $work/NAME.log
   local name=$1
   shift
   "$@" >"$work/$name.log" 2>&1 &
@@ -37,21 +38,21 @@
   names+=("$name")
 }
 
-wait_for() { # wait_for URL: until it answers 200
+wait_for() { # wait_for URL: waits until it responds with status 200
   for _ in $(seq 150); do
     if curl -fsS -o /dev/null "$1" 2>/dev/null; then return 0; fi
     sleep 0.1
   done
-  fail "$1 does not become ready"
+  fail "$1 did not become ready"
 }
 
-# stop NAME: ends one process by its id and checks that it stopped in order.
+# stop NAME: terminates one process by its id and checks that it exited with status 0.
 stop() {
   local i
   for i in "${!names[@]}"; do
     if [ "${names[i]}" = "$1" ]; then
       kill -TERM "${pids[i]}"
-      wait "${pids[i]}" || fail "$1 did not stop in order (status $?)"
+      wait "${pids[i]}" || fail "$1 did not stop cleanly (status $?)"
       unset "pids[i]" "names[i]"
       pids=("${pids[@]}")
       names=("${names[@]}")
@@ -62,7 +63,7 @@
 
 address() { echo "127.0.0.1:$((base + $1))"; }
 
-process() { # process ROLE VM DATA_CENTRE PORT [SERVICE KIND TARGET]
+process() { # process ROLE VM DATA_CENTRE PORT [SERVICE KIND TARGET]: writes its settings file
   cat >"$work/$2.toml" <<EOF
 role = "$1"
 vm = "$2"
@@ -100,12 +101,12 @@
   fi
 }
 
-line() { # line VM DATA_CENTRE KIND SERVICE ADDRESS SIDE_ADDRESS
+line() { # line VM DATA_CENTRE KIND SERVICE ADDRESS SIDE_ADDRESS: prints its entry of the VM list
   printf '{"vm":"%s","data_centre":"%s","kind":"%s","service":"%s","address":"%s","side_address":"%s","state":"live"}' "$@"
 }
 
 start_system() {
-  echo "Keys, settings and the list of VMs in $work"
+  echo "Writing keys, settings and the VM list to $work"
   "$bin" ctl keys --directory "$work/keys" -p entry-1:entry -p entry-2:entry -p engine-1:side -p engine-2:side -p booking-1:side -p operator:operator >/dev/null
 
   cat >"$work/vms.json" <<EOF
@@ -126,7 +127,7 @@
 
   sed "s/@HASH@/$(printf %s "$key" | sha256sum | cut -d' ' -f1)/; s/@RATE@/${TRIAL_RATE:-50.0}/" scripts/trial.toml >"$work/settings.toml"
 
-  echo "The platform, the targets and the system: 13 processes"
+  echo "Starting the platform and target stand-ins and the system: 13 processes"
   start log "$bin" standin log --listen "$(address 1)"
   start vms "$bin" standin vms --listen "$(address 2)" --file "$work/vms.json"
   start weights "$bin" standin weights --listen "$(address 3)"
@@ -144,7 +145,7 @@
   start entry-2 "$bin" entry --settings "$work/entry-2.toml"
   for port in 101 111 121 131 141; do wait_for "http://$(address $port)/healthz"; done
 
-  echo "An operator publishes the settings"
-  "$bin" ctl config publish "$work/settings.toml" --wait 10s || fail "the settings were not published"
+  echo "Publishing the settings"
+  "$bin" ctl config publish "$work/settings.toml" --wait 10s || fail "could not publish the settings"
   for port in 101 111 121 131 141; do wait_for "http://$(address $port)/readyz"; done
 }
