--- a/docs/proofs_test.go
+++ b/docs/proofs_test.go
@@ -1,4 +1,4 @@
-// Package docs has no code: its test checks that what the pages name is there.
+// Package docs has no code; its test checks that the tests cited in the documentation exist.
 package docs
 
 import (
@@ -11,49 +11,49 @@
 )
 
 var (
-	// named finds the tests that a page names, as in `route.TestX` or `TestX`.
-	named = regexp.MustCompile("`(?:[a-z_/]+\\.)?(Test[A-Za-z0-9_]+)`")
-	// declared finds the tests that a file declares.
-	declared = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9_]+)\(`)
+	// namedTest matches a test cited on a page, as in `route.TestX` or `TestX`.
+	namedTest = regexp.MustCompile("`(?:[a-z_/]+\\.)?(Test[A-Za-z0-9_]+)`")
+	// declaredTest matches the declaration of a test.
+	declaredTest = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9_]+)\(`)
 )
 
-// A test is renamed or replaced, and the page of proofs goes on naming it. Whoever looks the
-// proof of a promise up finds nothing.
+// Guards against citations of tests that don't exist: a test may be renamed or replaced while
+// PROOFS.md or a page in proofs still cites it as the proof of a guarantee.
 func TestProofsNameTestsThatExist(t *testing.T) {
-	have := map[string]bool{}
+	exists := map[string]bool{}
 
-	for _, text := range files(t, "..", "_test.go") {
-		for _, m := range declared.FindAllStringSubmatch(text, -1) {
-			have[m[1]] = true
+	for _, text := range readFiles(t, "..", "_test.go") {
+		for _, m := range declaredTest.FindAllStringSubmatch(text, -1) {
+			exists[m[1]] = true
 		}
 	}
 
-	pages := files(t, "proofs", ".md")
+	pages := readFiles(t, "proofs", ".md")
 
 	page, err := os.ReadFile("PROOFS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	seen := 0
+	checked := 0
 
 	for _, text := range append(pages, string(page)) {
-		for _, m := range named.FindAllStringSubmatch(text, -1) {
-			seen++
+		for _, m := range namedTest.FindAllStringSubmatch(text, -1) {
+			checked++
 
-			if !have[m[1]] {
-				t.Errorf("got a proof by %s, want one by a test that exists", m[1])
+			if !exists[m[1]] {
+				t.Errorf("got a citation of %s, want an existing test", m[1])
 			}
 		}
 	}
 
-	if seen == 0 {
-		t.Error("got no tests named, want some")
+	if checked == 0 {
+		t.Error("got no cited tests, want at least one")
 	}
 }
 
-// files returns the texts of all files below a folder whose names end so.
-func files(t *testing.T, root, suffix string) []string {
+// readFiles returns the contents of all files below root whose paths end with suffix.
+func readFiles(t *testing.T, root, suffix string) []string {
 	t.Helper()
 
 	var texts []string
