--- a/wholepath/answer_test.go
+++ b/wholepath/answer_test.go
@@ -12,152 +12,154 @@
 	"boragehub/standin/engine"
 )
 
-// meddling writes the pieces of an engine's answer as they reach the side process.
-type meddling func(w http.ResponseWriter, chunks [][]byte)
-
-// meddler lets the first completions through a meddling and the others as they are.
-type meddler struct {
-	engine http.Handler
-	meddle meddling
-	left   atomic.Int32
+// tamperFunc writes the chunks of an engine's response as they should reach the side
+// process.
+type tamperFunc func(w http.ResponseWriter, chunks [][]byte)
+
+// tamperHandler passes the first completions of an engine through tamper and the others
+// unchanged.
+type tamperHandler struct {
+	engine    http.Handler
+	tamper    tamperFunc
+	remaining atomic.Int32
 }
 
 // ServeHTTP implements http.Handler.
-func (m *meddler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/v1/completions" || m.left.Add(-1) < 0 {
-		m.engine.ServeHTTP(w, r)
+func (h *tamperHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != "/v1/completions" || h.remaining.Add(-1) < 0 {
+		h.engine.ServeHTTP(w, r)
 		return
 	}
 
-	kept := &keeper{header: http.Header{}}
-	m.engine.ServeHTTP(kept, r)
+	recorded := &responseRecorder{header: http.Header{}}
+	h.engine.ServeHTTP(recorded, r)
 
-	if kept.status != 0 && kept.status != http.StatusOK {
-		w.WriteHeader(kept.status)
-		_, _ = w.Write(kept.Bytes())
+	if recorded.status != 0 && recorded.status != http.StatusOK {
+		w.WriteHeader(recorded.status)
+		_, _ = w.Write(recorded.Bytes())
 
 		return
 	}
 
 	w.Header().Set("Content-Type", "text/event-stream")
-	m.meddle(w, bytes.SplitAfter(kept.Bytes(), []byte("\n\n")))
+	h.tamper(w, bytes.SplitAfter(recorded.Bytes(), []byte("\n\n")))
 }
 
-// keeper keeps an answer.
-type keeper struct {
+// responseRecorder buffers a response. Its status is 0 until WriteHeader is called.
+type responseRecorder struct {
 	bytes.Buffer
 	header http.Header
 	status int
 }
 
 // Header implements http.ResponseWriter.
-func (k *keeper) Header() http.Header { return k.header }
+func (r *responseRecorder) Header() http.Header { return r.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (k *keeper) WriteHeader(status int) { k.status = status }
+func (r *responseRecorder) WriteHeader(status int) { r.status = status }
 
 // Flush implements http.Flusher.
-func (k *keeper) Flush() {}
+func (r *responseRecorder) Flush() {}
 
-// pass writes chunks.
-func pass(w http.ResponseWriter, chunks ...[]byte) {
+// send writes and flushes each chunk.
+func send(w http.ResponseWriter, chunks ...[]byte) {
 	for _, c := range chunks {
 		_, _ = w.Write(c)
 		w.(http.Flusher).Flush()
 	}
 }
 
-// cutShort is the way of an answer whose connection breaks after n pieces.
-func cutShort(n int) meddling {
+// abortAfter returns a tamperFunc that breaks the connection after n chunks.
+func abortAfter(n int) tamperFunc {
 	return func(w http.ResponseWriter, c [][]byte) {
-		pass(w, c[:min(n, len(c))]...)
+		send(w, c[:min(n, len(c))]...)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// damage lets an engine's first answer through a meddling, asks once for a whole
-// answer and once for a stream, and checks that what passes for an answer is one.
-func damage(t *testing.T, meddle meddling) {
+// checkTamperedResponse sends a request without streaming and then one with streaming, and
+// tampers with the first response of each engine to each request. It checks that the caller
+// gets the complete text or an error.
+func checkTamperedResponse(t *testing.T, tamper tamperFunc) {
 	const tokens = 10
 
-	var meddlers [2]*meddler
+	var handlers [2]*tamperHandler
 
-	w := start(t, shape{engines: 2, meddle: func(i int, h http.Handler) http.Handler {
-		meddlers[i] = &meddler{engine: h, meddle: meddle}
-		return meddlers[i]
+	env := start(t, envConfig{engines: 2, wrapEngine: func(i int, h http.Handler) http.Handler {
+		handlers[i] = &tamperHandler{engine: h, tamper: tamper}
+		return handlers[i]
 	}})
 
-	for _, ask := range []struct {
+	for _, variant := range []struct {
 		name string
 		call func(context.Context, string, string, int64) (string, error)
-	}{{"whole", w.entries[0].complete}, {"stream", w.entries[0].stream}} {
-		for _, m := range meddlers {
-			m.left.Store(1)
+	}{{"whole", env.entries[0].complete}, {"stream", env.entries[0].stream}} {
+		for _, h := range handlers {
+			h.remaining.Store(1)
 		}
 
-		prompt := "fare rules, " + ask.name
+		prompt := "fare rules, " + variant.name
 
-		got, err := ask.call(t.Context(), desk, prompt, tokens)
+		got, err := variant.call(t.Context(), deskKey, prompt, tokens)
 		if want := engine.Answer(prompt, tokens); err == nil && got != want {
-			t.Errorf("%s: got %q, want %q or an error", ask.name, got, want)
+			t.Errorf("%s: got %q, want %q or an error", variant.name, got, want)
 		}
 
-		if meddlers[0].left.Load() > 0 && meddlers[1].left.Load() > 0 {
-			t.Errorf("%s: no answer was damaged", ask.name)
+		if handlers[0].remaining.Load() > 0 && handlers[1].remaining.Load() > 0 {
+			t.Errorf("%s: no response was tampered with", variant.name)
 		}
 	}
 }
 
-// An engine's answer stops short on its way, or what comes can't be read. The
-// rider must get the whole answer, from another engine if need be, or an error,
-// and never a part that passes for an answer.
+// An engine's response is truncated on its way or cannot be parsed. The caller must get
+// the complete response, from another engine if necessary, or an error. A part of it must
+// never look like a complete one.
 func TestCutAnswerPassesForNoWholeOne(t *testing.T) {
 	cases := []struct {
 		name   string
-		meddle meddling
+		tamper tamperFunc
 	}{
-		{"before the first token", cutShort(0)},
-		{"in the middle", cutShort(4)},
-		{"before the end mark", cutShort(10)},
-		{"inside a piece", func(w http.ResponseWriter, c [][]byte) { pass(w, c[0][:20]); panic(http.ErrAbortHandler) }},
-		{"as though whole", func(w http.ResponseWriter, c [][]byte) { pass(w, c[:len(c)/2]...) }},
-		{"end mark too early", func(w http.ResponseWriter, c [][]byte) { pass(w, c[0], []byte("data: [DONE]\n\n")) }},
-		{"garbage between", func(w http.ResponseWriter, c [][]byte) { pass(w, c[0], []byte("data: {\n\n")); pass(w, c[1:]...) }},
+		{"before the first token", abortAfter(0)},
+		{"after four chunks", abortAfter(4)},
+		{"before [DONE]", abortAfter(10)},
+		{"inside a chunk", func(w http.ResponseWriter, c [][]byte) { send(w, c[0][:20]); panic(http.ErrAbortHandler) }},
+		{"body ends early without [DONE]", func(w http.ResponseWriter, c [][]byte) { send(w, c[:len(c)/2]...) }},
+		{"[DONE] too early", func(w http.ResponseWriter, c [][]byte) { send(w, c[0], []byte("data: [DONE]\n\n")) }},
+		{"invalid JSON", func(w http.ResponseWriter, c [][]byte) { send(w, c[0], []byte("data: {\n\n")); send(w, c[1:]...) }},
 		{"error status", func(w http.ResponseWriter, _ [][]byte) { w.WriteHeader(http.StatusInternalServerError) }},
 	}
 
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { damage(t, c.meddle) })
+		t.Run(c.name, func(t *testing.T) { checkTamperedResponse(t, c.tamper) })
 	}
 }
 
-// An engine dies in the middle of long answers. Each rider's answer has to go on
-// from the token where it stopped, at another engine, without a token twice or
-// left out.
+// An engine crashes in the middle of long responses. Each response has to be resumed at
+// another engine from the token where it stopped, with no token duplicated or missing.
 func TestAnswersGoOnWhenAnEngineDies(t *testing.T) {
-	const riders, tokens, early = 12, 60, 5
+	const callers, tokens, minChunks = 12, 60, 5
 
-	w := start(t, shape{engines: 3, entries: 2, engine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
+	env := start(t, envConfig{engines: 3, entries: 2, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
 
 	var (
-		all    sync.WaitGroup
-		pieces [riders]atomic.Int32
+		wg     sync.WaitGroup
+		chunks [callers]atomic.Int32
 	)
 
-	for i := range riders {
-		all.Go(func() {
+	for i := range callers {
+		wg.Go(func() {
 			prompt := fmt.Sprintf("rider %d asks at length", i)
 
-			got, err := w.entries[i%2].read(t.Context(), desk, prompt, tokens, func() { pieces[i].Add(1) })
+			got, err := env.entries[i%2].streamWithCallback(t.Context(), deskKey, prompt, tokens, func() { chunks[i].Add(1) })
 			if want := engine.Answer(prompt, tokens); got != want || err != nil {
-				t.Errorf("rider %d: got %q, %v, want %q", i, got, err, want)
+				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
 	}
 
-	w.eventually("the answers don't come", func() bool {
-		for i := range pieces {
-			if pieces[i].Load() < early {
+	env.eventually("not all responses have started", func() bool {
+		for i := range chunks {
+			if chunks[i].Load() < minChunks {
 				return false
 			}
 		}
@@ -165,57 +167,56 @@
 		return true
 	})
 
-	if w.engines[0].engine.Running() == 0 {
-		t.Error("nothing runs on engine-1")
+	if env.engines[0].engine.Running() == 0 {
+		t.Error("no request runs on engine-1")
 	}
 
-	w.engines[0].engine.Abort()
-	all.Wait()
+	env.engines[0].engine.Abort()
+	wg.Wait()
 }
 
-// The connections between a side process and its engine fall silent in the middle
-// of answers: nothing more comes, nothing fails, and new ones work. Each rider's
-// answer has to go on all the same; one that just stops looks like a slow one and
-// makes its rider wait for ever.
+// The open connections between a side process and its engine become unresponsive in the
+// middle of responses: no data, no error, and new connections work. Each response has to
+// be resumed; otherwise it would look like a slow one and its caller would wait for ever.
 func TestAnswersGoOnWhenConnectionsFallSilent(t *testing.T) {
-	const riders, tokens, early = 6, 60, 5
+	const callers, tokens, minChunks = 6, 60, 5
 
-	w := start(t, shape{engines: 2, engine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
+	env := start(t, envConfig{engines: 2, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
 
-	// Repeats are limited to a fifth of the first attempts and three more. Without these requests,
-	// the limit would be below the number of riders that may be on the same engine.
+	// Retries are limited to a fifth of the first attempts plus three. Without these requests, the
+	// limit would be lower than the number of responses that may be on the same engine.
 	for i := range 20 {
 		prompt := fmt.Sprintf("warm-up request %d", i)
-		if _, err := w.entries[0].read(t.Context(), desk, prompt, 1, func() {}); err != nil {
+		if _, err := env.entries[0].streamWithCallback(t.Context(), deskKey, prompt, 1, func() {}); err != nil {
 			t.Fatal(err)
 		}
 	}
 
 	var (
-		all    sync.WaitGroup
-		pieces [riders]atomic.Int32
+		wg     sync.WaitGroup
+		chunks [callers]atomic.Int32
 	)
 
-	for i := range riders {
-		all.Go(func() {
+	for i := range callers {
+		wg.Go(func() {
 			prompt := fmt.Sprintf("rider %d waits at the curb", i)
 
-			got, err := w.entries[0].read(t.Context(), desk, prompt, tokens, func() { pieces[i].Add(1) })
+			got, err := env.entries[0].streamWithCallback(t.Context(), deskKey, prompt, tokens, func() { chunks[i].Add(1) })
 			if want := engine.Answer(prompt, tokens); got != want || err != nil {
-				t.Errorf("rider %d: got %q, %v, want %q", i, got, err, want)
+				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
 	}
 
-	w.eventually("the answers don't come", func() bool {
-		for i := range pieces {
-			if pieces[i].Load() < early {
+	env.eventually("not all responses have started", func() bool {
+		for i := range chunks {
+			if chunks[i].Load() < minChunks {
 				return false
 			}
 		}
 
 		return true
 	})
-	w.fault(w.engines[0].addr, map[string]any{"silent": true})
-	all.Wait()
+	env.setFaults(env.engines[0].addr, map[string]any{"silent": true})
+	wg.Wait()
 }
--- a/wholepath/client_test.go
+++ b/wholepath/client_test.go
@@ -14,14 +14,15 @@
 	"boragehub/standin/engine"
 )
 
-// client returns the official client of the OpenAI API for one entry, as its
-// users get it but for retries of its own.
+// client returns the official client of the OpenAI API for one entry, with its
+// own retries disabled.
 func (n *entryNode) client(key string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(n.url+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
 
-// question is a chat with one question.
-func question(text string) (openai.ChatCompletionNewParams, string) {
+// chatParams returns the parameters of a chat with one question, and the prompt
+// that they are rendered to.
+func chatParams(text string) (openai.ChatCompletionNewParams, string) {
 	q := openai.ChatCompletionNewParams{
 		Model:     model,
 		MaxTokens: openai.Int(12),
@@ -31,132 +32,133 @@
 	return q, prompt.Render([]prompt.Message{{Role: "system", Content: "be brief"}, {Role: "user", Content: text}})
 }
 
-// text is a plain prompt.
-func text(s string, tokens int64) openai.CompletionNewParams {
+// completionParams returns the parameters of a text completion.
+func completionParams(s string, tokens int64) openai.CompletionNewParams {
 	return openai.CompletionNewParams{
 		Model: model, MaxTokens: openai.Int(tokens), Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String(s)},
 	}
 }
 
-// complete asks for a whole completion and returns its text.
+// complete requests a completion without streaming and returns its text.
 func (n *entryNode) complete(ctx context.Context, key, s string, tokens int64) (string, error) {
 	c := n.client(key)
 
-	answer, err := c.Completions.New(ctx, text(s, tokens))
+	resp, err := c.Completions.New(ctx, completionParams(s, tokens))
 	if err != nil {
 		return "", err
 	}
 
-	return answer.Choices[0].Text, nil
+	return resp.Choices[0].Text, nil
 }
 
-// stream asks for a streamed completion and returns what came of its text.
+// stream requests a streamed completion and returns the text received, also when
+// the stream ends with an error.
 func (n *entryNode) stream(ctx context.Context, key, s string, tokens int64) (string, error) {
-	return n.read(ctx, key, s, tokens, func() {})
+	return n.streamWithCallback(ctx, key, s, tokens, func() {})
 }
 
-// read is stream that calls piece after each piece.
-func (n *entryNode) read(ctx context.Context, key, s string, tokens int64, piece func()) (string, error) {
+// streamWithCallback is like stream and calls onChunk after each chunk.
+func (n *entryNode) streamWithCallback(ctx context.Context, key, s string, tokens int64, onChunk func()) (string, error) {
 	c := n.client(key)
-	answer := c.Completions.NewStreaming(ctx, text(s, tokens))
+	stream := c.Completions.NewStreaming(ctx, completionParams(s, tokens))
 
 	var got strings.Builder
 
 	finished := false
 
-	for answer.Next() {
-		for _, choice := range answer.Current().Choices {
+	for stream.Next() {
+		for _, choice := range stream.Current().Choices {
 			got.WriteString(choice.Text)
-			piece()
+			onChunk()
 
 			finished = finished || choice.FinishReason != ""
 		}
 	}
 
-	if answer.Err() == nil && !finished {
+	if stream.Err() == nil && !finished {
 		return got.String(), errors.New("the stream ended without a finish reason")
 	}
 
-	return got.String(), answer.Err()
+	return got.String(), stream.Err()
 }
 
 func TestOfficialClient(t *testing.T) {
-	w := start(t, shape{engines: 1})
+	env := start(t, envConfig{engines: 1})
 	cases := []struct {
 		name string
 		test func(t *testing.T, n *entryNode)
 	}{
-		{"whole chat", wholeChat},
+		{"complete chat", completeChat},
 		{"streamed chat", streamedChat},
-		{"text", plainText},
-		{"models", listOfModels},
-		{"error", errorShape},
+		{"text", textCompletion},
+		{"models", listModels},
+		{"error", errorResponse},
 	}
 
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.test(t, w.entries[0]) })
+		t.Run(c.name, func(t *testing.T) { c.test(t, env.entries[0]) })
 	}
 }
 
-func wholeChat(t *testing.T, n *entryNode) {
-	q, rendered := question("is there a seat at six?")
-	c := n.client(desk)
+func completeChat(t *testing.T, n *entryNode) {
+	q, rendered := chatParams("is there a seat at six?")
+	c := n.client(deskKey)
 
-	answer, err := c.Chat.Completions.New(t.Context(), q)
+	resp, err := c.Chat.Completions.New(t.Context(), q)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	if got, want := answer.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
+	if got, want := resp.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
-	if got, want := answer.Usage.CompletionTokens, int64(12); got != want {
+	if got, want := resp.Usage.CompletionTokens, int64(12); got != want {
 		t.Errorf("got %d completion tokens, want %d", got, want)
 	}
 
-	if got, want := answer.Choices[0].FinishReason, "length"; got != want {
+	if got, want := resp.Choices[0].FinishReason, "length"; got != want {
 		t.Errorf("got finish reason %q, want %q", got, want)
 	}
 }
 
 func streamedChat(t *testing.T, n *entryNode) {
-	q, rendered := question("and at seven?")
+	q, rendered := chatParams("and at seven?")
 	q.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
-	c := n.client(desk)
-	answer := c.Chat.Completions.NewStreaming(t.Context(), q)
-	whole := openai.ChatCompletionAccumulator{}
+	c := n.client(deskKey)
+	stream := c.Chat.Completions.NewStreaming(t.Context(), q)
+	accumulated := openai.ChatCompletionAccumulator{}
 
-	for answer.Next() {
-		if !whole.AddChunk(answer.Current()) {
-			t.Fatal("a chunk does not belong to the answer")
+	for stream.Next() {
+		if !accumulated.AddChunk(stream.Current()) {
+			t.Fatal("a chunk does not belong to the response")
 		}
 	}
 
-	if err := answer.Err(); err != nil {
+	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
 
-	if got, want := whole.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
+	if got, want := accumulated.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
-	if got, want := whole.Usage.CompletionTokens, int64(12); got != want {
+	if got, want := accumulated.Usage.CompletionTokens, int64(12); got != want {
 		t.Errorf("got %d completion tokens, want %d", got, want)
 	}
 }
 
-func plainText(t *testing.T, n *entryNode) {
-	for _, ask := range []func(context.Context, string, string, int64) (string, error){n.complete, n.stream} {
-		got, err := ask(t.Context(), desk, "an airport shuttle", 9)
+func textCompletion(t *testing.T, n *entryNode) {
+	for _, complete := range []func(context.Context, string, string, int64) (string, error){n.complete, n.stream} {
+		got, err := complete(t.Context(), deskKey, "an airport shuttle", 9)
 		if want := engine.Answer("an airport shuttle", 9); got != want || err != nil {
 			t.Errorf("got %q, %v, want %q", got, err, want)
 		}
 	}
 }
 
-func listOfModels(t *testing.T, n *entryNode) {
-	c := n.client(desk)
+func listModels(t *testing.T, n *entryNode) {
+	c := n.client(deskKey)
 
 	page, err := c.Models.List(t.Context())
 	if err != nil {
@@ -168,7 +170,7 @@
 	}
 }
 
-func errorShape(t *testing.T, n *entryNode) {
+func errorResponse(t *testing.T, n *entryNode) {
 	_, err := n.complete(t.Context(), "wrong", "an airport shuttle", 9)
 
 	var got *openai.Error
@@ -181,37 +183,37 @@
 	}
 }
 
-// A rider closes the page while a long answer is streaming. If the run went on,
-// the engine's places would fill up with answers that nobody reads, and the next
-// rider would wait for them.
+// A caller disconnects during a long response. If the run were not cancelled, the
+// engine's batch slots would fill up with abandoned responses, and later requests
+// would wait for them.
 func TestCancelFreesTheEnginesPlace(t *testing.T) {
 	slow := func(_ int, cfg *engine.Config) { cfg.MaxRunning, cfg.DecodeTokensPerSecond = 1, 20 }
-	w := start(t, shape{engines: 1, engine: slow})
+	env := start(t, envConfig{engines: 1, configureEngine: slow})
 
-	for _, ask := range []struct {
+	for _, variant := range []struct {
 		name string
 		call func(context.Context, string, string, int64) (string, error)
-	}{{"stream", w.entries[0].stream}, {"whole", w.entries[0].complete}} {
+	}{{"stream", env.entries[0].stream}, {"whole", env.entries[0].complete}} {
 		ctx, cancel := context.WithCancel(t.Context())
-		before := len(w.engines[0].engine.Runs())
+		before := len(env.engines[0].engine.Runs())
 		ended := make(chan error, 1)
 
 		go func() {
-			_, err := ask.call(ctx, desk, "tell me everything about "+ask.name, 10_000)
+			_, err := variant.call(ctx, deskKey, "tell me everything about "+variant.name, 10_000)
 			ended <- err
 		}()
 
-		w.eventually("the run never began", func() bool { return len(w.engines[0].engine.Runs()) > before })
+		env.eventually("the run never started", func() bool { return len(env.engines[0].engine.Runs()) > before })
 		cancel()
 
 		if got, want := <-ended, context.Canceled; !errors.Is(got, want) {
-			t.Errorf("%s: got %v, want %v", ask.name, got, want)
+			t.Errorf("%s: got %v, want %v", variant.name, got, want)
 		}
 
-		w.eventually(ask.name+": the place was not freed", func() bool { return w.engines[0].engine.Running() == 0 })
+		env.eventually(variant.name+": the batch slot was not released", func() bool { return env.engines[0].engine.Running() == 0 })
 	}
 
-	if got, err := w.entries[0].complete(t.Context(), desk, "a seat?", 2); got != engine.Answer("a seat?", 2) {
-		t.Errorf("the next rider: got %q, %v, want %q", got, err, engine.Answer("a seat?", 2))
+	if got, err := env.entries[0].complete(t.Context(), deskKey, "a seat?", 2); got != engine.Answer("a seat?", 2) {
+		t.Errorf("the next request: got %q, %v, want %q", got, err, engine.Answer("a seat?", 2))
 	}
 }
--- a/wholepath/context_test.go
+++ b/wholepath/context_test.go
@@ -18,49 +18,50 @@
 	"boragehub/standin/engine"
 )
 
-// caseFile is a context that is worth a copy: 1,600 tokens.
-var caseFile = strings.Repeat("exhibit 12, page 7: the records of the registry. ", 131)[:6400]
+// longContext is long enough to be copied to a store: 1,600 tokens.
+var longContext = strings.Repeat("exhibit 12, page 7: the records of the registry. ", 131)[:6400]
 
-// firstQuestion is the length of the first answer in tokens.
-const firstQuestion = 8
+// responseTokens is the length of each response in tokens.
+const responseTokens = 8
 
-// cachedAtLeast is how many tokens of the context a copy must bring at least.
-const cachedAtLeast = 1500
+// minCachedTokens is the number of tokens of longContext that must be cached on a hit.
+const minCachedTokens = 1500
 
-// atHand is an engine at which recomputing the context takes a while.
-func atHand(_ int, cfg *engine.Config) { cfg.PrefillTokensPerSecond = 20_000 }
+// slowPrefill makes prefill so slow that importing a copy takes less time than
+// recomputing the context.
+func slowPrefill(_ int, cfg *engine.Config) { cfg.PrefillTokensPerSecond = 20_000 }
 
-// holdings asks entry 1 what is believed to hold a prompt's context.
-func (w *world) holdings(owner, text string) []message.Holding {
-	w.t.Helper()
+// holdings returns where entry 1 believes parts of a prompt's context to be held.
+func (e *testEnv) holdings(owner, text string) []message.Holding {
+	e.t.Helper()
 
-	e := w.entries[0]
+	n := e.entries[0]
 	scope := prompt.Scope{Salt: "organisation/" + owner, Model: model, Version: "v1"}
 
-	m, err := e.process.dialer.Ask(w.t.Context(), peer.Address{VM: "entry-1", Addr: e.process.server.Addr()}, message.Locate{
+	m, err := n.process.dialer.Ask(e.t.Context(), peer.Address{VM: "entry-1", Addr: n.process.server.Addr()}, message.Locate{
 		Anchor: directory.Anchor(scope, text[:min(len(text), 1024)]),
 		Chain:  scope.Chain(text, prompt.DefaultBlockTokens),
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 
 	located, err := message.Expect[message.Located](m)
 	if err != nil {
-		w.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 
 	return located.Holdings
 }
 
-// copyOf waits until a context has a copy in a store and returns the copy's id.
-func (w *world) copyOf(owner, text string) string {
-	w.t.Helper()
+// waitForCopy waits until a store holds a copy of a context and returns the copy's id.
+func (e *testEnv) waitForCopy(owner, text string) string {
+	e.t.Helper()
 
 	id := ""
 
-	w.eventually("the context was never parked", func() bool {
-		for _, h := range w.holdings(owner, text) {
+	e.eventually("no copy was stored", func() bool {
+		for _, h := range e.holdings(owner, text) {
 			if h.Store {
 				id = h.Copy
 			}
@@ -72,152 +73,155 @@
 	return id
 }
 
-// object reads or writes an object of store 1.
-func (w *world) object(method, id string, body []byte) []byte {
-	w.t.Helper()
+// storeObject reads, writes or deletes an object of store 1 and returns the response body.
+func (e *testEnv) storeObject(method, id string, body []byte) []byte {
+	e.t.Helper()
 
-	r, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+w.stores[0].addr+"/objects/"+id, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(e.t.Context(), method, "http://"+e.stores[0].addr+"/objects/"+id, bytes.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		w.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }()
 
-	b, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode >= http.StatusMultipleChoices {
-		w.t.Fatalf("%s %s: got %d, %v", method, id, answer.StatusCode, err)
+	b, err := io.ReadAll(resp.Body)
+	if err != nil || resp.StatusCode >= http.StatusMultipleChoices {
+		e.t.Fatalf("%s %s: got %d, %v", method, id, resp.StatusCode, err)
 	}
 
 	return b
 }
 
-// follower notes up to which cache event a side process has read.
-type follower struct {
+// eventCursor records up to which cache event a side process has read.
+type eventCursor struct {
 	after atomic.Uint64
 }
 
-// before stands before an engine.
-func (f *follower) before(_ int, h http.Handler) http.Handler {
+// wrap returns a handler that records the cursor of each poll of the engine's cache
+// events.
+func (c *eventCursor) wrap(_ int, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/events" {
 			n, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-			f.after.Store(n)
+			c.after.Store(n)
 		}
 
 		h.ServeHTTP(w, r)
 	})
 }
 
-// evict drops the cache of engine 1 and waits until its side process knows.
-func (w *world) evict(f *follower) {
-	w.t.Helper()
-	w.fault(w.engines[0].addr, map[string]any{"evict_all": true})
+// evictCache evicts the cache of engine 1 and waits until its side process has read
+// the events.
+func (e *testEnv) evictCache(c *eventCursor) {
+	e.t.Helper()
+	e.setFaults(e.engines[0].addr, map[string]any{"evict_all": true})
 
-	seq := w.engines[0].engine.Seq()
-	w.eventually("the side process does not know of the loss", func() bool { return f.after.Load() >= seq })
+	seq := e.engines[0].engine.Seq()
+	e.eventually("the side process has not read the eviction events", func() bool { return c.after.Load() >= seq })
 }
 
-// ask asks one question about a text as an organisation and checks the answer.
-func (w *world) question(key, text string) string {
-	w.t.Helper()
+// checkResponse completes text as the organisation with this key, checks the response and
+// returns it.
+func (e *testEnv) checkResponse(key, text string) string {
+	e.t.Helper()
 
-	got, err := w.entries[0].complete(w.t.Context(), key, text, firstQuestion)
-	if want := engine.Answer(text, firstQuestion); got != want || err != nil {
-		w.t.Errorf("got %q, %v, want %q", got, err, want)
+	got, err := e.entries[0].complete(e.t.Context(), key, text, responseTokens)
+	if want := engine.Answer(text, responseTokens); got != want || err != nil {
+		e.t.Errorf("got %q, %v, want %q", got, err, want)
 	}
 
 	return got
 }
 
-// lastRun returns the run that began last at engine 1.
-func (w *world) lastRun() engine.Run {
-	runs := w.engines[0].engine.Runs()
+// lastRun returns the latest run at engine 1.
+func (e *testEnv) lastRun() engine.Run {
+	runs := e.engines[0].engine.Runs()
 
 	return runs[len(runs)-1]
 }
 
-// A case file returns after the engine has dropped it, and its copy in the store
-// is whole, cut, altered, gone or somebody else's. Reading a damaged block gives
-// a wrong determination that nobody can tell from a right one; the copy must be
-// a miss, and the answer the one that a recomputed context gives.
+// A context is used again after the engine has evicted it, and its copy in the store
+// is intact, truncated, corrupted, missing or one of another context. A response
+// computed from wrong blocks cannot be told from a right one, so a damaged copy must
+// count as a miss and the context be recomputed.
 func TestDamagedCopyIsAMiss(t *testing.T) {
 	cases := []struct {
 		name   string
-		damage func(w *world, id string)
+		damage func(env *testEnv, id string)
 		miss   bool
 	}{
-		{"whole", func(*world, string) {}, false},
-		{"cut", func(w *world, _ string) { w.fault(w.stores[0].addr, map[string]any{"cut_bytes": 100_000}) }, true},
-		{"cut to nothing", func(w *world, _ string) { w.fault(w.stores[0].addr, map[string]any{"cut_bytes": 1}) }, true},
-		{"altered", func(w *world, _ string) { w.fault(w.stores[0].addr, map[string]any{"flip": true}) }, true},
-		{"gone", func(w *world, id string) { w.object(http.MethodDelete, id, nil) }, true},
-		{"half written", func(w *world, id string) {
-			b := w.object(http.MethodGet, id, nil)
-			w.object(http.MethodPut, id, append(b[:len(b)/2], make([]byte, len(b)-len(b)/2)...))
+		{"intact", func(*testEnv, string) {}, false},
+		{"truncated", func(env *testEnv, _ string) { env.setFaults(env.stores[0].addr, map[string]any{"cut_bytes": 100_000}) }, true},
+		{"truncated to one byte", func(env *testEnv, _ string) { env.setFaults(env.stores[0].addr, map[string]any{"cut_bytes": 1}) }, true},
+		{"one bit flipped", func(env *testEnv, _ string) { env.setFaults(env.stores[0].addr, map[string]any{"flip": true}) }, true},
+		{"deleted", func(env *testEnv, id string) { env.storeObject(http.MethodDelete, id, nil) }, true},
+		{"second half zeroed", func(env *testEnv, id string) {
+			b := env.storeObject(http.MethodGet, id, nil)
+			env.storeObject(http.MethodPut, id, append(b[:len(b)/2], make([]byte, len(b)-len(b)/2)...))
 		}, true},
-		{"another context under its id", func(w *world, id string) {
-			other := strings.ToUpper(caseFile)
-			w.question(desk, other)
-			w.object(http.MethodPut, id, w.object(http.MethodGet, w.copyOf("desk-agents", other), nil))
+		{"replaced by the copy of another context", func(env *testEnv, id string) {
+			other := strings.ToUpper(longContext)
+			env.checkResponse(deskKey, other)
+			env.storeObject(http.MethodPut, id, env.storeObject(http.MethodGet, env.waitForCopy("desk-agents", other), nil))
 		}, true},
-		{"another organisation's under its id", func(w *world, id string) {
-			w.question(bureau, caseFile)
-			w.object(http.MethodPut, id, w.object(http.MethodGet, w.copyOf("bureau", caseFile), nil))
+		{"replaced by the copy of another organisation", func(env *testEnv, id string) {
+			env.checkResponse(bureauKey, longContext)
+			env.storeObject(http.MethodPut, id, env.storeObject(http.MethodGet, env.waitForCopy("bureau", longContext), nil))
 		}, true},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := &follower{}
-			w := start(t, shape{engines: 1, stores: 1, engine: atHand, meddle: f.before})
-			returning := caseFile + w.question(desk, caseFile) + " and the appendix?"
+			cursor := &eventCursor{}
+			env := start(t, envConfig{engines: 1, stores: 1, configureEngine: slowPrefill, wrapEngine: cursor.wrap})
+			followUp := longContext + env.checkResponse(deskKey, longContext) + " and the appendix?"
 
-			c.damage(w, w.copyOf("desk-agents", caseFile))
-			w.evict(f)
-			w.question(desk, returning)
+			c.damage(env, env.waitForCopy("desk-agents", longContext))
+			env.evictCache(cursor)
+			env.checkResponse(deskKey, followUp)
 
-			got := w.lastRun().CachedTokens
-			if c.miss && got != 0 || !c.miss && got < cachedAtLeast {
-				t.Errorf("got %d cached tokens, want a miss %v", got, c.miss)
+			got := env.lastRun().CachedTokens
+			if c.miss && got != 0 || !c.miss && got < minCachedTokens {
+				t.Errorf("got %d cached tokens, want miss %v", got, c.miss)
 			}
 
-			if got := w.lines.count(`"copy_imported"`); (got == 0) != c.miss {
-				t.Errorf("got %d imports, want a miss %v", got, c.miss)
+			if got := env.logs.count(`"copy_imported"`); (got == 0) != c.miss {
+				t.Errorf("got %d imports, want miss %v", got, c.miss)
 			}
 		})
 	}
 }
 
-// Two organisations send the same text. If the second were answered from blocks
-// of the first, how fast its answer comes would tell what others have asked; and
-// each copy in a store belongs to one of them.
+// Two organisations send the same text. If the second one's prefill used cached blocks of
+// the first, its response time would reveal what others have asked. Each copy in a store
+// belongs to one organisation as well.
 func TestOrganisationsShareNoContext(t *testing.T) {
-	w := start(t, shape{engines: 1, stores: 1, engine: atHand})
+	env := start(t, envConfig{engines: 1, stores: 1, configureEngine: slowPrefill})
 
-	for _, o := range []struct{ name, key string }{{"desk-agents", desk}, {"bureau", bureau}} {
-		w.question(o.key, caseFile)
+	for _, o := range []struct{ name, key string }{{"desk-agents", deskKey}, {"bureau", bureauKey}} {
+		env.checkResponse(o.key, longContext)
 
-		if got, want := w.lastRun().CachedTokens, 0; got != want {
+		if got, want := env.lastRun().CachedTokens, 0; got != want {
 			t.Errorf("%s first: got %d cached tokens, want %d", o.name, got, want)
 		}
 
-		w.question(o.key, caseFile)
+		env.checkResponse(o.key, longContext)
 
-		if got, want := w.lastRun().CachedTokens, cachedAtLeast; got < want {
+		if got, want := env.lastRun().CachedTokens, minCachedTokens; got < want {
 			t.Errorf("%s again: got %d cached tokens, want %d", o.name, got, want)
 		}
 	}
 
-	if got, other := w.copyOf("desk-agents", caseFile), w.copyOf("bureau", caseFile); got == other {
-		t.Errorf("got the same copy %s for both", got)
+	if got, other := env.waitForCopy("desk-agents", longContext), env.waitForCopy("bureau", longContext); got == other {
+		t.Errorf("got copy %s for both organisations, want two copies", got)
 	}
 
 	salts := map[string]bool{}
-	for _, r := range w.engines[0].engine.Runs() {
+	for _, r := range env.engines[0].engine.Runs() {
 		salts[r.CacheSalt] = true
 	}
 
@@ -226,40 +230,40 @@
 	}
 }
 
-// An operator rotates an organisation's key, even to one that another one had,
-// while its answers are streaming. What runs goes on to its end; what comes later
-// under the old key is refused, and no answer goes to whom it isn't for.
+// An operator rotates an organisation's key while a response is streaming. A request in
+// flight must complete with its own response; later requests with the old key must be
+// refused.
 func TestKeyRotatedMidRequest(t *testing.T) {
 	const tokens, newKey = 40, "key-of-the-desk-agents-2"
 
-	w := start(t, shape{engines: 1, engine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 40 }})
-	ended := make(chan error, 1)
+	env := start(t, envConfig{engines: 1, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 40 }})
+	result := make(chan error, 1)
 
 	go func() {
-		got, err := w.entries[0].stream(t.Context(), desk, "a long itinerary", tokens)
+		got, err := env.entries[0].stream(t.Context(), deskKey, "a long itinerary", tokens)
 		if want := engine.Answer("a long itinerary", tokens); err == nil && got != want {
 			err = fmt.Errorf("got %q, want %q", got, want)
 		}
 
-		ended <- err
+		result <- err
 	}()
 
-	w.eventually("the run never began", func() bool { return w.engines[0].engine.Running() == 1 })
-	w.publish(w.version(), strings.ReplaceAll(settings(), organisation.HashKey(desk), organisation.HashKey(newKey)))
-	w.eventually("the new key is not in force", func() bool {
-		return w.ask(w.entries[0], "GET", "/v1/models", "", "Authorization", "Bearer "+newKey).status == http.StatusOK
+	env.eventually("the run never started", func() bool { return env.engines[0].engine.Running() == 1 })
+	env.publish(env.settingsVersion(), strings.ReplaceAll(settings(), organisation.HashKey(deskKey), organisation.HashKey(newKey)))
+	env.eventually("the new key is not accepted", func() bool {
+		return env.request(env.entries[0], "GET", "/v1/models", "", "Authorization", "Bearer "+newKey).status == http.StatusOK
 	})
 
-	if got, want := w.ask(w.entries[0], "GET", "/v1/models", "", "Authorization", "Bearer "+desk).status, http.StatusUnauthorized; got != want {
+	if got, want := env.request(env.entries[0], "GET", "/v1/models", "", "Authorization", "Bearer "+deskKey).status, http.StatusUnauthorized; got != want {
 		t.Errorf("old key: got %d, want %d", got, want)
 	}
 
-	if err := <-ended; err != nil {
-		t.Errorf("what was running: %v", err)
+	if err := <-result; err != nil {
+		t.Errorf("request in flight: %v", err)
 	}
 }
 
-// version returns the settings' version in force at entry 1.
-func (w *world) version() uint64 {
-	return w.entries[0].process.settings.Current().Version()
+// settingsVersion returns the version of the settings in force at entry 1.
+func (e *testEnv) settingsVersion() uint64 {
+	return e.entries[0].process.settings.Current().Version()
 }
--- a/wholepath/crowd_test.go
+++ b/wholepath/crowd_test.go
@@ -5,38 +5,40 @@
 	"sync/atomic"
 )
 
-// after is how many times each of a crowd asks once more when what it met is over.
-const after = 20
+// requestsAfterEvent is how many more requests each client sends after the event has ended.
+const requestsAfterEvent = 20
 
-// crowd is callers who ask again and again while something happens to the system.
-type crowd struct {
-	all   sync.WaitGroup
-	begun sync.WaitGroup
-	over  atomic.Bool
+// loadGenerator runs clients that send requests in a loop while an event, such as the
+// stop of a process, takes place.
+type loadGenerator struct {
+	clients sync.WaitGroup
+	started sync.WaitGroup
+	ended   atomic.Bool
 }
 
-// add has one more caller ask; j counts his requests.
-func (c *crowd) add(ask func(j int)) {
-	c.begun.Add(1)
-	c.all.Go(func() {
-		for j, left := 0, after; left > 0; j++ {
-			ask(j)
+// addClient starts a client; j counts its requests from 0.
+func (g *loadGenerator) addClient(request func(j int)) {
+	g.started.Add(1)
+	g.clients.Go(func() {
+		for j, remaining := 0, requestsAfterEvent; remaining > 0; j++ {
+			request(j)
 
 			if j == 0 {
-				c.begun.Done()
+				g.started.Done()
 			}
 
-			if c.over.Load() {
-				left--
+			if g.ended.Load() {
+				remaining--
 			}
 		}
 	})
 }
 
-// during has the crowd ask while f runs, and returns when all have asked.
-func (c *crowd) during(f func()) {
-	c.begun.Wait()
-	f()
-	c.over.Store(true)
-	c.all.Wait()
+// runDuring runs event after each client has had its first response, and returns when all
+// clients have sent their requests after it.
+func (g *loadGenerator) runDuring(event func()) {
+	g.started.Wait()
+	event()
+	g.ended.Store(true)
+	g.clients.Wait()
 }
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -12,47 +12,47 @@
 	"boragehub/peer"
 )
 
-// homeOf returns the target beside which the home of a key's shard runs.
-func (w *world) homeOf(shard int) *target {
-	w.t.Helper()
+// ownerOf returns the target whose side process owns a shard.
+func (e *testEnv) ownerOf(shard int) *target {
+	e.t.Helper()
 
-	for _, p := range w.plains {
-		for _, s := range p.homes.Homes() {
+	for _, p := range e.plainServices {
+		for _, s := range p.deduplicator.Homes() {
 			if s == shard {
 				return p
 			}
 		}
 	}
 
-	w.t.Fatalf("shard %d has no home", shard)
+	e.t.Fatalf("shard %d has no owner", shard)
 
 	return nil
 }
 
-// insistOnBooking books until the booking is made, and checks that each answer before
-// says truthfully that it was not.
-func (w *world) insistOnBooking(n *entryNode, key string) {
+// bookWithRetries retries a booking until it is made, and checks that each response before
+// says that it was not run.
+func (e *testEnv) bookWithRetries(n *entryNode, key string) {
 	for {
-		r := w.book(n, key)
+		r := e.book(n, key)
 		if r.status == http.StatusOK {
 			return
 		}
 
 		if r.ran != "not_run" {
-			w.t.Errorf("%s: got %d %s, want a booking or a refusal", key, r.status, r.body)
+			e.t.Errorf("%s: got %d %s, want a booking or a refusal", key, r.status, r.body)
 
 			return
 		}
 	}
 }
 
-// wantBookings checks that each key was booked once.
-func (w *world) wantBookings(keys []string) {
-	w.t.Helper()
+// checkBookedOnce checks that the booking of each key was made once.
+func (e *testEnv) checkBookedOnce(keys []string) {
+	e.t.Helper()
 
 	made := map[string]int{}
 
-	for _, p := range w.plains {
+	for _, p := range e.plainServices {
 		for _, r := range p.plain.Runs() {
 			made[r.Key]++
 		}
@@ -60,59 +60,60 @@
 
 	for _, key := range keys {
 		if got, want := made[key], 1; got != want {
-			w.t.Errorf("%s: got %d bookings made, want %d", key, got, want)
+			e.t.Errorf("%s: got %d bookings made, want %d", key, got, want)
 		}
 	}
 }
 
-// A side process has finished its last conversation and is still putting things away.
-// An entry that has not heard of it sends a booking, which nobody looks at any more.
-// The desk would be told that the seat may have been booked, and the booking would
-// count as one that brings down what runs it.
+// A side process has finished its last conversation and has not exited yet. An entry that
+// does not know of the stop sends it a booking, which it no longer reads. The caller must
+// not be told that the booking may have been made, and the booking must not count as one
+// that crashed its target.
 func TestBookingThatMeetsTheEndOfASideProcess(t *testing.T) {
 	const key = "one-seat"
 
-	w := start(t, shape{engines: 0, entries: 1, plains: 2})
-	w.homed()
+	env := start(t, envConfig{engines: 0, entries: 1, plainServices: 2})
+	env.waitForOwners()
 
-	ends := w.homeOf(claim.Shard("desk-agents", key, claim.DefaultShards))
-	decided := w.lines.count(`"shard"=`)
+	draining := env.ownerOf(claim.Shard("desk-agents", key, claim.DefaultShards))
+	decidedBefore := env.logs.count(`"shard"=`)
 
-	var booked sync.WaitGroup
+	var bookings sync.WaitGroup
 
-	ends.process.late = func() {
-		booked.Go(func() { w.insistOnBooking(w.entries[0], key) })
-		w.eventually("the booking goes nowhere", func() bool { return w.lines.count(`"shard"=`) > decided })
+	draining.process.beforeClose = func() {
+		bookings.Go(func() { env.bookWithRetries(env.entries[0], key) })
+		env.eventually("no claim was decided for the booking", func() bool { return env.logs.count(`"shard"=`) > decidedBefore })
 	}
 
-	w.drain(ends)
-	booked.Wait()
-	w.wantBookings([]string{key})
+	env.drainSideProcess(draining)
+	bookings.Wait()
+	env.checkBookedOnce([]string{key})
 
-	if got := w.lines.count("request_suspect"); got != 0 {
+	if got := env.logs.count("request_suspect"); got != 0 {
 		t.Errorf("got %d suspects, want none", got)
 	}
 }
 
-// A side process is stopped while desks go on booking and riders go on asking, through
-// entries that keep their connections to it until it is gone. Nobody may be left in
-// doubt whether his request was run, and none may count as one that crashed a target.
+// Side processes are stopped while clients keep sending bookings and prompts, through
+// entries that keep their connections to them until they exit. No caller may be left
+// uncertain whether its request was run, and no request may count as one that crashed
+// a target.
 func TestStoppedSideProcessLeavesNothingInDoubt(t *testing.T) {
-	const desks, riders = 6, 6
+	const bookingClients, completionClients = 6, 6
 
-	w := start(t, shape{engines: 2, entries: 2, plains: 2})
-	w.homed()
+	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 2})
+	env.waitForOwners()
 
 	var (
-		c    crowd
+		load loadGenerator
 		mu   sync.Mutex
 		keys []string
 	)
 
-	for i := range desks {
-		c.add(func(j int) {
+	for i := range bookingClients {
+		load.addClient(func(j int) {
 			key := fmt.Sprintf("booking-%d-%d", i, j)
-			w.insistOnBooking(w.entries[i%len(w.entries)], key)
+			env.bookWithRetries(env.entries[i%len(env.entries)], key)
 
 			mu.Lock()
 			defer mu.Unlock()
@@ -121,56 +122,57 @@
 		})
 	}
 
-	for i := range riders {
-		c.add(func(j int) {
-			w.wantAnswer(w.entries[i%len(w.entries)], fmt.Sprintf("rider %d asks for the %d. time", i, j))
+	for i := range completionClients {
+		load.addClient(func(j int) {
+			env.checkCompletion(env.entries[i%len(env.entries)], fmt.Sprintf("rider %d asks for the %d. time", i, j))
 		})
 	}
 
-	c.during(func() {
-		w.drain(w.plains[0])
-		w.drain(w.engines[0])
+	load.runDuring(func() {
+		env.drainSideProcess(env.plainServices[0])
+		env.drainSideProcess(env.engines[0])
 	})
-	w.wantBookings(keys)
+	env.checkBookedOnce(keys)
 
-	if got := w.lines.count("request_suspect"); got != 0 {
+	if got := env.logs.count("request_suspect"); got != 0 {
 		t.Errorf("got %d suspects, want none", got)
 	}
 }
 
-// An entry stops while another one asks it what it knows of a context, on the
-// connection between them. A rider at the other entry waits for that answer before his
-// prompt is given to an engine, so silence costs him time to his first token.
+// An entry stops while another one queries it for the location of a context on the
+// connection between them. A request at the other entry waits for the response before its
+// prompt is sent to an engine, so the query must be answered or refused: without either, the
+// first token is delayed.
 func TestLeavingEntryLeavesNoPeerInDoubt(t *testing.T) {
-	w := start(t, shape{engines: 1, entries: 2})
-	leaving, asks := w.entries[0].process, w.entries[1].process
+	env := start(t, envConfig{engines: 1, entries: 2})
+	leaving, asking := env.entries[0].process, env.entries[1].process
 	to := peer.Address{VM: "entry-1", Addr: leaving.server.Addr()}
 
-	if _, err := asks.dialer.Ask(t.Context(), to, message.Locate{}); err != nil {
+	if _, err := asking.dialer.Ask(t.Context(), to, message.Locate{}); err != nil {
 		t.Fatal(err)
 	}
 
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 
-	leaving.late = func() {
-		s, err := asks.dialer.Open(t.Context(), to)
+	leaving.beforeClose = func() {
+		s, err := asking.dialer.Open(t.Context(), to)
 		if err != nil {
 			return // nothing was sent
 		}
 
 		if err := s.Send(message.Locate{}); err != nil {
-			t.Errorf("got %v, want the question sent", err)
+			t.Errorf("got %v, want the query sent", err)
 		}
 
-		asked.Go(func() {
+		requests.Go(func() {
 			defer s.Close()
 
 			if _, err := s.Receive(); err != nil && failure.KindOf(err) != failure.Draining {
-				t.Errorf("got %v, want an answer or a refusal", err)
+				t.Errorf("got %v, want a response or a refusal", err)
 			}
 		})
 	}
 
-	w.leave(w.entries[0])
-	asked.Wait()
+	env.stopEntry(env.entries[0])
+	requests.Wait()
 }
--- a/wholepath/hole_test.go
+++ b/wholepath/hole_test.go
@@ -5,20 +5,19 @@
 	"testing"
 )
 
-// A piece of an engine's answer is lost or comes twice, and all the rest comes in
-// order with a proper end. The rider would read an answer with a hole, such as a
-// departure without its hour. The engine's own count of tokens tells, so the
-// answer must be whole or an error.
+// A chunk of an engine's response is lost or duplicated; the other chunks arrive in order
+// and the stream ends properly. The caller would get a text with a gap. The token count
+// that the engine reports reveals it, so the result must be a complete response or an error.
 func TestAnswerWithAHolePassesForNoWholeOne(t *testing.T) {
 	cases := []struct {
 		name   string
-		meddle meddling
+		tamper tamperFunc
 	}{
-		{"piece missing", func(w http.ResponseWriter, c [][]byte) { pass(w, c[0]); pass(w, c[2:]...) }},
-		{"piece twice", func(w http.ResponseWriter, c [][]byte) { pass(w, c[0]); pass(w, c...) }},
+		{"chunk missing", func(w http.ResponseWriter, c [][]byte) { send(w, c[0]); send(w, c[2:]...) }},
+		{"chunk duplicated", func(w http.ResponseWriter, c [][]byte) { send(w, c[0]); send(w, c...) }},
 	}
 
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { damage(t, c.meddle) })
+		t.Run(c.name, func(t *testing.T) { checkTamperedResponse(t, c.tamper) })
 	}
 }
--- a/wholepath/path_test.go
+++ b/wholepath/path_test.go
@@ -6,11 +6,11 @@
 	"boragehub/failure"
 )
 
-// A program calls a path or method that does not exist. Its client library reads
-// errors in one shape only, and whoever looks for the cause needs the request's
-// id, as with every other refusal.
+// A program calls a path or method that does not exist. Client libraries parse errors in
+// one format only, and finding the cause needs the request id, so this refusal must
+// have the same form as every other.
 func TestUnknownPathIsRefusedLikeAllElse(t *testing.T) {
-	w := start(t, shape{engines: 1})
+	env := start(t, envConfig{engines: 1})
 	cases := []struct{ name, method, path string }{
 		{"unknown path", "GET", "/v1/no-such"},
 		{"wrong method", "GET", "/v1/completions"},
@@ -19,8 +19,8 @@
 	}
 
 	for _, c := range cases {
-		r := w.ask(w.entries[0], c.method, c.path, "", "Authorization", "Bearer "+desk)
-		if got, want := r.kind, failure.UnknownPath.String(); got != want || r.status != failure.UnknownPath.Answer().Status {
+		r := env.request(env.entries[0], c.method, c.path, "", "Authorization", "Bearer "+deskKey)
+		if got, want := r.code, failure.UnknownPath.String(); got != want || r.status != failure.UnknownPath.Answer().Status {
 			t.Errorf("%s: got %d %q %q, want 404 %q", c.name, r.status, got, r.body, want)
 		}
 
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -15,46 +15,46 @@
 	"boragehub/vm"
 )
 
-// leave stops an entry as its process does on SIGTERM.
-func (w *world) leave(n *entryNode) {
-	w.t.Helper()
+// stopEntry stops an entry in the way its process does on SIGTERM.
+func (e *testEnv) stopEntry(n *entryNode) {
+	e.t.Helper()
 
-	ctx, cancel := context.WithTimeout(w.t.Context(), drainTimeout)
+	ctx, cancel := context.WithTimeout(e.t.Context(), drainTimeout)
 	defer cancel()
 
 	n.Leave()
 
-	left := n.callers.Drain(ctx, drain.Stop{Short: func(time.Time) bool { return n.Active() == 0 }})
-	if left.Busy+left.Pending != 0 {
-		w.t.Errorf("the entry's callers were cut off: got %+v", left)
+	remaining := n.httpServer.Drain(ctx, drain.Stop{Short: func(time.Time) bool { return n.Active() == 0 }})
+	if remaining.Busy+remaining.Pending != 0 {
+		e.t.Errorf("requests were cut off when the entry stopped: got %+v", remaining)
 	}
 
 	n.process.server.Shutdown(ctx)
-	n.process.end()
+	n.process.stop()
 }
 
-// drain stops a side process as its process does on SIGTERM.
-func (w *world) drain(t *target) {
-	w.t.Helper()
+// drainSideProcess stops a side process in the way it does on SIGTERM.
+func (e *testEnv) drainSideProcess(t *target) {
+	e.t.Helper()
 
-	ctx, cancel := context.WithTimeout(w.t.Context(), drainTimeout)
+	ctx, cancel := context.WithTimeout(e.t.Context(), drainTimeout)
 	defer cancel()
 
 	t.side.Drain(ctx)
 
-	if t.homes != nil {
-		// In an outage of the log claims can't be handed over.
-		_ = t.homes.Drain(ctx)
+	if t.deduplicator != nil {
+		// Shards cannot be handed over during an outage of the log service.
+		_ = t.deduplicator.Drain(ctx)
 	}
 
 	t.process.server.Shutdown(ctx)
-	t.process.end()
+	t.process.stop()
 }
 
-// homed waits until each entry knows the home of every key, and returns how many
-// bookings that took.
-func (w *world) homed() int {
-	w.t.Helper()
+// waitForOwners waits until each entry can book in every shard, that is, each shard
+// has an owner that the entry knows. It returns the number of bookings made.
+func (e *testEnv) waitForOwners() int {
+	e.t.Helper()
 
 	keys := map[int]string{}
 	for i := 0; len(keys) < claim.DefaultShards; i++ {
@@ -62,47 +62,47 @@
 		keys[claim.Shard("desk-agents", key, claim.DefaultShards)] = key
 	}
 
-	for _, n := range w.entries {
+	for _, n := range e.entries {
 		for _, key := range keys {
-			w.eventually("the key has no home", func() bool { return w.book(n, key).status == http.StatusOK })
+			e.eventually("the shard of the key has no owner", func() bool { return e.book(n, key).status == http.StatusOK })
 		}
 	}
 
 	return len(keys)
 }
 
-// book makes a booking under a key.
-func (w *world) book(n *entryNode, key string) reply {
-	return w.ask(n, http.MethodPost, "/v1/services/"+booking+"/bookings", "one seat, "+key,
-		"Authorization", "Bearer "+desk, "Idempotency-Key", key)
+// book makes a booking with an idempotency key.
+func (e *testEnv) book(n *entryNode, key string) response {
+	return e.request(n, http.MethodPost, "/v1/services/"+bookingService+"/bookings", "one seat, "+key,
+		"Authorization", "Bearer "+deskKey, "Idempotency-Key", key)
 }
 
-// Parts of the system are stopped as planned while riders read long answers and
-// one books a seat. Whoever was being served must notice nothing: an answer that
-// breaks off on an ordinary day of restarts is a missed ferry.
+// Processes and stand-ins are stopped gracefully while long responses are streaming
+// and bookings are in flight. If a stop cut off requests, every ordinary restart
+// would break responses.
 func TestPlannedStopCutsOffNoRequest(t *testing.T) {
 	cases := []struct {
 		name string
-		stop []func(w *world)
+		stop []func(env *testEnv)
 	}{
-		{"entry", []func(w *world){func(w *world) { w.leave(w.entries[0]) }}},
-		{"side process of an engine", []func(w *world){func(w *world) { w.drain(w.engines[0]) }}},
-		{"side process of a plain service", []func(w *world){func(w *world) { w.drain(w.plains[0]) }}},
-		{"engine", []func(w *world){func(w *world) { w.engines[0].stop() }}},
-		{"plain service", []func(w *world){func(w *world) { w.plains[0].stop() }}},
-		{"entry and side process at once", []func(w *world){
-			func(w *world) { w.leave(w.entries[0]) }, func(w *world) { w.drain(w.engines[0]) },
+		{"entry", []func(env *testEnv){func(env *testEnv) { env.stopEntry(env.entries[0]) }}},
+		{"side process of an engine", []func(env *testEnv){func(env *testEnv) { env.drainSideProcess(env.engines[0]) }}},
+		{"side process of a plain service", []func(env *testEnv){func(env *testEnv) { env.drainSideProcess(env.plainServices[0]) }}},
+		{"engine", []func(env *testEnv){func(env *testEnv) { env.engines[0].stop() }}},
+		{"plain service", []func(env *testEnv){func(env *testEnv) { env.plainServices[0].stop() }}},
+		{"entry and side process at once", []func(env *testEnv){
+			func(env *testEnv) { env.stopEntry(env.entries[0]) }, func(env *testEnv) { env.drainSideProcess(env.engines[0]) },
 		}},
-		{"all of one data centre at once", []func(w *world){
-			func(w *world) { w.leave(w.entries[0]) }, func(w *world) { w.drain(w.engines[0]) },
-			func(w *world) { w.drain(w.plains[0]) }, func(w *world) { w.engines[0].stop() },
+		{"all of one data centre at once", []func(env *testEnv){
+			func(env *testEnv) { env.stopEntry(env.entries[0]) }, func(env *testEnv) { env.drainSideProcess(env.engines[0]) },
+			func(env *testEnv) { env.drainSideProcess(env.plainServices[0]) }, func(env *testEnv) { env.engines[0].stop() },
 		}},
-		{"entry and side processes while the log is down", []func(w *world){
-			func(w *world) {
-				w.fault(w.logAddr, map[string]any{"down": true})
-				w.leave(w.entries[0])
+		{"entry and side processes while the log is down", []func(env *testEnv){
+			func(env *testEnv) {
+				env.setFaults(env.logAddr, map[string]any{"down": true})
+				env.stopEntry(env.entries[0])
 			},
-			func(w *world) { w.drain(w.engines[0]) },
+			func(env *testEnv) { env.drainSideProcess(env.engines[0]) },
 		}},
 	}
 
@@ -114,87 +114,88 @@
 	}
 }
 
-// stopUnderLoad makes planned stops while requests run, and checks that each
-// request is answered and what comes later too.
-func stopUnderLoad(t *testing.T, stops []func(w *world)) {
-	const riders, tokens, bookings = 8, 80, 4
+// stopUnderLoad stops processes while requests are in flight. It checks that each of
+// them gets a complete response, that later requests do too, and that each booking
+// was made once.
+func stopUnderLoad(t *testing.T, stops []func(env *testEnv)) {
+	const callers, tokens, bookings = 8, 80, 4
 
-	w := start(t, shape{engines: 2, entries: 2, plains: 1, engine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
-	homed := w.homed()
+	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 1, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
+	ownerBookings := env.waitForOwners()
 
-	// All have to run at one moment. Left to their time, the first ones end before the
-	// last ones begin on a busy machine, and the moment never comes.
-	w.fault(w.plains[0].addr, map[string]any{"held": true})
+	// All requests have to be in flight at the same time. Without these faults, the first
+	// ones would end before the last ones start on a busy machine.
+	env.setFaults(env.plainServices[0].addr, map[string]any{"held": true})
 
-	for _, e := range w.engines {
-		w.fault(e.addr, map[string]any{"slow_factor": 50})
+	for _, e := range env.engines {
+		env.setFaults(e.addr, map[string]any{"slow_factor": 50})
 	}
 
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 
-	for i := range riders {
-		all.Go(func() {
+	for i := range callers {
+		wg.Go(func() {
 			prompt := fmt.Sprintf("rider %d reads at length", i)
 
-			got, err := w.entries[i%2].stream(t.Context(), desk, prompt, tokens)
+			got, err := env.entries[i%2].stream(t.Context(), deskKey, prompt, tokens)
 			if want := engine.Answer(prompt, tokens); got != want || err != nil {
-				t.Errorf("rider %d: got %q, %v, want %q", i, got, err, want)
+				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
 	}
 
 	for i := range bookings {
-		all.Go(func() {
+		wg.Go(func() {
 			key := fmt.Sprintf("booking-%d", i)
-			if r := w.book(w.entries[i%2], key); r.status != http.StatusOK || !strings.Contains(r.body, key) {
+			if r := env.book(env.entries[i%2], key); r.status != http.StatusOK || !strings.Contains(r.body, key) {
 				t.Errorf("%s: got %d %s, want a booking", key, r.status, r.body)
 			}
 		})
 	}
 
-	w.eventually("not all run", func() bool {
-		return w.engines[0].engine.Running()+w.engines[1].engine.Running() == riders && w.plains[0].plain.Running() == bookings
+	env.eventually("not all requests are running", func() bool {
+		return env.engines[0].engine.Running()+env.engines[1].engine.Running() == callers && env.plainServices[0].plain.Running() == bookings
 	})
 
-	w.fault(w.plains[0].addr, map[string]any{"held": false, "delay_ms": 400})
+	env.setFaults(env.plainServices[0].addr, map[string]any{"held": false, "delay_ms": 400})
 
-	for _, e := range w.engines {
-		w.fault(e.addr, map[string]any{"slow_factor": 1})
+	for _, e := range env.engines {
+		env.setFaults(e.addr, map[string]any{"slow_factor": 1})
 	}
 
 	for _, stop := range stops {
-		all.Go(func() { stop(w) })
+		wg.Go(func() { stop(env) })
 	}
 
-	all.Wait()
+	wg.Wait()
 
-	for _, n := range w.entries {
+	for _, n := range env.entries {
 		if !n.Ready() {
 			continue
 		}
 
-		if err := n.insist(t.Context(), "the next rider", tokens/10); err != nil {
+		if err := n.streamWithRetries(t.Context(), "the next rider", tokens/10); err != nil {
 			t.Errorf("after the stop: %v", err)
 		}
 	}
 
-	if got, want := len(w.plains[0].plain.Runs()), bookings+homed; got != want {
+	if got, want := len(env.plainServices[0].plain.Runs()), bookings+ownerBookings; got != want {
 		t.Errorf("got %d bookings made, want %d", got, want)
 	}
 }
 
-// The platform lists an engine's VM as leaving while riders keep coming. Once the
-// entries have heard it the engine must get nothing new, or its last rider is cut
-// off when the VM goes.
+// The platform lists an engine's VM as leaving while requests keep arriving. An entry
+// that went on sending requests to it after reading that list would have them cut off
+// when the VM is removed.
 func TestLeavingEngineGetsNothingNew(t *testing.T) {
-	w := start(t, shape{engines: 2, entries: 2})
-	leaving := w.engines[0]
-	w.send(http.MethodPut, w.listURL+"/vms/"+leaving.vm, vm.VM{
-		DataCentre: dataCentre, Kind: vm.Engine, Service: llm, Address: leaving.addr,
+	env := start(t, envConfig{engines: 2, entries: 2})
+	leaving := env.engines[0]
+	env.sendJSON(http.MethodPut, env.vmListURL+"/vms/"+leaving.vm, vm.VM{
+		DataCentre: dataCentre, Kind: vm.Engine, Service: llmService, Address: leaving.addr,
 		SideAddress: leaving.process.server.Addr(), State: vm.Leaving,
 	})
-	w.eventually("the entries don't know who leaves", func() bool {
-		return w.lines.count(`"reason"="listed_leaving"`) == len(w.entries)
+	env.eventually("the entries do not know that the engine is leaving", func() bool {
+		return env.logs.count(`"reason"="listed_leaving"`) == len(env.entries)
 	})
 
 	before := len(leaving.engine.Runs())
@@ -202,9 +203,9 @@
 	for i := range 40 {
 		prompt := fmt.Sprintf("rider %d", i)
 
-		got, err := w.entries[i%2].complete(t.Context(), desk, prompt, 4)
+		got, err := env.entries[i%2].complete(t.Context(), deskKey, prompt, 4)
 		if want := engine.Answer(prompt, 4); got != want || err != nil {
-			t.Errorf("rider %d: got %q, %v, want %q", i, got, err, want)
+			t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 		}
 	}
 
@@ -213,50 +214,50 @@
 	}
 }
 
-// An entry stops while riders and desks go on coming on the connections that they keep
-// to it, until the balancer sends them elsewhere. One whose connection is closed under his
-// request has neither an answer nor a refusal.
+// An entry stops while callers keep sending requests and bookings on their open
+// connections, until the balancer directs them to another entry. A caller whose connection
+// is closed during a request would get neither a response nor a refusal.
 func TestLeavingEntryAnswersWhoeverKeepsAConnection(t *testing.T) {
-	const desks, riders = 6, 6
+	const bookingClients, completionClients = 6, 6
 
-	w := start(t, shape{engines: 2, entries: 2, plains: 1})
-	w.homed()
+	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 1})
+	env.waitForOwners()
 
-	// Each asks the entry that leaves while it is ready, and the other one then.
-	inRotation := func() *entryNode {
-		if n := w.entries[0]; n.Ready() {
+	// As with a balancer, requests go to the stopping entry while it is ready, then to the other one.
+	readyEntry := func() *entryNode {
+		if n := env.entries[0]; n.Ready() {
 			return n
 		}
 
-		return w.entries[1]
+		return env.entries[1]
 	}
 
-	var c crowd
+	var load loadGenerator
 
-	for i := range desks {
-		c.add(func(j int) {
+	for i := range bookingClients {
+		load.addClient(func(j int) {
 			key := fmt.Sprintf("booking-%d-%d", i, j)
-			if r := w.book(inRotation(), key); r.status != http.StatusOK {
+			if r := env.book(readyEntry(), key); r.status != http.StatusOK {
 				t.Errorf("%s: got %d %s, want a booking", key, r.status, r.body)
 			}
 		})
 	}
 
-	for i := range riders {
-		c.add(func(j int) {
-			w.wantAnswer(inRotation(), fmt.Sprintf("rider %d asks for the %d. time", i, j))
+	for i := range completionClients {
+		load.addClient(func(j int) {
+			env.checkCompletion(readyEntry(), fmt.Sprintf("rider %d asks for the %d. time", i, j))
 		})
 	}
 
-	c.during(func() { w.leave(w.entries[0]) })
+	load.runDuring(func() { env.stopEntry(env.entries[0]) })
 }
 
-// wantAnswer asks for a short completion.
-func (w *world) wantAnswer(n *entryNode, prompt string) {
-	w.t.Helper()
+// checkCompletion requests a short completion and checks it.
+func (e *testEnv) checkCompletion(n *entryNode, prompt string) {
+	e.t.Helper()
 
-	got, err := n.complete(w.t.Context(), desk, prompt, 4)
+	got, err := n.complete(e.t.Context(), deskKey, prompt, 4)
 	if want := engine.Answer(prompt, 4); got != want || err != nil {
-		w.t.Errorf("%s: got %q, %v, want %q", prompt, got, err, want)
+		e.t.Errorf("%s: got %q, %v, want %q", prompt, got, err, want)
 	}
 }
--- a/wholepath/crossed_test.go
+++ b/wholepath/swapped_test.go
@@ -13,9 +13,9 @@
 	"boragehub/standin/engine"
 )
 
-// Two riders ask at once, and the engine, or what stands before it, gives each
-// the other's answer. Each must get its own, or an error; reading the other's
-// booking is worse than none.
+// Two callers send prompts at the same time, and the engine, or a proxy before it,
+// swaps the two responses. Each caller must get its own response or an error: the
+// response to another request may disclose private data.
 func TestCrossedAnswersReachNobody(t *testing.T) {
 	const tokens = 6
 
@@ -25,8 +25,8 @@
 		paired  = make(chan struct{})
 	)
 
-	// cross holds the first two answers until both are there and swaps them.
-	cross := func(_ int, h http.Handler) http.Handler {
+	// swap holds back the first two responses until both are complete and swaps them.
+	swap := func(_ int, h http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/v1/completions" {
 				h.ServeHTTP(w, r)
@@ -40,8 +40,8 @@
 			_ = json.Unmarshal(b, &q)
 
 			r.Body = io.NopCloser(bytes.NewReader(b))
-			kept := &keeper{header: http.Header{}}
-			h.ServeHTTP(kept, r)
+			recorded := &responseRecorder{header: http.Header{}}
+			h.ServeHTTP(recorded, r)
 
 			mu.Lock()
 			first := len(waiting) < 2 && waiting[q.Prompt] == nil
@@ -55,7 +55,7 @@
 			mu.Unlock()
 
 			if !first {
-				_, _ = w.Write(kept.Bytes())
+				_, _ = w.Write(recorded.Bytes())
 				return
 			}
 
@@ -63,32 +63,32 @@
 			mu.Lock()
 			for other, c := range waiting {
 				if other != q.Prompt {
-					c <- kept.Bytes()
+					c <- recorded.Bytes()
 				}
 			}
 
-			mine := waiting[q.Prompt]
+			own := waiting[q.Prompt]
 			mu.Unlock()
 
-			_, _ = w.Write(<-mine)
+			_, _ = w.Write(<-own)
 		})
 	}
 
-	w := start(t, shape{engines: 1, entries: 2, meddle: cross})
+	env := start(t, envConfig{engines: 1, entries: 2, wrapEngine: swap})
 
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 
-	for i, key := range []string{desk, bureau} {
-		all.Go(func() {
+	for i, key := range []string{deskKey, bureauKey} {
+		wg.Go(func() {
 			prompt := fmt.Sprintf("caller %d asks for its booking", i)
 			want := engine.Answer(prompt, tokens)
 
-			got, err := w.entries[i].stream(t.Context(), key, prompt, tokens)
+			got, err := env.entries[i].stream(t.Context(), key, prompt, tokens)
 			if err == nil && got != want || got != "" && !strings.HasPrefix(want, got) {
 				t.Errorf("caller %d: got %q, %v, want %q or an error", i, got, err, want)
 			}
 		})
 	}
 
-	all.Wait()
+	wg.Wait()
 }
