--- a/incident/booking_test.go
+++ b/incident/booking_test.go
@@ -9,63 +9,63 @@
 	"github.com/google/uuid"
 )
 
-// ledger is the oracle of bookings: it knows what callers were told, and shares
-// nothing with the product.
-type ledger struct {
+// bookingOracle is the oracle for bookings. It records the responses that callers got
+// and shares no code with the program.
+type bookingOracle struct {
 	s  *system
 	mu sync.Mutex
 
-	made    map[string]bool // answered as made at least once
-	refused map[string]bool // every answer so far said that it was not run
-	asked   map[string]bool
+	confirmed   map[string]bool // at least one response said that it was made
+	onlyRefused map[string]bool // every response so far said that it was not run
+	attempted   map[string]bool
 }
 
-func newLedger(s *system) *ledger {
-	return &ledger{s: s, made: map[string]bool{}, refused: map[string]bool{}, asked: map[string]bool{}}
+func newBookingOracle(s *system) *bookingOracle {
+	return &bookingOracle{s: s, confirmed: map[string]bool{}, onlyRefused: map[string]bool{}, attempted: map[string]bool{}}
 }
 
-// book books under key at one entry and notes what the caller was told.
-func (l *ledger) book(entry int, key string) answer {
-	a := l.s.book(l.s.entries[entry], key, 2)
+// book makes a booking with key at one entry and records the response.
+func (o *bookingOracle) book(entry int, key string) response {
+	a := o.s.book(o.s.entries[entry], key, 2)
 
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 
-	first := !l.asked[key]
-	l.asked[key] = true
+	first := !o.attempted[key]
+	o.attempted[key] = true
 
 	switch {
 	case a.status == http.StatusOK:
-		l.made[key] = true
-		l.refused[key] = false
+		o.confirmed[key] = true
+		o.onlyRefused[key] = false
 	case a.ran == "not_run":
-		l.refused[key] = first || l.refused[key]
+		o.onlyRefused[key] = first || o.onlyRefused[key]
 	default:
-		l.refused[key] = false
+		o.onlyRefused[key] = false
 	}
 
 	return a
 }
 
-// check compares what callers were told with what the services ran.
-func (l *ledger) check() {
-	l.s.t.Helper()
+// check compares the recorded responses with what the plain services ran.
+func (o *bookingOracle) check() {
+	o.s.t.Helper()
 
-	runs := l.s.runs()
+	runs := o.s.runsByKey()
 
-	for key := range l.asked {
+	for key := range o.attempted {
 		switch n := runs[key]; {
 		case n > 1:
-			l.s.t.Errorf("booking %s: ran %d times, want at most once", key, n)
-		case l.made[key] && n != 1:
-			l.s.t.Errorf("booking %s: answered as made, ran %d times", key, n)
-		case l.refused[key] && n != 0:
-			l.s.t.Errorf("booking %s: every answer said that it was not run, and it ran", key)
+			o.s.t.Errorf("booking %s: ran %d times, want at most once", key, n)
+		case o.confirmed[key] && n != 1:
+			o.s.t.Errorf("booking %s: confirmed, ran %d times, want once", key, n)
+		case o.onlyRefused[key] && n != 0:
+			o.s.t.Errorf("booking %s: every response said that it was not run, but it ran", key)
 		}
 	}
 }
 
-func keysFor(n int) []string {
+func newKeys(n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
 		keys[i] = uuid.Must(uuid.NewV7()).String()
@@ -74,137 +74,138 @@
 	return keys
 }
 
-// Impatient callers send each booking to both entries at once and then again,
-// while one entry is killed and a side process freezes and wakes. A family would
-// have two bookings and pay twice, or be told that it has none and have one.
+// Callers send each booking to both entries at once and then once more, while one entry is
+// killed and a side process is paused and resumed. A booking could run twice, or run although
+// its caller was told that it did not.
 func TestBookingsRunAtMostOnce(t *testing.T) {
-	s := start(t, shape{engines: 1, plains: 2})
-	s.homed()
+	s := start(t, systemConfig{engines: 1, plainServices: 2})
+	s.waitForOwners()
 
-	l := newLedger(s)
-	keys := keysFor(60)
+	oracle := newBookingOracle(s)
+	keys := newKeys(60)
 
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 
-	half := make(chan struct{})
+	secondHalf := make(chan struct{})
 
 	for i, key := range keys {
-		all.Go(func() {
+		wg.Go(func() {
 			if i >= len(keys)/2 {
-				<-half
+				<-secondHalf
 			}
 
-			var twice sync.WaitGroup
+			var duplicates sync.WaitGroup
 
 			for entry := range 2 {
-				twice.Go(func() { l.book(entry, key) })
+				duplicates.Go(func() { oracle.book(entry, key) })
 			}
 
-			twice.Wait()
-			l.book(i%2, key)
+			duplicates.Wait()
+			oracle.book(i%2, key)
 		})
 	}
 
 	s.signal("booking-1", syscall.SIGSTOP)
-	close(half)
+	close(secondHalf)
 	s.kill("entry-1")
 	s.signal("booking-1", syscall.SIGCONT)
-	all.Wait()
-	l.check()
+	wg.Wait()
+	oracle.check()
 
-	s.startOne("entry-1")
-	s.ready(s.operator["entry-1"] + "/readyz")
+	s.startSystemProcess("entry-1")
+	s.waitReady(s.operatorURLs["entry-1"] + "/readyz")
 
 	for i, key := range keys {
-		l.book(i%2, key)
+		oracle.book(i%2, key)
 	}
 
-	l.check()
+	oracle.check()
 }
 
-// The log service goes out and comes back. Bookings that are refused all the
-// while leave families in the rain; those that run must be known afterwards, or
-// the next try would book again.
+// The log service is unavailable for a while. Bookings in shards that had an owner before
+// must still be accepted, and the claims of those that ran must be known after the outage,
+// or a retry would book again.
 func TestBookingsThroughALogOutage(t *testing.T) {
-	s := start(t, shape{engines: 1, plains: 2})
-	s.homed()
+	s := start(t, systemConfig{engines: 1, plainServices: 2})
+	s.waitForOwners()
 
-	l := newLedger(s)
+	oracle := newBookingOracle(s)
 
-	s.faults(s.log, map[string]any{"down": true})
+	s.setFaults(s.logURL, map[string]any{"down": true})
 
-	keys := keysFor(40)
+	keys := newKeys(40)
 	served := 0
 
 	for i, key := range keys {
-		if l.book(i%2, key).status == http.StatusOK {
+		if oracle.book(i%2, key).status == http.StatusOK {
 			served++
 		}
 	}
 
-	l.check()
-	t.Logf("served in the outage: %d of %d", served, len(keys))
+	oracle.check()
+	t.Logf("served during the outage: %d of %d", served, len(keys))
 
 	if served == 0 {
-		t.Error("served in the outage: got none, want those whose home was there before")
+		t.Error("served during the outage: got none, want bookings in shards with an owner")
 	}
 
-	s.faults(s.log, map[string]any{"down": false})
-	s.homed()
+	s.setFaults(s.logURL, map[string]any{"down": false})
+	s.waitForOwners()
 
 	for i, key := range keys {
-		a := l.book(i%2, key)
-		if l.made[key] && a.status == http.StatusOK && !a.replayed {
-			// The booking that was made in the outage must be known; one that
-			// was refused then may be made now.
-			if s.runs()[key] != 1 {
-				t.Errorf("booking %s: made anew after the outage", key)
+		a := oracle.book(i%2, key)
+		if oracle.confirmed[key] && a.status == http.StatusOK && !a.replayed {
+			// A booking that was made during the outage must not run again; one that
+			// was refused then may run now.
+			if s.runsByKey()[key] != 1 {
+				t.Errorf("booking %s: ran again after the outage", key)
 			}
 		}
 	}
 
-	l.check()
+	oracle.check()
 }
 
-// Answers of the log are lost after the append took effect, so that the home of
-// a key doesn't know whether its claim stands.
+// Responses of the log service are lost after the append took effect, so that the owner of
+// a shard does not know whether its claim was recorded. A retry must not book again.
 func TestBookingsWithLostAppendAnswers(t *testing.T) {
-	s := start(t, shape{engines: 1, plains: 2})
-	s.homed()
-	s.faults(s.log, map[string]any{"lose_answers": 0.5})
+	s := start(t, systemConfig{engines: 1, plainServices: 2})
+	s.waitForOwners()
+	s.setFaults(s.logURL, map[string]any{"lose_answers": 0.5})
 
-	l := newLedger(s)
-	keys := keysFor(30)
+	oracle := newBookingOracle(s)
+	keys := newKeys(30)
 
 	for round := range 2 {
 		for i, key := range keys {
-			l.book((i+round)%2, key)
+			oracle.book((i+round)%2, key)
 		}
 	}
 
-	s.faults(s.log, map[string]any{"lose_answers": 0})
-	l.check()
+	s.setFaults(s.logURL, map[string]any{"lose_answers": 0})
+	oracle.check()
 }
 
-// A booking service dies and comes back between the tries of its callers.
+// The side process of a booking service is killed halfway through the first requests and not
+// restarted; then every booking is retried. No booking may run twice.
 func TestBookingsWhileAServiceDies(t *testing.T) {
-	s := start(t, shape{engines: 1, plains: 2})
-	s.homed()
+	s := start(t, systemConfig{engines: 1, plainServices: 2})
+	s.waitForOwners()
 
-	l := newLedger(s)
-	keys := keysFor(30)
+	oracle := newBookingOracle(s)
+	keys := newKeys(30)
 
 	for i, key := range keys {
 		if i == len(keys)/2 {
 			s.kill("booking-2")
 		}
 
-		l.book(i%2, key)
+		oracle.book(i%2, key)
 	}
 
 	for i, key := range keys {
-		l.book(i%2, key)
+		oracle.book(i%2, key)
 	}
 
-	l.check()
+	oracle.check()
 }
--- a/incident/caller_test.go
+++ b/incident/caller_test.go
@@ -12,17 +12,17 @@
 	"github.com/google/uuid"
 )
 
-// answer is what a caller got.
-type answer struct {
-	status   int
-	code     string
-	ran      string
-	after    string
-	replayed bool
-	text     string
-	finished bool
-	body     []byte
-	err      error
+// response is what a caller received.
+type response struct {
+	status     int
+	code       string
+	ran        string
+	retryAfter string
+	replayed   bool
+	text       string
+	finished   bool
+	body       []byte
+	err        error
 }
 
 func (s *system) post(ctx context.Context, url, key string, body any) (*http.Response, error) {
@@ -46,29 +46,29 @@
 	return http.DefaultClient.Do(req)
 }
 
-// prompt sends a prompt and streams the answer; seen is called with the number
-// of tokens after each one.
-func (s *system) prompt(url, text string, tokens int, seen func(int)) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// prompt sends a prompt and reads the streamed response. After each token, onToken is called
+// with the number of tokens so far; nil is not called.
+func (s *system) prompt(url, text string, tokens int, onToken func(int)) response {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 
 	resp, err := s.post(ctx, url+"/v1/completions", "", map[string]any{
 		"model": "shuttle-8b", "prompt": text, "max_tokens": tokens, "stream": true,
 	})
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return errorResponse(resp)
 	}
 
-	return stream(resp.Body, seen)
+	return readStream(resp.Body, onToken)
 }
 
-func refused(resp *http.Response) answer {
+func errorResponse(resp *http.Response) response {
 	var got struct {
 		Error struct{ Code, Ran, Message string }
 	}
@@ -76,15 +76,15 @@
 	b, err := io.ReadAll(resp.Body)
 	_ = json.Unmarshal(b, &got)
 
-	return answer{
+	return response{
 		status: resp.StatusCode, code: got.Error.Code, ran: got.Error.Ran, body: b,
-		after: resp.Header.Get("Retry-After"), err: err,
+		retryAfter: resp.Header.Get("Retry-After"), err: err,
 	}
 }
 
-func stream(r io.Reader, seen func(int)) answer {
-	a := answer{status: http.StatusOK}
-	whole, n := &strings.Builder{}, 0
+func readStream(r io.Reader, onToken func(int)) response {
+	a := response{status: http.StatusOK}
+	text, n := &strings.Builder{}, 0
 
 	b := make([]byte, 0, 64<<10)
 	buf := make([]byte, 4<<10)
@@ -118,18 +118,18 @@
 			a.code += piece.Error.Code
 
 			if len(piece.Choices) > 0 && piece.Choices[0].Text != "" {
-				whole.WriteString(piece.Choices[0].Text)
+				text.WriteString(piece.Choices[0].Text)
 
 				n++
 
-				if seen != nil {
-					seen(n)
+				if onToken != nil {
+					onToken(n)
 				}
 			}
 		}
 
 		if err != nil {
-			a.text = whole.String()
+			a.text = text.String()
 
 			if !errors.Is(err, io.EOF) {
 				a.err = err
@@ -140,49 +140,49 @@
 	}
 }
 
-// want returns the right answer to a prompt, from the oracle.
-func (s *system) want(text string, tokens int) string {
+// oracleText returns the expected text for a prompt, from the oracle.
+func (s *system) oracleText(text string, tokens int) string {
 	s.t.Helper()
 
-	a := s.prompt(s.oracle, text, tokens, nil)
+	a := s.prompt(s.oracleURL, text, tokens, nil)
 	if !a.finished {
-		s.t.Fatalf("the oracle gave %+v", a)
+		s.t.Fatalf("incomplete response from the oracle: %+v", a)
 	}
 
 	return a.text
 }
 
 // book makes a booking.
-func (s *system) book(url, key string, seats int) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (s *system) book(url, key string, seats int) response {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 
 	resp, err := s.post(ctx, url+"/v1/services/booking-api/bookings", key, map[string]int{"seats": seats})
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 
 	defer func() { _ = resp.Body.Close() }()
 
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refused(resp)
+		return errorResponse(resp)
 	}
 
 	b, err := io.ReadAll(resp.Body)
 
-	return answer{status: resp.StatusCode, body: b, err: err, replayed: resp.Header.Get("Idempotency-Replayed") == "true"}
+	return response{status: resp.StatusCode, body: b, err: err, replayed: resp.Header.Get("Idempotency-Replayed") == "true"}
 }
 
-// runs counts how often each key was carried out, over all plain services.
-func (s *system) runs() map[string]int {
+// runsByKey returns how often each idempotency key was run by the plain services that are up.
+func (s *system) runsByKey() map[string]int {
 	s.t.Helper()
 
 	count := map[string]int{}
 
-	for _, url := range s.plains {
+	for _, url := range s.plainServices {
 		resp, err := http.Get(url + "/runs")
 		if err != nil {
-			continue // this service was killed; what it ran is lost with it
+			continue // this service was killed; its list of runs is lost
 		}
 
 		var list []struct {
@@ -204,8 +204,8 @@
 	return count
 }
 
-// homed waits until every shard of the bookings has its home.
-func (s *system) homed() {
+// waitForOwners waits until a booking is accepted, which needs an owner for the shard of its key.
+func (s *system) waitForOwners() {
 	s.t.Helper()
 	s.eventually("a booking is made", func() bool {
 		return s.book(s.entries[0], uuid.Must(uuid.NewV7()).String(), 1).status == http.StatusOK
--- a/incident/doc.go
+++ b/incident/doc.go
@@ -1,9 +1,9 @@
-// Package incident holds the tests that run the real program, each part a
-// process of its own on loopback, and do to it what happens to VMs: processes
-// are killed, frozen and woken, told to stop, and the platform goes out.
+// Package incident holds fault-injection tests of the built program, with each
+// entry, side process and stand-in a process of its own on loopback. Processes
+// are killed, paused and resumed, or stopped, and platform services fail.
 //
-// What virtual time can't show belongs here and nothing else, since each test
-// takes seconds. The tests assert facts (what a caller got, what a target ran)
-// and never how long something took. The oracle for an answer is an engine
-// stand-in of its own, asked directly with the same prompt.
+// Each test takes seconds, so only what cannot be tested in virtual time belongs
+// here. The tests check what a caller received and what a target ran, never how
+// long anything took. The oracle for a response is a separate engine stand-in,
+// called directly with the same prompt.
 package incident
--- a/incident/settings_test.go
+++ b/incident/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// fleet is what an entry shows to operators.
+// fleet is the part of an entry's /debug/fleet page that the tests use.
 type fleet struct {
 	SettingsVersion uint64 `json:"settings_version"`
 	Targets         []struct {
@@ -22,7 +22,7 @@
 func (s *system) fleet(entry string) fleet {
 	var f fleet
 
-	resp, err := http.Get(s.operator[entry] + "/debug/fleet")
+	resp, err := http.Get(s.operatorURLs[entry] + "/debug/fleet")
 	if err != nil {
 		return f
 	}
@@ -34,34 +34,34 @@
 	return f
 }
 
-// The log is out, and all entries are replaced meanwhile. They would start with
-// nothing to go by and refuse everybody, or with an older version.
+// The log service is down, and all entries are restarted meanwhile. Without a copy of the
+// settings, they would refuse every request or use an older version.
 func TestEntriesStartInALogOutage(t *testing.T) {
-	s := start(t, shape{engines: 2, decode: 1000})
+	s := start(t, systemConfig{engines: 2, decodeTokensPerSecond: 1000})
 	want := s.publish("# second")
 
 	for _, e := range []string{"entry-1", "entry-2"} {
 		s.eventually(e+" has the second version", func() bool { return s.fleet(e).SettingsVersion == want })
 	}
 
-	s.faults(s.log, map[string]any{"down": true})
+	s.setFaults(s.logURL, map[string]any{"down": true})
 
 	for _, e := range []string{"entry-1", "entry-2"} {
 		s.kill(e)
 	}
 
 	for _, e := range []string{"entry-1", "entry-2"} {
-		s.startOne(e)
-		s.ready(s.operator[e] + "/readyz")
+		s.startSystemProcess(e)
+		s.waitReady(s.operatorURLs[e] + "/readyz")
 
 		if got := s.fleet(e).SettingsVersion; got != want {
 			t.Errorf("%s: got version %d, want %d", e, got, want)
 		}
 	}
 
-	s.during(4, func() {})
+	s.duringResponses(4, func() {})
 
-	s.faults(s.log, map[string]any{"down": false})
+	s.setFaults(s.logURL, map[string]any{"down": false})
 
 	want = s.publish("# third")
 
@@ -70,10 +70,10 @@
 	}
 }
 
-// An operator drains a target by publishing it. New work that still went there
-// would be cut off when the VM goes.
+// An operator drains a target by publishing a setting. Requests that were still sent there
+// would be cut off when the VM is removed.
 func TestPublishedDrainKeepsNewWorkAway(t *testing.T) {
-	s := start(t, shape{engines: 2, decode: 1000})
+	s := start(t, systemConfig{engines: 2, decodeTokensPerSecond: 1000})
 	s.publish("[[drain]]\ntarget = \"engine-1\"\n")
 
 	for _, e := range []string{"entry-1", "entry-2"} {
@@ -88,16 +88,16 @@
 		})
 	}
 
-	before := s.count("engine-1")
-	s.during(6, func() {})
+	before := s.runCount("engine-1")
+	s.duringResponses(6, func() {})
 
-	if got := s.count("engine-1"); got != before {
+	if got := s.runCount("engine-1"); got != before {
 		t.Errorf("runs at the drained engine: got %d, want %d", got, before)
 	}
 }
 
-// count returns how many runs an engine stand-in has had.
-func (s *system) count(engine string) int {
+// runCount returns how many runs an engine stand-in has started.
+func (s *system) runCount(engine string) int {
 	s.t.Helper()
 
 	resp, err := http.Get(s.engines[engine] + "/runs")
@@ -116,22 +116,22 @@
 	return len(got)
 }
 
-// New weights are rolled out while callers go on. If all engines loaded at once,
-// everybody would wait; if none did, the roll would never end.
+// A weight version is rolled out while callers keep sending prompts. If all engines loaded
+// at the same time, all callers would wait; if none did, the rollout would never end.
 func TestRollServesAllTheWhile(t *testing.T) {
-	s := start(t, shape{engines: 3, decode: 1000})
+	s := start(t, systemConfig{engines: 3, decodeTokensPerSecond: 1000})
 
 	var (
-		all  sync.WaitGroup
+		wg   sync.WaitGroup
 		stop atomic.Bool
 	)
 
 	failed := atomic.Int64{}
 
 	for i := range 4 {
-		all.Go(func() {
+		wg.Go(func() {
 			for n := 0; !stop.Load(); n++ {
-				if a := s.prompt(s.entries[i%2], fmt.Sprintf("%s %d %d", promptOf(i), i, n), 20, nil); !a.finished {
+				if a := s.prompt(s.entries[i%2], fmt.Sprintf("%s %d %d", testPrompt(i), i, n), 20, nil); !a.finished {
 					failed.Add(1)
 					t.Logf("prompt: %d %s %s", a.status, a.code, a.body)
 				}
@@ -152,9 +152,9 @@
 		return done == 3
 	})
 	stop.Store(true)
-	all.Wait()
+	wg.Wait()
 
 	if got := failed.Load(); got != 0 {
-		t.Errorf("prompts that failed during the roll: got %d, want none", got)
+		t.Errorf("prompts that failed during the rollout: got %d, want none", got)
 	}
 }
--- a/incident/system_test.go
+++ b/incident/system_test.go
@@ -24,7 +24,7 @@
 	"boragehub/setting/publication"
 )
 
-// program is the built program.
+// program is the path of the built program.
 var program string
 
 func TestMain(m *testing.M) {
@@ -48,11 +48,11 @@
 	os.Exit(code)
 }
 
-// limit bounds every wait of the tests. It is far longer than anything should
-// take and only ends a test that would never end.
-const limit = 60 * time.Second
+// waitTimeout bounds every wait of the tests. It is far longer than anything should take and
+// only ends a test that would hang.
+const waitTimeout = 60 * time.Second
 
-// process is one running process.
+// process is a process of the system or a stand-in; done is closed when it has exited.
 type process struct {
 	name string
 	cmd  *exec.Cmd
@@ -60,31 +60,32 @@
 	done chan struct{}
 }
 
-// system is a running system.
+// system is a running system: entries, side processes and stand-ins. Its maps are keyed by VM
+// name; processes has stand-ins as well, by the names given to startProcess.
 type system struct {
-	t        *testing.T
-	dir      string
-	log      string // URLs of the platform
-	vms      string
-	store    string
-	entries  []string // callers' URLs
-	engines  map[string]string
-	plains   map[string]string
-	operator map[string]string
-	running  map[string]*process
-	keys     *certificate.Authority
-	key      string
-	list     []map[string]string
-	oracle   string
+	t             *testing.T
+	dir           string
+	logURL        string // URLs of stand-ins of the platform
+	vmListURL     string
+	storeURL      string
+	entries       []string // URLs for callers
+	engines       map[string]string
+	plainServices map[string]string
+	operatorURLs  map[string]string
+	processes     map[string]*process
+	authority     *certificate.Authority
+	key           string
+	vms           []map[string]string
+	oracleURL     string
 }
 
-// shape says how large a system is.
-type shape struct {
-	engines, plains int
-	// alone is how many engines have no side process.
-	alone int
-	// decode is the engines' speed in tokens a second.
-	decode float64
+// systemConfig configures a system.
+type systemConfig struct {
+	engines, plainServices int
+	// enginesWithoutSide is the number of additional engines, which have no side process.
+	enginesWithoutSide int
+	// decodeTokensPerSecond is the decode rate of the engines.
+	decodeTokensPerSecond float64
 }
 
 const settings = `
@@ -117,57 +118,57 @@
 %s
 `
 
-// start starts a system and waits until it serves.
-func start(t *testing.T, of shape) *system {
+// start starts a system and waits until all its processes are ready.
+func start(t *testing.T, cfg systemConfig) *system {
 	t.Helper()
 
 	s := &system{
-		t: t, dir: t.TempDir(), engines: map[string]string{}, plains: map[string]string{},
-		operator: map[string]string{}, running: map[string]*process{},
+		t: t, dir: t.TempDir(), engines: map[string]string{}, plainServices: map[string]string{},
+		operatorURLs: map[string]string{}, processes: map[string]*process{},
 	}
 
-	t.Cleanup(s.end)
+	t.Cleanup(s.cleanUp)
 
 	var err error
-	if s.keys, err = certificate.NewAuthority(time.Now()); err != nil {
+	if s.authority, err = certificate.NewAuthority(time.Now()); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := s.keys.Write(s.dir); err != nil {
+	if err := s.authority.Write(s.dir); err != nil {
 		t.Fatal(err)
 	}
 
-	s.log, s.vms = "http://"+port(t), "http://"+port(t)
-	s.run("log", "standin", "log", "--listen", host(s.log))
-	s.ready(s.log + "/healthz")
+	s.logURL, s.vmListURL = "http://"+freeAddr(t), "http://"+freeAddr(t)
+	s.startProcess("log", "standin", "log", "--listen", hostPort(s.logURL))
+	s.waitReady(s.logURL + "/healthz")
 
-	s.store = "http://" + port(t)
-	s.run("store", "standin", "store", "--listen", host(s.store))
-	s.add("prompt-vault", "store", "", host(s.store), "")
+	s.storeURL = "http://" + freeAddr(t)
+	s.startProcess("store", "standin", "store", "--listen", hostPort(s.storeURL))
+	s.addVM("prompt-vault", "store", "", hostPort(s.storeURL), "")
 
-	s.oracle = "http://" + port(t)
-	s.engine("oracle", s.oracle, 2000)
+	s.oracleURL = "http://" + freeAddr(t)
+	s.startEngine("oracle", s.oracleURL, 2000)
 
-	for i := range of.engines {
-		s.target(fmt.Sprintf("engine-%d", i+1), "boragehub-llm", "engine", of.decode)
+	for i := range cfg.engines {
+		s.addTarget(fmt.Sprintf("engine-%d", i+1), "boragehub-llm", "engine", cfg.decodeTokensPerSecond)
 	}
 
-	for i := range of.alone {
-		name, url := fmt.Sprintf("alone-%d", i+1), "http://"+port(t)
+	for i := range cfg.enginesWithoutSide {
+		name, url := fmt.Sprintf("alone-%d", i+1), "http://"+freeAddr(t)
 		s.engines[name] = url
-		s.engine(name+"-target", url, of.decode)
-		s.add(name, "engine", "boragehub-llm", host(url), "")
+		s.startEngine(name+"-target", url, cfg.decodeTokensPerSecond)
+		s.addVM(name, "engine", "boragehub-llm", hostPort(url), "")
 	}
 
-	for i := range of.plains {
-		s.target(fmt.Sprintf("booking-%d", i+1), "booking-api", "plain", 0)
+	for i := range cfg.plainServices {
+		s.addTarget(fmt.Sprintf("booking-%d", i+1), "booking-api", "plain", 0)
 	}
 
 	for i := range 2 {
-		s.entry(fmt.Sprintf("entry-%d", i+1))
+		s.addEntry(fmt.Sprintf("entry-%d", i+1))
 	}
 
-	b, err := json.Marshal(s.list)
+	b, err := json.Marshal(s.vms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,42 +178,42 @@
 		t.Fatal(err)
 	}
 
-	s.run("vms", "standin", "vms", "--listen", host(s.vms), "--file", file)
-	s.ready(s.vms + "/healthz")
+	s.startProcess("vms", "standin", "vms", "--listen", hostPort(s.vmListURL), "--file", file)
+	s.waitReady(s.vmListURL + "/healthz")
 
-	s.startAll()
+	s.startSystemProcesses()
 	s.publish("")
 
-	for _, url := range s.operator {
-		s.ready(url + "/readyz")
+	for _, url := range s.operatorURLs {
+		s.waitReady(url + "/readyz")
 	}
 
 	return s
 }
 
-// startAll starts the system's own processes.
-func (s *system) startAll() {
-	for name := range s.operator {
-		s.startOne(name)
+// startSystemProcesses starts the entries and side processes.
+func (s *system) startSystemProcesses() {
+	for name := range s.operatorURLs {
+		s.startSystemProcess(name)
 	}
 }
 
-func (s *system) startOne(name string) {
+func (s *system) startSystemProcess(name string) {
 	role := "side"
 	if strings.HasPrefix(name, "entry") {
 		role = "entry"
 	}
 
-	s.run(name, role, "--settings", s.file(name))
+	s.startProcess(name, role, "--settings", s.settingsFile(name))
 }
 
-func (s *system) file(name string) string { return filepath.Join(s.dir, name+".toml") }
+func (s *system) settingsFile(name string) string { return filepath.Join(s.dir, name+".toml") }
 
-func host(url string) string { return strings.TrimPrefix(url, "http://") }
+func hostPort(url string) string { return strings.TrimPrefix(url, "http://") }
 
-// Ports are taken from below those that the kernel gives to outgoing connections,
-// one after the other, so that none is given twice or taken before its process
-// has bound it. Runs beside each other start at different places.
+// Ports are allocated in order from a range below the kernel's ephemeral ports, so that none
+// is used twice or taken by an outgoing connection before its process has bound it.
+// Concurrent test processes start at different ports.
 const (
 	firstPort = 22000
 	portSpan  = 8000
@@ -221,8 +222,8 @@
 
 var nextPort atomic.Int64
 
-// port returns the next port that can be bound for both TCP and UDP.
-func port(t *testing.T) string {
+// freeAddr returns the next loopback address whose port is free for both TCP and UDP.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 
 	for range portSpan {
@@ -251,46 +252,47 @@
 	return ""
 }
 
-func (s *system) add(name, kind, service, address, side string) {
-	s.list = append(s.list, map[string]string{
+func (s *system) addVM(name, kind, service, address, side string) {
+	s.vms = append(s.vms, map[string]string{
 		"vm": name, "data_centre": "yvr-east", "kind": kind, "service": service,
 		"address": address, "side_address": side, "state": "live",
 	})
 }
 
-func (s *system) engine(name, url string, decode float64) {
-	s.run(name, "standin", "engine", "--listen", host(url), "--model", "shuttle-8b", "--weight-version", "v1",
+func (s *system) startEngine(name, url string, decode float64) {
+	s.startProcess(name, "standin", "engine", "--listen", hostPort(url), "--model", "shuttle-8b", "--weight-version", "v1",
 		"--decode", fmt.Sprint(decode))
-	s.ready(url + "/healthz")
+	s.waitReady(url + "/healthz")
 }
 
-// target starts a target and writes the settings of its side process.
-func (s *system) target(name, service, kind string, decode float64) {
-	url := "http://" + port(s.t)
+// addTarget starts the stand-in of a target, adds its VM and writes the settings of its side
+// process.
+func (s *system) addTarget(name, service, kind string, decode float64) {
+	url := "http://" + freeAddr(s.t)
 
 	if kind == "engine" {
 		s.engines[name] = url
-		s.engine(name+"-target", url, decode)
+		s.startEngine(name+"-target", url, decode)
 	} else {
-		s.plains[name] = url
-		s.run(name+"-target", "standin", "plain", "--listen", host(url), "--service", service, "--vm", name)
-		s.ready(url + "/healthz")
+		s.plainServices[name] = url
+		s.startProcess(name+"-target", "standin", "plain", "--listen", hostPort(url), "--service", service, "--vm", name)
+		s.waitReady(url + "/healthz")
 	}
 
-	peers := port(s.t)
-	s.add(name, kind, service, host(url), peers)
-	s.configure(name, "side", peers, "", fmt.Sprintf("[target]\nservice = %q\nkind = %q\nurl = %q\n", service, kind, url))
+	peers := freeAddr(s.t)
+	s.addVM(name, kind, service, hostPort(url), peers)
+	s.writeSettings(name, "side", peers, "", fmt.Sprintf("[target]\nservice = %q\nkind = %q\nurl = %q\n", service, kind, url))
 }
 
-func (s *system) entry(name string) {
-	peers, callers := port(s.t), port(s.t)
+func (s *system) addEntry(name string) {
+	peers, callers := freeAddr(s.t), freeAddr(s.t)
 	s.entries = append(s.entries, "http://"+callers)
-	s.add(name, "entry", "", callers, peers)
-	s.configure(name, "entry", peers, fmt.Sprintf("callers = %q\n", callers), "")
+	s.addVM(name, "entry", "", callers, peers)
+	s.writeSettings(name, "entry", peers, fmt.Sprintf("callers = %q\n", callers), "")
 }
 
-func (s *system) configure(name, role, peers, callers, target string) {
-	pair, err := s.keys.Issue(time.Now(), certificate.Subject{VM: name, Role: role})
+func (s *system) writeSettings(name, role, peers, callers, target string) {
+	pair, err := s.authority.Issue(time.Now(), certificate.Subject{VM: name, Role: role})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -299,8 +301,8 @@
 		s.t.Fatal(err)
 	}
 
-	operators := port(s.t)
-	s.operator[name] = "http://" + operators
+	operators := freeAddr(s.t)
+	s.operatorURLs[name] = "http://" + operators
 	text := fmt.Sprintf(`role = %q
 vm = %q
 data_centre = "yvr-east"
@@ -318,16 +320,16 @@
 [limits]
 balancer_grace = "100ms"
 drain_timeout = "30s"
-%s`, role, name, peers, operators, callers, s.log, s.vms, filepath.Join(s.dir, certificate.AuthorityFile),
+%s`, role, name, peers, operators, callers, s.logURL, s.vmListURL, filepath.Join(s.dir, certificate.AuthorityFile),
 		filepath.Join(s.dir, name+".pem"), filepath.Join(s.dir, name+".key"), target)
 
-	if err := os.WriteFile(s.file(name), []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(s.settingsFile(name), []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// run starts one process.
-func (s *system) run(name string, args ...string) {
+// startProcess starts the program with args; its output is appended to NAME.log.
+func (s *system) startProcess(name string, args ...string) {
 	s.t.Helper()
 
 	out, err := os.OpenFile(filepath.Join(s.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -347,39 +349,39 @@
 		close(p.done)
 	}()
 
-	s.running[name] = p
+	s.processes[name] = p
 }
 
-// signal sends a signal to one process by its id.
+// signal sends a signal to a process.
 func (s *system) signal(name string, sig syscall.Signal) {
 	s.t.Helper()
 
-	if err := s.running[name].cmd.Process.Signal(sig); err != nil {
+	if err := s.processes[name].cmd.Process.Signal(sig); err != nil {
 		s.t.Fatalf("%s: %v", name, err)
 	}
 }
 
-// kill ends a process at once and waits until it is gone.
+// kill sends SIGKILL to a process and waits until it has exited.
 func (s *system) kill(name string) {
 	s.t.Helper()
 	s.signal(name, syscall.SIGKILL)
-	<-s.running[name].done
+	<-s.processes[name].done
 }
 
-// stop ends a process in order and waits; it must end with status 0.
+// stop sends SIGTERM to a process and waits until it has exited; its status must be 0.
 func (s *system) stop(name string) {
 	s.t.Helper()
 	s.signal(name, syscall.SIGTERM)
-	<-s.running[name].done
+	<-s.processes[name].done
 
-	if got, want := s.running[name].cmd.ProcessState.ExitCode(), 0; got != want {
+	if got, want := s.processes[name].cmd.ProcessState.ExitCode(), 0; got != want {
 		s.t.Errorf("%s: got status %d, want %d", name, got, want)
 	}
 }
 
-// end kills what still runs, and shows the logs of a test that failed.
-func (s *system) end() {
-	for _, p := range s.running {
+// cleanUp kills all processes that still run and prints their logs if the test failed.
+func (s *system) cleanUp() {
+	for _, p := range s.processes {
 		select {
 		case <-p.done:
 		default:
@@ -391,36 +393,36 @@
 		_ = p.out.Close()
 
 		if s.t.Failed() {
-			s.show(p.name)
+			s.printLog(p.name)
 		}
 	}
 }
 
-// shownLines is how much of each log a failed test shows.
+// shownLines is how many lines of each log are printed when a test fails.
 const shownLines = 25
 
-func (s *system) show(name string) {
+func (s *system) printLog(name string) {
 	b, _ := os.ReadFile(filepath.Join(s.dir, name+".log"))
 	lines := strings.Split(strings.TrimSpace(string(b)), "\n")
 	s.t.Logf("--- %s\n%s", name, strings.Join(lines[max(0, len(lines)-shownLines):], "\n"))
 }
 
-// eventually waits until f holds.
-func (s *system) eventually(what string, f func() bool) {
+// eventually waits until ok returns true and fails the test after waitTimeout.
+func (s *system) eventually(what string, ok func() bool) {
 	s.t.Helper()
 
-	end := time.Now().Add(limit)
+	end := time.Now().Add(waitTimeout)
 
-	for !f() {
+	for !ok() {
 		if time.Now().After(end) {
-			s.t.Fatalf("never: %s", what)
+			s.t.Fatalf("condition not met: %s", what)
 		}
 
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func (s *system) ready(url string) {
+func (s *system) waitReady(url string) {
 	s.t.Helper()
 	s.eventually(url+" answers 200", func() bool { return status(url) == http.StatusOK })
 }
@@ -438,24 +440,24 @@
 	return resp.StatusCode
 }
 
-// publish publishes the settings with more at the end and returns the version.
-func (s *system) publish(more string) uint64 {
+// publish publishes the settings with extra appended and returns their version.
+func (s *system) publish(extra string) uint64 {
 	s.t.Helper()
 
-	log := journal.NewClient(journal.ClientConfig{URL: s.log})
-	based := uint64(0)
+	log := journal.NewClient(journal.ClientConfig{URL: s.logURL})
+	basedOn := uint64(0)
 
 	if s.key == "" {
 		s.key, _ = organisation.NewKey()
 	} else if now, _, err := publication.Read(context.Background(), log, 1); err != nil {
 		s.t.Fatal(err)
 	} else {
-		based = now.Version()
+		basedOn = now.Version()
 	}
 
 	v, err := publication.Publish(context.Background(), publication.PublishConfig{Log: log}, publication.Change{
-		ID: uuid.NewString(), Based: based, Author: "test", Name: "settings.toml",
-		Text: []byte(fmt.Sprintf(settings, organisation.HashKey(s.key), more)),
+		ID: uuid.NewString(), Based: basedOn, Author: "test", Name: "settings.toml",
+		Text: []byte(fmt.Sprintf(settings, organisation.HashKey(s.key), extra)),
 	})
 	if err != nil {
 		s.t.Fatal(err)
@@ -464,8 +466,8 @@
 	return v
 }
 
-// faults sets switches of a stand-in.
-func (s *system) faults(url string, switches map[string]any) {
+// setFaults sets fault switches of a stand-in.
+func (s *system) setFaults(url string, switches map[string]any) {
 	s.t.Helper()
 
 	b, _ := json.Marshal(switches)
