--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -71,8 +71,8 @@
 	e.registration = exchange.NewRegistration(exchange.RegistrationConfig{Log: source, Topic: platform.EntriesTopic, Peers: e.client, Logger: log})
 	e.roster = roster.New(roster.Config{
 		Self: cfg.VM, DataCentre: cfg.DataCentre, Regions: cfg.Regions, Log: log,
-		Named:     func(service string) bool { return e.gateway.Serves(service) },
-		Restarted: func(id string) { e.gateway.Restarted(id) },
+		Named:     func(service string) bool { return e.gateway.HasService(service) },
+		Restarted: func(id string) { e.gateway.TargetRestarted(id) },
 		SlowStart: func(service string) slowstart.Limit { return e.gateway.SlowStart(service) },
 		Entries:   members,
 	})
@@ -95,16 +95,16 @@
 		LogAge:        func() float64 { return time.Since(operators.Fresh()).Seconds() },
 		Dials:         func() float64 { return float64(e.pool.Dials()) },
 		VaultTokens:   func() float64 { held, _, _ := directory.Usage(); return float64(held) },
-		VaultRoom:     func() float64 { _, room, _ := directory.Usage(); return float64(room) },
+		VaultCapacity: func() float64 { _, room, _ := directory.Usage(); return float64(room) },
 		LinesLeftOut:  func() float64 { return float64(lines.LeftOut()) },
 		TokensPerMs:   func() float64 { return e.gateway.TokensPerMs() },
 	})
 
 	e.gateway = gateway.New(gateway.Config{
 		DataCentre: cfg.DataCentre, Dialect: platform.Dialect{}, Roster: e.roster, Pool: e.pool, Vaults: directory,
-		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), TellCrash: e.client.TellCrash,
-		RepeatRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RepeatWindow: cfg.Bounds.RepeatWindow,
-		RepeatSlack: cfg.Bounds.RepeatSlack, VersionWithin: cfg.Bounds.Version,
+		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), ReportCrash: e.client.TellCrash,
+		RetryRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RetryWindow: cfg.Bounds.RepeatWindow,
+		RetrySlack: cfg.Bounds.RepeatSlack, VersionDeadline: cfg.Bounds.Version,
 		SlowStartOverage: cfg.Bounds.SlowStartOverage, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 		HoldUntil: time.Now().Add(startupWindow), Meter: meter, Log: log,
 	}, operators.Fresh, e.registration.Since)
@@ -112,7 +112,7 @@
 	e.balancer = drain.NewBalancer(e.gateway.Ready)
 	e.addFollowers(source, operators, register, meter)
 	e.peers = exchange.NewServer(exchange.ServerConfig{
-		Members: members, Vaults: directory, Notice: e.onAnnouncement, Crash: e.gateway.Heard, Add: e.registration.Add,
+		Members: members, Vaults: directory, Notice: e.onAnnouncement, Crash: e.gateway.AddReportedCrash, Add: e.registration.Add,
 		Topics: map[string]*mirror.Topic{platform.OperatorTopic: operators, platform.RegisterTopic: register},
 	})
 
@@ -125,14 +125,14 @@
 		Configured: e.applyConfiguration,
 		Named: func(now time.Time, v platform.WeightVersion) {
 			before := operators.Before()
-			e.gateway.Named(now, v.Model, v.Version, before)
+			e.gateway.VersionNamed(now, v.Model, v.Version, before)
 			e.standby.Name(loader.Named{Model: v.Model, Version: v.Version, Before: before.IsZero()})
 			e.watcher.Named(now, v.Model, v.Version, v.Offset)
 		},
 		Evacuated:  e.roster.Evacuate,
-		Unreadable: meter.Unreadable, Log: e.log,
+		Unreadable: meter.RecordUnreadable, Log: e.log,
 	}
-	listings := &platform.Listings{Roster: e.roster, Unreadable: meter.Unreadable, Log: e.log}
+	listings := &platform.Listings{Roster: e.roster, Unreadable: meter.RecordUnreadable, Log: e.log}
 
 	e.followers = []*mirror.Follower{
 		mirror.NewFollower(mirror.FollowerConfig{
@@ -212,7 +212,7 @@
 	)
 
 	return func(now time.Time) (int, bool) {
-		count := e.gateway.Prompts()
+		count := e.gateway.PromptCount()
 		rate := float64(count-lastCount) / max(now.Sub(lastTime).Seconds(), tickInterval.Seconds())
 		lastCount, lastTime = count, now
 
@@ -271,7 +271,7 @@
 		now := time.Now()
 		entries := e.members.Size(now)
 		e.directory.SetSharers(entries)
-		e.gateway.SetSharers(entries)
+		e.gateway.SetEntryCount(entries)
 		e.roster.Tick(now)
 		e.gateway.Tick(now)
 		e.pool.Sweep(now)
@@ -393,7 +393,7 @@
 	defer cancel()
 
 	n := callers.Drain(ctx, drain.Stop{
-		Released: e.balancer.Released, Closing: func() { e.gateway.Close(time.Now(), end.Add(-lastResponsesMargin)) }, Short: e.gateway.Short,
+		Released: e.balancer.Released, Closing: func() { e.gateway.StartDrain(time.Now(), end.Add(-lastResponsesMargin)) }, Short: e.gateway.MayClosePort,
 	})
 
 	event.Log(e.log, event.PortClosed, "opened", n.Opened, "busy", n.Busy, "idle", n.Idle, "pending", n.Pending)
--- a/gateway/allowance.go
+++ b/gateway/allowance.go
@@ -11,7 +11,7 @@
 
 	b, ok := g.retryBudgets[service]
 	if !ok {
-		b = retry.NewBudget(retry.BudgetConfig{Ratio: g.cfg.RepeatRatio, Window: g.cfg.RepeatWindow, Floor: g.retryFloor()})
+		b = retry.NewBudget(retry.BudgetConfig{Ratio: g.cfg.RetryRatio, Window: g.cfg.RetryWindow, Floor: g.retryFloor()})
 		g.retryBudgets[service] = b
 	}
 
@@ -29,11 +29,11 @@
 
 // retryFloor returns this process's share of the retry slack, at least 1. The caller holds mu.
 func (g *Gateway) retryFloor() int {
-	return max(int(slackFraction*float64(g.cfg.RepeatSlack))/g.entries, 1)
+	return max(int(slackFraction*float64(g.cfg.RetrySlack))/g.entries, 1)
 }
 
-// SetSharers sets the number of entries, this one included.
-func (g *Gateway) SetSharers(n int) {
+// SetEntryCount sets the number of entries, this one included.
+func (g *Gateway) SetEntryCount(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -229,7 +229,7 @@
 	}
 	defer x.Close()
 
-	a := d.Answer(x.Header())
+	a := d.ParseResponse(x.Header())
 	t.recordHead(c, a)
 
 	switch {
@@ -243,12 +243,12 @@
 }
 
 // recordHead records what the head of a response reports about its target.
-func (t *task) recordHead(c choice, a Answer) {
+func (t *task) recordHead(c choice, a ResponseHead) {
 	now := time.Now()
 	t.inFlight.answered.Store(true)
 	t.g.cfg.Roster.Heard(now, c.engine.ID)
 
-	if a.LoadKnown {
+	if a.HasLoad {
 		t.g.cfg.Roster.Load(now, c.engine.ID, a.Running, a.Waiting)
 	}
 
@@ -303,7 +303,7 @@
 
 // misdirected handles a response which says that the target has another weight version than
 // assumed, or that another target has its address.
-func (t *task) misdirected(c choice, a Answer) {
+func (t *task) misdirected(c choice, a ResponseHead) {
 	now := time.Now()
 
 	switch {
@@ -321,7 +321,7 @@
 var errRefused = errors.New("the target refused the request")
 
 // refused returns the outcome of a request that the target says has not run.
-func (t *task) refused(c choice, x *upstream.Exchange, a Answer) outcome {
+func (t *task) refused(c choice, x *upstream.Exchange, a ResponseHead) outcome {
 	o := outcome{kind: failure.QueueFull, cause: fmt.Errorf("%w with status %d", errRefused, x.Status()), targetOutcome: target.Neutral}
 
 	discardRest(x)
@@ -335,7 +335,7 @@
 
 	// A target that refuses although it has free slots is loading weights.
 	pause := refusedBackoff
-	if a.LoadKnown && a.Running < a.Slots && a.Waiting == 0 {
+	if a.HasLoad && a.Running < a.Slots && a.Waiting == 0 {
 		pause = loadingRetryAfter
 	}
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -15,7 +15,7 @@
 type choice struct {
 	engine roster.Engine
 	// params are sent with the request.
-	params Sending
+	params TargetParams
 	// prefillTokens is the number of tokens that the target is expected to prefill,
 	// memoryTokens the number that the request occupies in its memory.
 	prefillTokens, memoryTokens int
@@ -204,10 +204,10 @@
 // prefixRequest describes the prompt's shared prefix for the decision.
 func (t *task) prefixRequest() route.OpeningRequest {
 	p := t.arrival.Prompt
-	shared := p.Shared()
+	shared := p.SharedTokens()
 
 	return route.OpeningRequest{
-		Opening: p.Opening(), Shared: shared, Own: p.Tokens - shared, Output: p.Output, Aim: t.route.Aim,
+		Opening: p.SharedPrefixID(), Shared: shared, Own: p.Tokens - shared, Output: p.Output, Aim: t.route.Aim,
 		Untold: t.prefixUnreported(),
 	}
 }
@@ -329,9 +329,9 @@
 }
 
 // targetParams returns the parameters for any kind of target.
-func (t *task) targetParams(now time.Time, e roster.Engine) Sending {
-	s := Sending{
-		Target: e.ID, Address: e.Address, Left: t.deadline.Sub(now), Priority: t.priority(),
+func (t *task) targetParams(now time.Time, e roster.Engine) TargetParams {
+	s := TargetParams{
+		Target: e.ID, Address: e.Address, TimeLeft: t.deadline.Sub(now), Priority: t.priority(),
 		ResumeAfter: t.resumeAfter(),
 	}
 
@@ -360,7 +360,7 @@
 		return ""
 	}
 
-	return t.arrival.Prompt.Opening()
+	return t.arrival.Prompt.SharedPrefixID()
 }
 
 // noLoadReport is logged as the age of a load report that never arrived.
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -26,8 +26,8 @@
 	Parts []Part
 }
 
-// Shared returns the number of tokens in the parts that other requests may have too.
-func (p *Prompt) Shared() int {
+// SharedTokens returns the number of tokens in the parts that other requests may have too.
+func (p *Prompt) SharedTokens() int {
 	n := 0
 
 	for i := range len(p.Parts) - 1 {
@@ -37,8 +37,8 @@
 	return n
 }
 
-// Opening returns the id of the shared prefix, which is that of its last part. It is empty if no part is shared.
-func (p *Prompt) Opening() string {
+// SharedPrefixID returns the id of the shared prefix, which is that of its last part. It is empty if no part is shared.
+func (p *Prompt) SharedPrefixID() string {
 	if len(p.Parts) < 2 {
 		return ""
 	}
@@ -46,14 +46,14 @@
 	return p.Parts[len(p.Parts)-2].ID
 }
 
-// Arrival is a request as received from its caller.
-type Arrival struct {
+// CallerRequest is a request as received from its caller.
+type CallerRequest struct {
 	// ID is the request id that the caller chose for this attempt.
 	ID string
-	// Key is the caller's API key; empty if there is none.
-	Key string
-	// Deadline is how long the caller waits; zero if it sets no limit.
-	Deadline time.Duration
+	// APIKey is the caller's API key; empty if there is none.
+	APIKey string
+	// Timeout is how long the caller waits; zero if it sets no limit.
+	Timeout time.Duration
 	// Prompt is set for requests that carry a prompt.
 	Prompt *Prompt
 	// ResumeAfter is the id of the last stream event that the caller has; empty for a
@@ -61,15 +61,15 @@
 	ResumeAfter string
 }
 
-// Sending is what the gateway adds to a request that it sends to a target.
-type Sending struct {
+// TargetParams is what the gateway adds to a request that it sends to a target.
+type TargetParams struct {
 	// Target is the id of the target that the request is for; another target at the same
 	// address refuses it.
 	Target string
 	// Address is the target's IP address and port.
 	Address string
-	// Left is the time left until the request's deadline.
-	Left time.Duration
+	// TimeLeft is the time left until the request's deadline.
+	TimeLeft time.Duration
 	// Organisation is the caller's organisation; empty for none.
 	Organisation string
 	// Priority is the request's rank; 0 comes first.
@@ -88,16 +88,16 @@
 	FetchUntil int64
 }
 
-// Answer is the head of a target's response.
-type Answer struct {
+// ResponseHead is the head of a target's response.
+type ResponseHead struct {
 	// NotRun is true if the request has not run and never will.
 	NotRun bool
 	// Target is the id of the responding target; empty if not reported.
 	Target string
-	// Genuine is true if the response bears a target's signature.
-	Genuine bool
-	// LoadKnown is true if Running, Waiting and Slots were reported.
-	LoadKnown bool
+	// Signed is true if the response bears a target's signature.
+	Signed bool
+	// HasLoad is true if Running, Waiting and Slots were reported.
+	HasLoad bool
 	// Running, Waiting and Slots are the target's load.
 	Running, Waiting, Slots int
 	// Version is its weight version; zero if not reported.
@@ -108,21 +108,21 @@
 
 // Dialect translates between the gateway's types and the headers of callers and targets.
 type Dialect interface {
-	// Arrival parses a caller's request. Its errors have kind failure.BadRequest.
-	Arrival(r *http.Request) (Arrival, error)
-	// Head returns the request line and headers of a request to a target. Length is the
+	// ParseRequest parses a caller's request. Its errors have kind failure.BadRequest.
+	ParseRequest(r *http.Request) (CallerRequest, error)
+	// RequestHead returns the request line and headers of a request to a target. Length is the
 	// length of its body, -1 for none.
-	Head(r *http.Request, a *Arrival, s *Sending, length int) []byte
-	// Answer parses the headers of a response.
-	Answer(h http.Header) Answer
-	// Belongs reports whether a response is the one to a request.
-	Belongs(a *Arrival, h http.Header) bool
-	// Mark sets a request's id on a response that the gateway itself generated.
-	Mark(h http.Header, a *Arrival)
+	RequestHead(r *http.Request, a *CallerRequest, s *TargetParams, length int) []byte
+	// ParseResponse parses the headers of a response.
+	ParseResponse(h http.Header) ResponseHead
+	// MatchesRequest reports whether a response is the one to a request.
+	MatchesRequest(a *CallerRequest, h http.Header) bool
+	// SetRequestID sets a request's id on a response that the gateway itself generated.
+	SetRequestID(h http.Header, a *CallerRequest)
 }
 
 // upstreamRequest returns the request for the connection pool.
-func upstreamRequest(d Dialect, r *http.Request, a *Arrival, s *Sending, body []byte) upstream.Request {
+func upstreamRequest(d Dialect, r *http.Request, a *CallerRequest, s *TargetParams, body []byte) upstream.Request {
 	length := -1
 	if len(body) > 0 || r.ContentLength == 0 && r.Method != http.MethodGet && r.Method != http.MethodHead {
 		length = len(body)
@@ -131,8 +131,8 @@
 	return upstream.Request{
 		Address: s.Address,
 		Method:  r.Method,
-		Head:    d.Head(r, a, s, length),
+		Head:    d.RequestHead(r, a, s, length),
 		Body:    body,
-		Match:   func(h http.Header) bool { return d.Belongs(a, h) },
+		Match:   func(h http.Header) bool { return d.MatchesRequest(a, h) },
 	}
 }
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -29,11 +29,11 @@
 // testDialect is a Dialect with short header names.
 type testDialect struct{}
 
-func (testDialect) Arrival(r *http.Request) (Arrival, error) {
-	a := Arrival{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), ResumeAfter: r.Header.Get("After")}
+func (testDialect) ParseRequest(r *http.Request) (CallerRequest, error) {
+	a := CallerRequest{ID: r.Header.Get("Id"), APIKey: r.Header.Get("Key"), ResumeAfter: r.Header.Get("After")}
 
 	if ms, err := strconv.Atoi(r.Header.Get("Wait")); err == nil {
-		a.Deadline = time.Duration(ms) * time.Millisecond
+		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
 
 	if r.Header.Get("Bad") != "" {
@@ -47,9 +47,9 @@
 	return a, nil
 }
 
-func (testDialect) Head(r *http.Request, a *Arrival, s *Sending, length int) []byte {
+func (testDialect) RequestHead(r *http.Request, a *CallerRequest, s *TargetParams, length int) []byte {
 	h := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nId: %s\r\nFor: %s\r\nOrganisation: %s\r\nAfter: %s\r\nLeft: %d\r\nVersion: %d\r\nSalt: %s\r\nFetch: %s\r\nSave: %s\r\n",
-		r.Method, r.RequestURI, r.Host, a.ID, s.Target, s.Organisation, s.ResumeAfter, s.Left.Milliseconds(), s.Version, s.Salt,
+		r.Method, r.RequestURI, r.Host, a.ID, s.Target, s.Organisation, s.ResumeAfter, s.TimeLeft.Milliseconds(), s.Version, s.Salt,
 		strings.Join(s.Fetch, ","), strings.Join(s.Save, ","))
 	if length >= 0 {
 		h += fmt.Sprintf("Content-Length: %d\r\n", length)
@@ -58,20 +58,20 @@
 	return []byte(h + "\r\n")
 }
 
-func (testDialect) Answer(h http.Header) Answer {
+func (testDialect) ParseResponse(h http.Header) ResponseHead {
 	v, _ := strconv.ParseInt(h.Get("Version"), 10, 64)
 
-	return Answer{
-		NotRun: h.Get("Not-Run") != "", Genuine: h.Get("Seal") != "", Target: h.Get("Target"), Version: v,
+	return ResponseHead{
+		NotRun: h.Get("Not-Run") != "", Signed: h.Get("Seal") != "", Target: h.Get("Target"), Version: v,
 		Encoded: h.Get("Content-Encoding") != "",
 	}
 }
 
-func (testDialect) Belongs(a *Arrival, h http.Header) bool {
+func (testDialect) MatchesRequest(a *CallerRequest, h http.Header) bool {
 	return h.Get("Id") == "" || h.Get("Id") == a.ID
 }
 
-func (testDialect) Mark(h http.Header, a *Arrival) { h.Set("Id", a.ID) }
+func (testDialect) SetRequestID(h http.Header, a *CallerRequest) { h.Set("Id", a.ID) }
 
 // fakeEngine is a fake target: each request is handled by the next behaviour, those beyond
 // the last behaviour by the last.
@@ -284,8 +284,8 @@
 
 	env.gateway = New(Config{
 		DataCentre: "east", Dialect: testDialect{}, Roster: env.roster, Pool: upstream.NewPool(upstream.Config{}), Vaults: env.vaults,
-		Crashes:     quarantine.NewTracker(quarantine.TrackerConfig{Crashes: 3}),
-		RepeatRatio: 0.2, RepeatWindow: 10 * time.Second, RepeatSlack: 800, VersionWithin: 8 * time.Second, Log: logr.Discard(),
+		Crashes:    quarantine.NewTracker(quarantine.TrackerConfig{Crashes: 3}),
+		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 800, VersionDeadline: 8 * time.Second, Log: logr.Discard(),
 	}, func() time.Time { return env.versionsKnownAt }, func() time.Time { return env.registeredSince })
 	env.gateway.Configure(site.New(published))
 
--- a/gateway/flights_test.go
+++ b/gateway/flights_test.go
@@ -70,7 +70,7 @@
 
 			<-arrived
 			env.list(other)
-			env.gateway.Restarted("sa")
+			env.gateway.TargetRestarted("sa")
 
 			if r := <-got; r.status != tt.status {
 				t.Errorf("got %d %v, want %d", r.status, r.err, tt.status)
@@ -99,7 +99,7 @@
 	now := time.Now()
 	env.list(changed)
 	env.roster.Has("llmb", "m", 2, "test")
-	env.gateway.Named(now, "m", 2, now)
+	env.gateway.VersionNamed(now, "m", 2, now)
 	env.gateway.Tick(now.Add(7 * time.Second))
 
 	select {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -55,17 +55,17 @@
 	Vaults *vault.Directory
 	// Crashes tracks requests that crash targets.
 	Crashes *quarantine.Tracker
-	// TellCrash reports to the other entries what was on a target when it crashed; nil
+	// ReportCrash reports to the other entries what was on a target when it crashed; nil
 	// reports nothing.
-	TellCrash func(quarantine.Crash)
-	// RepeatRatio and RepeatWindow limit retries to a fraction of the first attempts in a
+	ReportCrash func(quarantine.Crash)
+	// RetryRatio and RepeatWindow limit retries to a fraction of the first attempts in a
 	// window; RepeatSlack is the number that all entries together may make beyond it.
-	RepeatRatio  float64
-	RepeatWindow time.Duration
-	RepeatSlack  int
-	// VersionWithin is the time after which no request may begin on replaced weights;
+	RetryRatio  float64
+	RetryWindow time.Duration
+	RetrySlack  int
+	// VersionDeadline is the time after which no request may begin on replaced weights;
 	// zero sets no limit.
-	VersionWithin time.Duration
+	VersionDeadline time.Duration
 	// SlowStartOverage and SlowStartSlack limit the requests that a cold target may get
 	// within any one second: its rate times SlowStartOverage, plus SlowStartSlack.
 	SlowStartOverage float64
@@ -125,7 +125,7 @@
 		versions:        make(map[string][]namedVersion),
 		versionsKnownAt: versionsKnownAt,
 		registeredSince: registeredSince,
-		crashes:         newCrashDetector(cfg.Crashes, cfg.TellCrash, cfg.Log),
+		crashes:         newCrashDetector(cfg.Crashes, cfg.ReportCrash, cfg.Log),
 		waitQueue:       newWaitQueue(),
 		drain:           newDrainControl(),
 	}
@@ -163,8 +163,8 @@
 	return ok && s.Engines != nil
 }
 
-// Prompts returns how many prompts were received since the start.
-func (g *Gateway) Prompts() int64 { return g.promptCount.Load() }
+// PromptCount returns how many prompts were received since the start.
+func (g *Gateway) PromptCount() int64 { return g.promptCount.Load() }
 
 // SlowStart returns the limit for a service's targets while they are cold. It is zero for an unknown service.
 func (g *Gateway) SlowStart(service string) slowstart.Limit {
@@ -181,9 +181,9 @@
 	return slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.PerSecond, g.cfg.SlowStartOverage, g.cfg.SlowStartSlack)
 }
 
-// Serves reports whether a service is in the configuration. Without a configuration, it returns
+// HasService reports whether a service is in the configuration. Without a configuration, it returns
 // true for any.
-func (g *Gateway) Serves(service string) bool {
+func (g *Gateway) HasService(service string) bool {
 	c := g.current.Load()
 	if c == nil {
 		return true
@@ -194,9 +194,9 @@
 	return ok
 }
 
-// Restarted cancels the attempts at a target that was restarted under its id, since requests
+// TargetRestarted cancels the attempts at a target that was restarted under its id, since requests
 // sent to the previous process get no response.
-func (g *Gateway) Restarted(id string) {
+func (g *Gateway) TargetRestarted(id string) {
 	if n := g.inFlight.cancel(id, errRestarted); n > 0 {
 		event.Log(g.cfg.Log, event.AttemptsLost, "target", id, "attempts", n)
 	}
@@ -231,8 +231,8 @@
 	}
 }
 
-// Heard adds a target's crash that another entry reported.
-func (g *Gateway) Heard(now time.Time, c quarantine.Crash) { g.crashes.addReported(now, c) }
+// AddReportedCrash adds a target's crash that another entry reported.
+func (g *Gateway) AddReportedCrash(now time.Time, c quarantine.Crash) { g.crashes.addReported(now, c) }
 
 // TokensPerMs returns how fast the fastest service's engines prefill prompts, zero while unknown.
 func (g *Gateway) TokensPerMs() float64 { return g.profiles.tokensPerMs() }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -183,7 +183,7 @@
 func TestRepeatsAreBounded(t *testing.T) {
 	a, b := newFakeEngine(t, "a", respond(error500)), newFakeEngine(t, "b", respond(error500))
 	env := newTestEnv(t, a, b)
-	env.gateway.cfg.RepeatSlack = 54 // an entry's share among eight is 5
+	env.gateway.cfg.RetrySlack = 54 // an entry's share among eight is 5
 
 	const requests = 100
 	for range requests {
@@ -199,14 +199,14 @@
 // retry four times as often as all may together.
 func TestEntriesShareTheSlackOfRepeats(t *testing.T) {
 	env := newTestEnv(t)
-	env.gateway.cfg.RepeatSlack = 100
+	env.gateway.cfg.RetrySlack = 100
 
 	tests := []struct{ entries, want int }{
 		{1, 9}, {8, 9}, {30, 2}, {420, 1},
 	}
 
 	for _, tt := range tests {
-		env.gateway.SetSharers(tt.entries)
+		env.gateway.SetEntryCount(tt.entries)
 
 		if got := env.gateway.retryFloor(); got != tt.want {
 			t.Errorf("%d entries: got %d, want %d", tt.entries, got, tt.want)
--- a/gateway/metrics/metrics.go
+++ b/gateway/metrics/metrics.go
@@ -33,8 +33,8 @@
 	LogAge func() float64
 	// Dials returns the number of connections opened to targets.
 	Dials func() float64
-	// VaultTokens and VaultRoom return the tokens kept in stores and the stores' capacity.
-	VaultTokens, VaultRoom func() float64
+	// VaultTokens and VaultCapacity return the tokens kept in stores and the stores' capacity.
+	VaultTokens, VaultCapacity func() float64
 	// LinesLeftOut returns the number of log lines left out.
 	LinesLeftOut func() float64
 	// TokensPerMs returns the engines' prefill speed, zero while unknown.
@@ -68,7 +68,7 @@
 		{"boragehub_log_age_seconds", "How old what is known of the log may be.", g.LogAge},
 		{"boragehub_target_connections_opened", "Connections opened to targets since the start.", g.Dials},
 		{"boragehub_vault_tokens", "Tokens kept in stores that answer.", g.VaultTokens},
-		{"boragehub_vault_room_tokens", "Room of stores that answer.", g.VaultRoom},
+		{"boragehub_vault_room_tokens", "Room of stores that answer.", g.VaultCapacity},
 		{"boragehub_log_lines_left_out", "Log lines left out since the start.", g.LinesLeftOut},
 		{"boragehub_engine_tokens_per_ms", "How fast engines read prompts as learned from answers, zero while not known.", g.TokensPerMs},
 	} {
@@ -92,5 +92,5 @@
 // Failed counts an attempt without a complete response.
 func (m *Metrics) Failed(outcome string) { m.failed.WithLabelValues(outcome).Inc() }
 
-// Unreadable counts a log record that could not be decoded.
-func (m *Metrics) Unreadable() { m.unreadable.Inc() }
+// RecordUnreadable counts a log record that could not be decoded.
+func (m *Metrics) RecordUnreadable() { m.unreadable.Inc() }
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -45,7 +45,7 @@
 	env.registeredSince = time.Now().Add(-20 * time.Second) // a short outage of the log
 	env.request(t, "POST", "/llm/1", "x", "Tokens", "5000")
 
-	env.gateway.Named(time.Now(), "m", 2, env.versionsKnownAt) // the outage was of this process alone
+	env.gateway.VersionNamed(time.Now(), "m", 2, env.versionsKnownAt) // the outage was of this process alone
 	env.request(t, "POST", "/llm/1", "x", "Tokens", "5000")
 
 	if got, want := e.arrival(0).Header.Get("Fetch"), "vault:1,"; got != want {
@@ -99,14 +99,14 @@
 	a := newFakeEngine(t, "a", hasVersion("1"))
 	env := newTestEnv(t, a)
 	now := time.Now()
-	env.gateway.Named(now.Add(-6*time.Second), "m", 2, now.Add(-8*time.Second))
+	env.gateway.VersionNamed(now.Add(-6*time.Second), "m", 2, now.Add(-8*time.Second))
 
 	if got := env.request(t, "POST", "/llm/1", "x", "Tokens", "500"); got.status != 200 {
 		t.Errorf("after 6 s: got %d, want 200", got.status)
 	}
 
 	before := a.count()
-	env.gateway.Named(now.Add(-6600*time.Millisecond), "m", 3, now.Add(-9*time.Second))
+	env.gateway.VersionNamed(now.Add(-6600*time.Millisecond), "m", 3, now.Add(-9*time.Second))
 
 	if got := env.request(t, "POST", "/llm/1", "x", "Tokens", "500"); got.status != 503 {
 		t.Errorf("after 6.6 s: got %d, want 503", got.status)
@@ -133,7 +133,7 @@
 	a := newFakeEngine(t, "a", hasVersion("2"))
 	env := newTestEnv(t, a) // the roster has it with version 1
 	now := time.Now()
-	env.gateway.Named(now.Add(-time.Minute), "m", 2, now.Add(-time.Minute))
+	env.gateway.VersionNamed(now.Add(-time.Minute), "m", 2, now.Add(-time.Minute))
 
 	if got := env.request(t, "POST", "/llm/1", "x", "Tokens", "500"); got.status != 200 {
 		t.Errorf("got %d, want 200", got.status)
@@ -151,7 +151,7 @@
 func TestWeightsNamedBeforeTheStartAreRequiredSoon(t *testing.T) {
 	env := newTestEnv(t, newFakeEngine(t, "a", respond(streamHead+events(1, 1)+streamEnd)))
 	start := time.Now()
-	env.gateway.Named(start, "m", 2, time.Time{})
+	env.gateway.VersionNamed(start, "m", 2, time.Time{})
 
 	tests := []struct {
 		after time.Duration
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -43,7 +43,7 @@
 }
 
 // readResponse reads a response to its end before any of it goes to the caller.
-func (t *task) readResponse(ctx context.Context, c choice, x *upstream.Exchange, a Answer) outcome {
+func (t *task) readResponse(ctx context.Context, c choice, x *upstream.Exchange, a ResponseHead) outcome {
 	body, err := io.ReadAll(io.LimitReader(x, maxResponseBytes+1))
 	if err == nil && len(body) > maxResponseBytes {
 		err = errResponseTooLong
@@ -56,7 +56,7 @@
 	ok := x.Status() >= 200 && x.Status() < 300
 
 	switch {
-	case ok && (!a.Genuine || a.Encoded):
+	case ok && (!a.Signed || a.Encoded):
 		return outcome{mayHaveRun: true, kind: failure.TargetLost, cause: errNotGenuine, targetOutcome: target.Failed}
 	case ok:
 		t.g.cfg.Crashes.Completed(time.Now(), t.fingerprint)
@@ -70,12 +70,12 @@
 }
 
 // errorResponse returns the outcome of a response that reports a failure at the target.
-func (t *task) errorResponse(x *upstream.Exchange, a Answer, body []byte) outcome {
+func (t *task) errorResponse(x *upstream.Exchange, a ResponseHead, body []byte) outcome {
 	o := outcome{mayHaveRun: true, kind: failure.TargetLost, targetOutcome: target.Failed}
 	o.cause = errors.New("the target responded with status " + strconv.Itoa(x.Status()))
 
 	switch {
-	case impliesNotRun(x.Status()) || !a.Genuine:
+	case impliesNotRun(x.Status()) || !a.Signed:
 		// The target doesn't say that the request has not run, but the caller would take
 		// its status for a promise of just that.
 	case x.Status() < http.StatusInternalServerError:
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -33,7 +33,7 @@
 		task := &task{
 			g:       g,
 			service: site.Service{Engines: &site.Engines{MemoryTokens: 70_000}},
-			arrival: Arrival{Prompt: &Prompt{Tokens: tt.tokens}},
+			arrival: CallerRequest{Prompt: &Prompt{Tokens: tt.tokens}},
 		}
 
 		if got := task.fitsMemory(tt.engine); got != tt.want {
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -216,11 +216,11 @@
 // Stop begins a planned stop: Ready returns false from now on, but all requests are still accepted.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Close begins the last phase of a planned stop, when balancer and callers know of it: requests
+// StartDrain begins the last phase of a planned stop, when balancer and callers know of it: requests
 // that are long, or may still be running at end, are refused without having run. At end the last
 // responses have to be sent, and requests that still wait for an engine are refused.
-func (g *Gateway) Close(now, end time.Time) { g.drain.start(now, end) }
+func (g *Gateway) StartDrain(now, end time.Time) { g.drain.start(now, end) }
 
-// Short reports whether the callers' port may close, as no long request is in flight or no more
+// MayClosePort reports whether the callers' port may close, as no long request is in flight or no more
 // can be served.
-func (g *Gateway) Short(now time.Time) bool { return g.drain.mayClosePort(now) }
+func (g *Gateway) MayClosePort(now time.Time) bool { return g.drain.mayClosePort(now) }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -156,7 +156,7 @@
 	}
 
 	now := time.Now()
-	env.gateway.Close(now, now)
+	env.gateway.StartDrain(now, now)
 
 	if r := <-got; r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
 		t.Errorf("got %d %v, want a refusal with a Retry-After time", r.status, r.err)
@@ -178,7 +178,7 @@
 	}
 
 	now := time.Now()
-	env.gateway.Close(now, now.Add(time.Second))
+	env.gateway.StartDrain(now, now.Add(time.Second))
 
 	body, part := io.Pipe()
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -53,8 +53,8 @@
 // forwardStream forwards a stream, complete events only. If an engine breaks off within an event,
 // the next engine continues after the last complete one. At the regular end of the stream the rest
 // is forwarded as it is.
-func (t *task) forwardStream(ctx context.Context, c choice, x *upstream.Exchange, a Answer) outcome {
-	if !a.Genuine || a.Encoded {
+func (t *task) forwardStream(ctx context.Context, c choice, x *upstream.Exchange, a ResponseHead) outcome {
+	if !a.Signed || a.Encoded {
 		return outcome{mayHaveRun: true, kind: failure.TargetLost, cause: errNotGenuine, targetOutcome: target.Failed}
 	}
 
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -28,7 +28,7 @@
 	cfg          *site.Configuration
 	route        *site.Route
 	organisation *site.Organisation // nil for none
-	arrival      Arrival
+	arrival      CallerRequest
 	body         []byte
 	service      site.Service
 	hash         uint64 // of the request id: evenly spread, the same for all attempts
@@ -58,7 +58,7 @@
 func (t *task) accept(now time.Time) error {
 	t.cfg = t.g.current.Load()
 
-	a, err := t.g.cfg.Dialect.Arrival(t.r)
+	a, err := t.g.cfg.Dialect.ParseRequest(t.r)
 	t.arrival = a
 
 	if err != nil {
@@ -108,7 +108,7 @@
 		return nil
 	}
 
-	o, ok := t.cfg.Caller(t.arrival.Key)
+	o, ok := t.cfg.Caller(t.arrival.APIKey)
 	if ok {
 		t.organisation = o
 
@@ -168,8 +168,8 @@
 
 func (t *task) setDeadline(now time.Time) {
 	most := defaultTimeout
-	if t.arrival.Deadline > 0 {
-		most = t.arrival.Deadline
+	if t.arrival.Timeout > 0 {
+		most = t.arrival.Timeout
 	}
 
 	if t.route.Timeout > 0 {
@@ -226,7 +226,7 @@
 	a := kind.Answer()
 	h := t.w.Header()
 	clearHeaders(h)
-	t.g.cfg.Dialect.Mark(h, &t.arrival)
+	t.g.cfg.Dialect.SetRequestID(h, &t.arrival)
 
 	after := e.RetryAfter()
 	if a.Ran == failure.NotRun && a.Retryable && after > 0 {
--- a/gateway/version.go
+++ b/gateway/version.go
@@ -38,12 +38,12 @@
 // would get requests for as long again.
 const startupGrace = 3900 * time.Millisecond
 
-// Named records that operators named a weight version. Before is when the previous version was
+// VersionNamed records that operators named a weight version. Before is when the previous version was
 // last known for certain to be the newest, zero for a version that was there when this process
 // started.
-func (g *Gateway) Named(now time.Time, model string, version int64, before time.Time) {
+func (g *Gateway) VersionNamed(now time.Time, model string, version int64, before time.Time) {
 	if before.IsZero() {
-		now = now.Add(min(startupGrace-g.cfg.VersionWithin, 0))
+		now = now.Add(min(startupGrace-g.cfg.VersionDeadline, 0))
 	}
 
 	g.mu.Lock()
@@ -88,20 +88,20 @@
 
 // minQueuedVersion returns the version of a model below which requests that wait are cancelled, zero for none.
 func (g *Gateway) minQueuedVersion(now time.Time, model string) int64 {
-	if g.cfg.VersionWithin <= 0 {
+	if g.cfg.VersionDeadline <= 0 {
 		return 0
 	}
 
-	return g.versionNamedFor(now, model, g.cfg.VersionWithin-cancelMargin)
+	return g.versionNamedFor(now, model, g.cfg.VersionDeadline-cancelMargin)
 }
 
 // requiredVersion returns the version of a model below which an engine gets no requests, zero for none.
 func (g *Gateway) requiredVersion(now time.Time, model string) int64 {
-	if g.cfg.VersionWithin <= 0 {
+	if g.cfg.VersionDeadline <= 0 {
 		return 0
 	}
 
-	return g.versionNamedFor(now, model, g.cfg.VersionWithin-sendMargin)
+	return g.versionNamedFor(now, model, g.cfg.VersionDeadline-sendMargin)
 }
 
 // mayFetch reports whether a part that was computed with a version of a model may be fetched from
