--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -79,8 +79,8 @@
 	e.pool = upstream.NewPool(upstream.Config{})
 	e.watcher = vault.NewWatcher(vault.WatcherConfig{
 		Directory: directory, Source: platformClient, Peers: storePeers{e.client, e.registration, cfg.Peers}, Log: log,
-		Turn:  func(address string) int { return members.Rank(time.Now(), address) },
-		Still: e.roster.Still,
+		Rank:         func(address string) int { return members.Rank(time.Now(), address) },
+		EnginePaused: e.roster.Still,
 	})
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
@@ -127,7 +127,7 @@
 			before := operators.Before()
 			e.gateway.VersionNamed(now, v.Model, v.Version, before)
 			e.standby.Name(loader.Named{Model: v.Model, Version: v.Version, Before: before.IsZero()})
-			e.watcher.Named(now, v.Model, v.Version, v.Offset)
+			e.watcher.SetNewestVersion(now, v.Model, v.Version, v.Offset)
 		},
 		Evacuated:  e.roster.Evacuate,
 		Unreadable: meter.RecordUnreadable, Log: e.log,
@@ -183,7 +183,7 @@
 
 	for _, s := range c.Vaults() {
 		stores = append(stores, vault.Store{
-			Address: s.Vault.Address, DataCentre: s.Vault.DataCentre, Room: s.Vault.RoomTokens, FirstByte: s.Vault.FirstByte,
+			Address: s.Vault.Address, DataCentre: s.Vault.DataCentre, CapacityTokens: s.Vault.RoomTokens, FirstByte: s.Vault.FirstByte,
 			TokensPerMs: site.TokensPerMs(s.Vault.LinkMbps, c.TokenBytes()),
 		})
 	}
@@ -193,7 +193,7 @@
 
 // onReport handles a side process's load report.
 func (e *gatewayProcess) onReport(now time.Time, p pulse.Pulse) {
-	e.directory.Hear(now, p.Clock)
+	e.directory.SetClock(now, p.Clock)
 	e.roster.Pulse(now, p)
 }
 
@@ -270,7 +270,7 @@
 	for pause.For(ctx, tickInterval) {
 		now := time.Now()
 		entries := e.members.Size(now)
-		e.directory.SetSharers(entries)
+		e.directory.SetProcessCount(entries)
 		e.gateway.SetEntryCount(entries)
 		e.roster.Tick(now)
 		e.gateway.Tick(now)
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -58,8 +58,8 @@
 				return
 			}
 
-			probe.Hold(evacuated)
-			guard.Doubt(now)
+			probe.Suspend(evacuated)
+			guard.AssumeCold(now)
 		},
 		Named: func(_ time.Time, v platform.WeightVersion) {
 			l.Name(loader.Named{Model: v.Model, Version: v.Version, Before: operators.Before().IsZero()})
@@ -74,7 +74,7 @@
 	partsFollower := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: platformClient})
 
 	reporter, err := pulse.NewBeacon(pulse.BeaconConfig{
-		Address: cfg.Internal(reportPortOffset), Engine: platformClient, EngineAddress: cfg.Engine, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Forget, LoadIn: l.LoadIn,
+		Address: cfg.Internal(reportPortOffset), Engine: platformClient, EngineAddress: cfg.Engine, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Reset, LoadIn: l.LoadIn,
 	})
 	if err != nil {
 		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
--- a/experiment/drawn/play.go
+++ b/experiment/drawn/play.go
@@ -60,7 +60,7 @@
 
 // entry is what an entry has learned, and what it has sent since the last load reports.
 type entry struct {
-	profile                               profile.Fleet
+	profile                               profile.Service
 	sentRequests, sentPrefill, sentMemory []int // by engine
 }
 
@@ -215,9 +215,9 @@
 		prefillTokens += p.sharedTokens
 	}
 
-	x.profile.Sent(prefillTokens, p.memory(), s.d.Kinds[p.kind].FirstEventLimit)
+	x.profile.ObservePrompt(prefillTokens, p.memory(), s.d.Kinds[p.kind].FirstEventLimit)
 
-	if s.policy == Decide && !x.profile.Quick(prefillTokens) {
+	if s.policy == Decide && !x.profile.IsShort(prefillTokens) {
 		p.rank = 1
 	}
 
@@ -258,7 +258,7 @@
 	s.result.RecomputedTokens += p.recomputedTokens
 
 	if p.engineIdle {
-		p.entry.profile.Read(p.prefillTokens, now-p.sentAt)
+		p.entry.profile.ObserveFirstEvent(p.prefillTokens, now-p.sentAt)
 	}
 
 	if now-p.arrivedAt <= s.d.Kinds[p.kind].FirstEventLimit {
@@ -286,7 +286,7 @@
 		c.SentTokens, c.UsedTokens = x.sentPrefill[i], e.report.UsedTokens+x.sentMemory[i]
 		c.Has, c.New = e.cached[p.prefix] > 0, !s.computedPrefixes[p.prefix]
 
-		if memoryFull(e.report, c.UsedTokens+x.profile.Memory()*c.Waiting+p.memory(), x.sentRequests[i], s.d.MemoryTokens) {
+		if memoryFull(e.report, c.UsedTokens+x.profile.MeanKVTokens()*c.Waiting+p.memory(), x.sentRequests[i], s.d.MemoryTokens) {
 			c.Excluded = route.NoRoom
 			fullEngines++
 		}
@@ -300,7 +300,7 @@
 	default:
 	}
 
-	d := route.DecideOpening(x.profile.Opening(s.d.MemoryTokens), r, candidates)
+	d := route.DecideOpening(x.profile.SharedPrefixConfig(s.d.MemoryTokens), r, candidates)
 
 	switch {
 	case !d.Found():
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -168,7 +168,7 @@
 	}
 
 	if t.arrival.Prompt != nil {
-		t.profile().Sent(c.prefillTokens, c.memoryTokens, t.route.Aim)
+		t.profile().ObservePrompt(c.prefillTokens, c.memoryTokens, t.route.Aim)
 	}
 
 	t.sentAt = now
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -8,7 +8,7 @@
 func (t *task) scope(version int64) vault.Scope {
 	s := vault.Scope{Model: t.arrival.Prompt.Model, Version: version}
 	if t.organisation != nil && t.organisation.Isolated {
-		s.Wall = t.organisation.Name
+		s.Organisation = t.organisation.Name
 	}
 
 	return s
@@ -64,7 +64,7 @@
 		case x.heldBy(c.engine):
 			c.prefillTokens -= parts[i].Tokens
 		case ok:
-			t.g.cfg.Vaults.Promise(l.now, found)
+			t.g.cfg.Vaults.ReserveLink(l.now, found)
 
 			if found.Transfer > c.fetchTime {
 				c.fetchWait, c.fetchTime = found.Wait, found.Transfer
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -124,7 +124,7 @@
 	candidates := make([]route.OpeningCandidate, len(all))
 	all = assumeRequiredVersion(all, required)
 	l := t.lookup(now, all)
-	run := t.profile().Run(p.Output)
+	run := t.profile().AnswerTime(p.Output)
 
 	for i, e := range all {
 		candidates[i] = route.OpeningCandidate{
@@ -140,7 +140,7 @@
 		l.fillCandidate(&candidates[i], e, newest)
 	}
 
-	d := route.DecideOpening(t.profile().Opening(t.service.Engines.MemoryTokens), t.prefixRequest(), candidates)
+	d := route.DecideOpening(t.profile().SharedPrefixConfig(t.service.Engines.MemoryTokens), t.prefixRequest(), candidates)
 	if !d.Found() {
 		return choice{}, t.noEngineError(candidates, all)
 	}
@@ -161,7 +161,7 @@
 		reason: reason, cost: d.Cost(), candidates: len(all),
 	}
 	t.setCacheParams(l, &c)
-	c.params.Priority = enginePriority(t.priority(), t.profile().Quick(c.prefillTokens))
+	c.params.Priority = enginePriority(t.priority(), t.profile().IsShort(c.prefillTokens))
 	c.idle = e.Fresh && e.Pulse.Reading+e.Pulse.Waiting+e.Since.Requests == 0 && len(c.params.Fetch) == 0
 
 	return c, nil
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -277,10 +277,10 @@
 		SlowStart: func(service string) slowstart.Limit { return env.gateway.SlowStart(service) }, Entries: soleEntry{},
 	})
 	env.vaults = vault.NewDirectory(1)
-	env.vaults.Configure([]vault.Store{{Address: "vault:1", DataCentre: "east", Room: 100_000}})
+	env.vaults.Configure([]vault.Store{{Address: "vault:1", DataCentre: "east", CapacityTokens: 100_000}})
 	// Nothing is saved to stores whose epoch has only just become known.
-	env.vaults.Learn(now.Add(-4*time.Second), "vault:1", vault.Listing{Epoch: 1, Clock: 1000})
-	env.vaults.Follow(now, "vault:1", vault.Events{Epoch: 1, Clock: 5000})
+	env.vaults.ApplyListing(now.Add(-4*time.Second), "vault:1", vault.Listing{Epoch: 1, Clock: 1000})
+	env.vaults.ApplyEvents(now, "vault:1", vault.Events{Epoch: 1, Clock: 5000})
 
 	env.gateway = New(Config{
 		DataCentre: "east", Dialect: testDialect{}, Roster: env.roster, Pool: upstream.NewPool(upstream.Config{}), Vaults: env.vaults,
--- a/gateway/fleets.go
+++ b/gateway/fleets.go
@@ -12,21 +12,21 @@
 // together, the figures would fit neither.
 type serviceProfiles struct {
 	mu        sync.Mutex
-	byService map[string]*profile.Fleet
+	byService map[string]*profile.Service
 }
 
 // forService returns the profile of a service's engines.
-func (p *serviceProfiles) forService(service string) *profile.Fleet {
+func (p *serviceProfiles) forService(service string) *profile.Service {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	x, ok := p.byService[service]
 	if !ok {
 		if p.byService == nil {
-			p.byService = make(map[string]*profile.Fleet)
+			p.byService = make(map[string]*profile.Service)
 		}
 
-		x = &profile.Fleet{}
+		x = &profile.Service{}
 		p.byService[service] = x
 	}
 
--- a/gateway/fleets_test.go
+++ b/gateway/fleets_test.go
@@ -14,10 +14,10 @@
 func learnSpeed(g *Gateway) {
 	for i := range 64 {
 		tokens := 200 * (i % 16)
-		g.profiles.forService("llm").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*10*time.Microsecond)
+		g.profiles.forService("llm").ObserveFirstEvent(tokens, 40*time.Millisecond+time.Duration(tokens)*10*time.Microsecond)
 	}
 
-	g.profiles.forService("llm").Sent(2000, 2000, 300*time.Millisecond)
+	g.profiles.forService("llm").ObservePrompt(2000, 2000, 300*time.Millisecond)
 }
 
 // After a version change no part is cached, and engines have prompts to prefill for longer than
@@ -109,8 +109,8 @@
 
 	for i := range 64 {
 		tokens := 200 * (i % 16)
-		f.forService("slow").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*20*time.Microsecond)
-		f.forService("fast").Read(tokens, 40*time.Millisecond+time.Duration(tokens)*2*time.Microsecond)
+		f.forService("slow").ObserveFirstEvent(tokens, 40*time.Millisecond+time.Duration(tokens)*20*time.Microsecond)
+		f.forService("fast").ObserveFirstEvent(tokens, 40*time.Millisecond+time.Duration(tokens)*2*time.Microsecond)
 	}
 
 	if slow, fast := f.forService("slow").TokensPerMs(), f.forService("fast").TokensPerMs(); slow > 55 || fast < 450 {
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -32,7 +32,7 @@
 	e := newFakeEngine(t, "a", respond(streamHead+events(1, 1)+streamEnd))
 	env := newTestEnv(t, e)
 	part := vault.Part{Salt: vault.Scope{Model: "m", Version: 1}.Salt(), ID: "shared"}
-	env.vaults.Follow(time.Now(), "vault:1", vault.Events{Epoch: 1, Next: 1, Clock: 5000, Events: []vault.Event{{Held: vault.Held{Part: part, Tokens: 4990}, Added: true}}})
+	env.vaults.ApplyEvents(time.Now(), "vault:1", vault.Events{Epoch: 1, Next: 1, Clock: 5000, Events: []vault.Event{{Held: vault.Held{Part: part, Tokens: 4990}, Added: true}}})
 
 	env.request(t, "POST", "/llm/1", "x", "Tokens", "5000")
 
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -163,7 +163,7 @@
 	}
 
 	p := t.arrival.Prompt
-	used := e.Pulse.UsedTokens + e.Since.Memory + t.profile().Memory()*e.Pulse.Waiting
+	used := e.Pulse.UsedTokens + e.Since.Memory + t.profile().MeanKVTokens()*e.Pulse.Waiting
 
 	return float64(used+p.Tokens+p.Output) <= maxMemoryShare*float64(t.service.Engines.MemoryTokens)
 }
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -28,7 +28,7 @@
 
 	for _, tt := range tests {
 		g := &Gateway{}
-		g.profiles.forService("").Sent(4000, 15_000, time.Second)
+		g.profiles.forService("").ObservePrompt(4000, 15_000, time.Second)
 
 		task := &task{
 			g:       g,
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -106,7 +106,7 @@
 // recordFirstEvent measures the engines' prefill speed by the time to the first event.
 func (t *task) recordFirstEvent(c *choice) {
 	if c.idle {
-		t.profile().Read(c.prefillTokens, time.Since(t.sentAt))
+		t.profile().ObserveFirstEvent(c.prefillTokens, time.Since(t.sentAt))
 	}
 }
 
@@ -120,7 +120,7 @@
 	t.g.cfg.Crashes.Completed(now, t.fingerprint)
 
 	if t.arrival.Prompt != nil {
-		t.profile().Ended(t.arrival.Prompt.Output, now.Sub(t.stream.first))
+		t.profile().ObserveAnswer(t.arrival.Prompt.Output, now.Sub(t.stream.first))
 	}
 
 	t.served(c, x.Status(), t.stream.first)
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -193,7 +193,7 @@
 }
 
 // profile returns the profile of the engines of the request's service.
-func (t *task) profile() *profile.Fleet { return t.g.profiles.forService(t.service.Name) }
+func (t *task) profile() *profile.Service { return t.g.profiles.forService(t.service.Name) }
 
 // model returns the model that the request names; empty for none.
 func (t *task) model() string {
--- a/gateway/version.go
+++ b/gateway/version.go
@@ -114,7 +114,7 @@
 	since := g.registeredSince()
 	asked := newest && !since.IsZero() && current.After(since)
 
-	return p.Right(now, current, asked)
+	return p.MayFetch(now, current, asked)
 }
 
 // lastKnownNewest returns when a version was last known for certain to be the newest of its
--- a/mirror/exchange/compress_test.go
+++ b/mirror/exchange/compress_test.go
@@ -95,16 +95,16 @@
 	follower.Configure(stores)
 
 	for i, s := range stores {
-		e.vaults.Learn(time.Now(), s.Address, vault.Listing{Epoch: 162382030219276 + int64(i), Clock: 1776805800959 + int64(i)})
+		e.vaults.ApplyListing(time.Now(), s.Address, vault.Listing{Epoch: 162382030219276 + int64(i), Clock: 1776805800959 + int64(i)})
 
-		for _, u := range e.vaults.Tell(time.Now(), []vault.Position{follower.Followed(s.Address)}) {
-			follower.Adopt(time.Now(), u)
+		for _, u := range e.vaults.Updates(time.Now(), []vault.Position{follower.PeerPosition(s.Address)}) {
+			follower.ApplyUpdate(time.Now(), u)
 		}
 
-		positions = append(positions, follower.Followed(s.Address))
+		positions = append(positions, follower.PeerPosition(s.Address))
 	}
 
-	want := e.vaults.Tell(time.Now(), positions)
+	want := e.vaults.Updates(time.Now(), positions)
 
 	for name, message := range map[string]any{"request": positions, "response": want} {
 		body, err := cbor.Marshal(message)
@@ -123,7 +123,7 @@
 	}
 
 	got, err := NewClient(NewMembers("", nil)).Ask(context.Background(), e.address, positions)
-	if err != nil || len(got) != storeCount || got[storeCount-1].Epoch != want[storeCount-1].Epoch || !got[storeCount-1].Watched {
+	if err != nil || len(got) != storeCount || got[storeCount-1].Epoch != want[storeCount-1].Epoch || !got[storeCount-1].Reachable {
 		t.Errorf("got %d updates, %v, want %d", len(got), err, storeCount)
 	}
 }
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -196,10 +196,10 @@
 func TestStoresAreToldOf(t *testing.T) {
 	e := newEntry(t)
 	e.vaults.Configure([]vault.Store{{Address: "s1"}})
-	e.vaults.Learn(time.Now(), "s1", vault.Listing{Epoch: 3, Clock: 5, Held: []vault.Held{{Part: vault.Part{Salt: "x", ID: "a"}, Tokens: 7}}})
+	e.vaults.ApplyListing(time.Now(), "s1", vault.Listing{Epoch: 3, Clock: 5, Held: []vault.Held{{Part: vault.Part{Salt: "x", ID: "a"}, Tokens: 7}}})
 
 	u, err := NewClient(NewMembers("", nil)).Ask(context.Background(), e.address, []vault.Position{{Address: "s1"}, {Address: "s2"}})
-	if err != nil || len(u) != 2 || !u[0].Watched || len(u[0].Events) != 1 || u[0].Events[0].Tokens != 7 || u[1].Watched {
+	if err != nil || len(u) != 2 || !u[0].Reachable || len(u[0].Events) != 1 || u[0].Events[0].Tokens != 7 || u[1].Reachable {
 		t.Errorf("got %+v %v", u, err)
 	}
 }
--- a/mirror/exchange/server.go
+++ b/mirror/exchange/server.go
@@ -223,7 +223,7 @@
 // storeUpdates returns the changes of stores since the positions in the request.
 func (s *Server) storeUpdates(w http.ResponseWriter, r *http.Request) {
 	if positions, ok := readMessage[[]vault.Position](w, r); ok {
-		writeMessageCompressed(w, r, s.vaults.Tell(time.Now(), positions))
+		writeMessageCompressed(w, r, s.vaults.Updates(time.Now(), positions))
 	}
 }
 
--- a/profile/fleet.go
+++ b/profile/fleet.go
@@ -6,10 +6,10 @@
 	"boragehub/route"
 )
 
-// Fleet is what one entry has learned of a service's engines and of the prompts that it
+// Service is what one entry has learned of a service's engines and of the prompts that it
 // sends to them. The zero value has learned nothing; its methods are safe for concurrent
 // use.
-type Fleet struct {
+type Service struct {
 	prefillRate RateEstimator
 	// prefillTokens are the tokens of a prompt that its engine has to prefill, and kvTokens
 	// those that the prompt and its answer take in the engine's memory.
@@ -23,64 +23,64 @@
 	outputTokenMs Mean
 }
 
-// Sent records what a prompt requires of its engine: tokens to prefill, tokens of memory,
+// ObservePrompt records what a prompt requires of its engine: tokens to prefill, tokens of memory,
 // and the time within which its first event is on time.
-func (f *Fleet) Sent(prefillTokens, kvTokens int, latencyGoal time.Duration) {
+func (f *Service) ObservePrompt(prefillTokens, kvTokens int, latencyGoal time.Duration) {
 	f.prefillTokens.Observe(float64(prefillTokens))
 	f.kvTokens.Observe(float64(kvTokens))
 
-	if f.Quick(prefillTokens) {
+	if f.IsShort(prefillTokens) {
 		f.shortPrefillTokens.Observe(float64(prefillTokens))
 		f.shortLatencyGoalMs.Observe(float64(latencyGoal) / float64(time.Millisecond))
 	}
 }
 
-// Read records the time to the first event of a prompt whose engine had nothing else to
+// ObserveFirstEvent records the time to the first event of a prompt whose engine had nothing else to
 // prefill and fetched no part of it.
-func (f *Fleet) Read(prefillTokens int, first time.Duration) {
+func (f *Service) ObserveFirstEvent(prefillTokens int, first time.Duration) {
 	f.prefillRate.Observe(prefillTokens, first)
 }
 
-// Ended records the time from the first event to the end of a complete answer with a
+// ObserveAnswer records the time from the first event to the end of a complete answer with a
 // maximum length of output tokens.
-func (f *Fleet) Ended(output int, after time.Duration) {
+func (f *Service) ObserveAnswer(output int, after time.Duration) {
 	if output > 0 {
 		f.outputTokenMs.Observe(float64(after) / float64(time.Millisecond) / float64(output))
 	}
 }
 
-// Quick reports whether a number of tokens to prefill is no more than the mean.
-func (f *Fleet) Quick(prefillTokens int) bool {
+// IsShort reports whether a number of tokens to prefill is no more than the mean.
+func (f *Service) IsShort(prefillTokens int) bool {
 	mean, _ := f.prefillTokens.Value()
 
 	return float64(prefillTokens) <= mean
 }
 
-// Run returns the expected time from the first event to the end of an answer with a maximum
+// AnswerTime returns the expected time from the first event to the end of an answer with a maximum
 // length of output tokens; zero if no answer was complete yet.
-func (f *Fleet) Run(output int) time.Duration {
+func (f *Service) AnswerTime(output int) time.Duration {
 	ms, _ := f.outputTokenMs.Value()
 
 	return time.Duration(ms * float64(output) * float64(time.Millisecond))
 }
 
-// Memory returns the mean number of tokens of memory per prompt; zero if none was sent yet.
-func (f *Fleet) Memory() int {
+// MeanKVTokens returns the mean number of tokens of memory per prompt; zero if none was sent yet.
+func (f *Service) MeanKVTokens() int {
 	mean, _ := f.kvTokens.Value()
 
 	return int(mean)
 }
 
 // TokensPerMs returns the prefill rate of the engines; zero if it is not known yet.
-func (f *Fleet) TokensPerMs() float64 {
+func (f *Service) TokensPerMs() float64 {
 	rate, _ := f.prefillRate.TokensPerMs()
 
 	return rate
 }
 
-// Opening returns what is known for the routing of a prompt by its shared prefix, for
+// SharedPrefixConfig returns what is known for the routing of a prompt by its shared prefix, for
 // engines with memoryTokens of memory. Values that are not known yet are zero.
-func (f *Fleet) Opening(memoryTokens int) route.OpeningConfig {
+func (f *Service) SharedPrefixConfig(memoryTokens int) route.OpeningConfig {
 	cfg := route.OpeningConfig{MemoryTokens: memoryTokens, TokensPerMs: f.TokensPerMs()}
 	cfg.PromptTokens, _ = f.prefillTokens.Value()
 	cfg.QuickTokens, _ = f.shortPrefillTokens.Value()
--- a/pulse/reporter.go
+++ b/pulse/reporter.go
@@ -104,7 +104,7 @@
 
 		if lost && r.cfg.SlowStart != nil {
 			// The engine may have restarted.
-			r.cfg.SlowStart.Doubt(time.Now())
+			r.cfg.SlowStart.AssumeCold(time.Now())
 		}
 
 		lost = false
@@ -226,7 +226,7 @@
 	var permits map[string]int
 
 	if g := r.cfg.SlowStart; g != nil {
-		p.ColdMs, p.Warm = g.Left(now).Milliseconds(), g.Warm(now)
+		p.ColdMs, p.Warm = g.Remaining(now).Milliseconds(), g.Warm(now)
 		permits = g.Permits(now, claims(to))
 	}
 
@@ -248,10 +248,10 @@
 }
 
 // claims returns the subscribers' claims to the permits of a cold engine.
-func claims(to []subscriber) []slowstart.Claim {
-	all := make([]slowstart.Claim, len(to))
+func claims(to []subscriber) []slowstart.Entry {
+	all := make([]slowstart.Entry, len(to))
 	for i, s := range to {
-		all[i] = slowstart.Claim{Name: s.address.String(), Demand: s.demand}
+		all[i] = slowstart.Entry{Name: s.address.String(), Demand: s.demand}
 	}
 
 	return all
--- a/resident/resident.go
+++ b/resident/resident.go
@@ -116,7 +116,7 @@
 		if err != nil {
 			// An engine that does not answer may have restarted and lost all parts. The process
 			// that sends it orders logs that it is unresponsive.
-			f.Forget()
+			f.Reset()
 			pause.For(ctx, retryDelay)
 
 			continue
@@ -127,8 +127,8 @@
 	}
 }
 
-// Forget discards all parts, since the engine may have restarted with an empty memory.
-func (f *Follower) Forget() {
+// Reset discards all parts, since the engine may have restarted with an empty memory.
+func (f *Follower) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -134,7 +134,7 @@
 // load reports, given their interval. The target may have turned cold since the last report, and
 // then appears to be the least loaded one to all entries.
 func (r *Roster) maxUnreported(l slowstart.Limit, interval time.Duration) int {
-	return max(l.Most/2/max(r.liveEntries, 1), 1) * max(int(interval/unreportedInterval), 1)
+	return max(l.MaxPerSecond/2/max(r.liveEntries, 1), 1) * max(int(interval/unreportedInterval), 1)
 }
 
 // throttle returns the time until a target is warm, and whether this process may send it no
--- a/roster/slow_start_test.go
+++ b/roster/slow_start_test.go
@@ -184,7 +184,7 @@
 func (f *simFleet) sendReports(i int, e *simEngine) {
 	if f.now.Sub(e.probedAt) >= time.Second {
 		e.probedAt = f.now
-		e.guard.Told(f.now, max(e.coldUntil.Sub(f.now), 0))
+		e.guard.ReportRemaining(f.now, max(e.coldUntil.Sub(f.now), 0))
 	}
 
 	tick := int(f.now.Sub(at(0))/simStep) + i
@@ -192,11 +192,11 @@
 		return
 	}
 
-	var to []slowstart.Claim
+	var to []slowstart.Entry
 
 	for n := range f.entries {
 		if (n+tick/10)%2 == 0 { // each entry gets every second report
-			to = append(to, slowstart.Claim{Name: fmt.Sprint(n), Demand: 40})
+			to = append(to, slowstart.Entry{Name: fmt.Sprint(n), Demand: 40})
 		}
 	}
 
@@ -206,7 +206,7 @@
 		if (n+tick/10)%2 == 0 && f.rnd.Float64() >= f.loss && !f.now.Before(x.frozenUntil) {
 			x.r.Pulse(f.now, pulse.Pulse{
 				Engine: e.address, Model: "m", Version: 1, Born: e.startedMs, Interval: 200 * time.Millisecond,
-				ColdMs: e.guard.Left(f.now).Milliseconds(), Warm: e.guard.Warm(f.now), Permits: permits[fmt.Sprint(n)],
+				ColdMs: e.guard.Remaining(f.now).Milliseconds(), Warm: e.guard.Warm(f.now), Permits: permits[fmt.Sprint(n)],
 			})
 		}
 	}
@@ -322,8 +322,8 @@
 			}
 
 			for _, e := range f.engines {
-				if got := e.maxPerSecond(); got > coldLimit.Most {
-					r.Fatalf("%s: got %d requests within a second while cold, want %d at most", e.id, got, coldLimit.Most)
+				if got := e.maxPerSecond(); got > coldLimit.MaxPerSecond {
+					r.Fatalf("%s: got %d requests within a second while cold, want %d at most", e.id, got, coldLimit.MaxPerSecond)
 				}
 			}
 		}
@@ -353,8 +353,8 @@
 	for _, e := range f.engines {
 		served += e.served
 
-		if got := e.maxPerSecond(); got > coldLimit.Most {
-			t.Errorf("%s: got %d requests within a second, want %d at most", e.id, got, coldLimit.Most)
+		if got := e.maxPerSecond(); got > coldLimit.MaxPerSecond {
+			t.Errorf("%s: got %d requests within a second, want %d at most", e.id, got, coldLimit.MaxPerSecond)
 		}
 	}
 
@@ -388,7 +388,7 @@
 
 	for _, e := range f.engines {
 		e.guard = slowstart.NewGuard(coldLimit, 1)
-		e.guard.Doubt(f.now)
+		e.guard.AssumeCold(f.now)
 		e.probedAt = f.now.Add(100*time.Millisecond - time.Second)
 	}
 
@@ -414,8 +414,8 @@
 		senders, interval := coldLimit.Share(entries, false)
 		within := int(time.Second/interval) + 1
 
-		if got := senders * within; got > coldLimit.Most {
-			t.Errorf("%d entries: got %d requests within a second, want %d at most", entries, got, coldLimit.Most)
+		if got := senders * within; got > coldLimit.MaxPerSecond {
+			t.Errorf("%d entries: got %d requests within a second, want %d at most", entries, got, coldLimit.MaxPerSecond)
 		}
 
 		if got, want := float64(senders)/interval.Seconds(), 0.8*coldLimit.PerSecond; got < want {
--- a/slowstart/guard.go
+++ b/slowstart/guard.go
@@ -48,9 +48,9 @@
 	g.extendCold(now, g.limit.Duration-ago)
 }
 
-// Told records how much longer the target stays cold, as it reported; zero means that it is
+// ReportRemaining records how much longer the target stays cold, as it reported; zero means that it is
 // warm.
-func (g *Guard) Told(now time.Time, remaining time.Duration) {
+func (g *Guard) ReportRemaining(now time.Time, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -72,8 +72,8 @@
 	return b
 }
 
-// Doubt records that the target may have become cold at now.
-func (g *Guard) Doubt(now time.Time) { g.Started(now, 0) }
+// AssumeCold records that the target may have become cold at now.
+func (g *Guard) AssumeCold(now time.Time) { g.Started(now, 0) }
 
 // extendCold extends the time for which the target is taken for cold; it never shortens it.
 // The caller holds mu.
@@ -108,8 +108,8 @@
 	return g.confirmedWarm && !now.Before(g.coldUntil)
 }
 
-// Left returns how much longer the target stays cold; zero if its requests are not limited.
-func (g *Guard) Left(now time.Time) time.Duration {
+// Remaining returns how much longer the target stays cold; zero if its requests are not limited.
+func (g *Guard) Remaining(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -124,8 +124,8 @@
 	return max(g.coldUntil.Sub(now), 0)
 }
 
-// Claim is the claim of one entry to permits.
-type Claim struct {
+// Entry is the claim of one entry to permits.
+type Entry struct {
 	// Name is the name of the entry.
 	Name string
 	// Demand is how many requests a second arrive at the entry; zero if it has not reported
@@ -136,7 +136,7 @@
 // Permits issues the permits that have accrued since the last call. It draws the entry that
 // gets each permit at random, in proportion to demand, and returns the number of permits by
 // entry name.
-func (g *Guard) Permits(now time.Time, claims []Claim) map[string]int {
+func (g *Guard) Permits(now time.Time, claims []Entry) map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
--- a/slowstart/guard_test.go
+++ b/slowstart/guard_test.go
@@ -13,7 +13,7 @@
 )
 
 // issuePermits calls Permits every 100 ms and returns the number of permits by entry.
-func issuePermits(g *Guard, from time.Time, d time.Duration, claims ...Claim) map[string]int {
+func issuePermits(g *Guard, from time.Time, d time.Duration, claims ...Entry) map[string]int {
 	all := make(map[string]int)
 
 	for now := from; now.Before(from.Add(d)); now = now.Add(100 * time.Millisecond) {
@@ -27,7 +27,7 @@
 
 func TestPermitsAreHandedOutOnlyWhileTheTargetIsCold(t *testing.T) {
 	g := NewGuard(limit, 1)
-	claim := Claim{"a", 10}
+	claim := Entry{"a", 10}
 
 	if got := issuePermits(g, epoch, time.Second, claim); len(got) != 0 {
 		t.Errorf("warm: got %v permits, want none", got)
@@ -43,7 +43,7 @@
 		t.Errorf("cold: got %d permits in 2 s, want %d to 64", got, want)
 	}
 
-	g.Told(epoch.Add(3*time.Second), 0)
+	g.ReportRemaining(epoch.Add(3*time.Second), 0)
 
 	if !g.Warm(epoch.Add(3 * time.Second)) {
 		t.Error("got a target not known to be warm, want it known")
@@ -61,12 +61,12 @@
 	g := NewGuard(limit, 1)
 	g.Started(epoch, 0)
 
-	first := issuePermits(g, epoch.Add(time.Second), 20*time.Second, Claim{"idle", 0}, Claim{"usual", 30}, Claim{"busy", 90})
+	first := issuePermits(g, epoch.Add(time.Second), 20*time.Second, Entry{"idle", 0}, Entry{"usual", 30}, Entry{"busy", 90})
 	if first["busy"] < 2*first["usual"] || first["usual"] < 2*first["idle"] || first["idle"] == 0 {
 		t.Errorf("got %v, want permits in proportion to the demand and some for the idle entry", first)
 	}
 
-	then := issuePermits(g, epoch.Add(21*time.Second), 2*time.Second, Claim{"idle", 90}, Claim{"usual", 30}, Claim{"busy", 0})
+	then := issuePermits(g, epoch.Add(21*time.Second), 2*time.Second, Entry{"idle", 90}, Entry{"usual", 30}, Entry{"busy", 0})
 	if then["idle"] < then["usual"] {
 		t.Errorf("got %v after the demand changed, want most for the entry that was idle before", then)
 	}
@@ -76,16 +76,16 @@
 // was restarted.
 func TestDoubtStandsUntilTheTargetIsAsked(t *testing.T) {
 	g := NewGuard(limit, 1)
-	g.Told(epoch, 0)
-	g.Doubt(epoch.Add(time.Second))
+	g.ReportRemaining(epoch, 0)
+	g.AssumeCold(epoch.Add(time.Second))
 
-	if now := epoch.Add(2 * time.Second); g.Warm(now) || g.Left(now) != 2*time.Second {
-		t.Errorf("got warm %v and %v left, want 2s", g.Warm(now), g.Left(now))
+	if now := epoch.Add(2 * time.Second); g.Warm(now) || g.Remaining(now) != 2*time.Second {
+		t.Errorf("got warm %v and %v left, want 2s", g.Warm(now), g.Remaining(now))
 	}
 
-	g.Told(epoch.Add(2*time.Second), 500*time.Millisecond)
+	g.ReportRemaining(epoch.Add(2*time.Second), 500*time.Millisecond)
 
-	if got := g.Left(epoch.Add(4 * time.Second)); got != 0 {
+	if got := g.Remaining(epoch.Add(4 * time.Second)); got != 0 {
 		t.Errorf("got %v left after the reported time, want none", got)
 	}
 }
@@ -114,16 +114,16 @@
 	}
 
 	g.SetLimit(limit)
-	p.Hold(true)
+	p.Suspend(true)
 
 	if got := p.nextPath(); got != "" {
 		t.Errorf("on hold: got a check at %q, want none", got)
 	}
 
-	p.Hold(false)
+	p.Suspend(false)
 	p.checkHealth(t.Context(), p.nextPath())
 
-	if got := g.Left(time.Now()); len(h.requests) != 1 || h.requests[0] != "a/health" || got <= 0 {
+	if got := g.Remaining(time.Now()); len(h.requests) != 1 || h.requests[0] != "a/health" || got <= 0 {
 		t.Errorf("got checks at %v and %v left, want one check and up to 1 s", h.requests, got)
 	}
 
--- a/slowstart/limit.go
+++ b/slowstart/limit.go
@@ -27,15 +27,15 @@
 	Duration time.Duration
 	// PerSecond is the rate of requests that it tolerates while it is cold.
 	PerSecond float64
-	// Most is the maximum number of requests that may reach it within any one second.
-	Most int
+	// MaxPerSecond is the maximum number of requests that may reach it within any one second.
+	MaxPerSecond int
 }
 
 // NewLimit returns the Limit of a target that is cold for a duration and then tolerates
 // perSecond requests a second. Within any one second it may get that number times overage,
 // which counts as at least 1, plus slack.
 func NewLimit(duration time.Duration, perSecond, overage float64, slack int) Limit {
-	return Limit{Duration: duration, PerSecond: perSecond, Most: int(perSecond*max(overage, 1)) + slack}
+	return Limit{Duration: duration, PerSecond: perSecond, MaxPerSecond: int(perSecond*max(overage, 1)) + slack}
 }
 
 // Bounded reports whether the Limit limits anything.
@@ -57,13 +57,13 @@
 // permitRate returns the number of permits issued per second.
 func (l Limit) permitRate() float64 {
 	window := (time.Second + PermitLife + permitDelay + maxAccrualTime).Seconds()
-	left := float64(l.Most) - float64(l.reserved()) - 1 // one permit may have accrued before the window
+	left := float64(l.MaxPerSecond) - float64(l.reserved()) - 1 // one permit may have accrued before the window
 
 	return max(min(l.PerSecond, left/window), 0)
 }
 
 // reserved returns the number of requests per second reserved for entries without permits.
-func (l Limit) reserved() int { return int(reservedShare * float64(l.Most)) }
+func (l Limit) reserved() int { return int(reservedShare * float64(l.MaxPerSecond)) }
 
 // Share returns how many of the entries may send to a cold target without permits, and the
 // minimum interval between two requests of one of them. PermitsIssued is set if other entries
@@ -74,7 +74,7 @@
 		return min(entries, max(l.reserved()/2, 1)), time.Second + permitDelay
 	}
 
-	budget := max(int(uncoordinatedShare*float64(l.Most)), 1)
+	budget := max(int(uncoordinatedShare*float64(l.MaxPerSecond)), 1)
 	senders = max(min(entries, budget/2), 1)
 	perSender := budget / senders // within any one second
 
--- a/slowstart/lottery.go
+++ b/slowstart/lottery.go
@@ -12,11 +12,11 @@
 // lottery draws entries in proportion to their demand (lottery scheduling, Waldspurger and
 // Weihl 1994). It carries nothing over between draws, so it follows sudden changes of demand.
 type lottery struct {
-	claims     []Claim
+	claims     []Entry
 	cumulative []float64 // sum of the weights up to and including each claim
 }
 
-func newLottery(claims []Claim) lottery {
+func newLottery(claims []Entry) lottery {
 	total := 0
 	for _, c := range claims {
 		total += c.Demand
--- a/slowstart/probe.go
+++ b/slowstart/probe.go
@@ -56,8 +56,8 @@
 	p.path = path
 }
 
-// Hold suspends or resumes the checks.
-func (p *Probe) Hold(suspended bool) {
+// Suspend suspends or resumes the checks.
+func (p *Probe) Suspend(suspended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -95,6 +95,6 @@
 
 	// A target that does not answer is busy or dead; its load reports tell which.
 	if cold, err := p.cfg.Health.Health(ctx, p.cfg.Address, path); err == nil {
-		p.cfg.Guard.Told(time.Now(), cold)
+		p.cfg.Guard.ReportRemaining(time.Now(), cold)
 	}
 }
--- a/vault/directory.go
+++ b/vault/directory.go
@@ -59,17 +59,17 @@
 	return &Directory{stores: make(map[string]*storeState), incarnation: incarnation, processCount: 1}
 }
 
-// SetSharers sets how many processes use the stores, including this one. A process sees
+// SetProcessCount sets how many processes use the stores, including this one. A process sees
 // only its own transfers and assumes that each other process makes as many.
-func (d *Directory) SetSharers(n int) {
+func (d *Directory) SetProcessCount(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	d.processCount = max(n, 1)
 }
 
-// Promise reserves the link of the copy's store for the fetch of the copy.
-func (d *Directory) Promise(now time.Time, c Copy) {
+// ReserveLink reserves the link of the copy's store for the fetch of the copy.
+func (d *Directory) ReserveLink(now time.Time, c Copy) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -124,8 +124,8 @@
 	return st.next, true
 }
 
-// Learn replaces what is known of a store's parts by the store's full list.
-func (d *Directory) Learn(now time.Time, address string, l Listing) {
+// ApplyListing replaces what is known of a store's parts by the store's full list.
+func (d *Directory) ApplyListing(now time.Time, address string, l Listing) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -148,9 +148,9 @@
 	}
 }
 
-// Follow applies a store's events. It returns false if the list has to be read again
+// ApplyEvents applies a store's events. It returns false if the list has to be read again
 // because the store restarted or events are missing.
-func (d *Directory) Follow(now time.Time, address string, e Events) bool {
+func (d *Directory) ApplyEvents(now time.Time, address string, e Events) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -249,8 +249,8 @@
 	}
 }
 
-// Hear records the engines' clock, in ms, as an engine reported it.
-func (d *Directory) Hear(now time.Time, clock int64) {
+// SetClock records the engines' clock, in ms, as an engine reported it.
+func (d *Directory) SetClock(now time.Time, clock int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -330,7 +330,7 @@
 			continue
 		}
 
-		score, isFallback := rendezvousScore(a, h.Part, st.store.Room), h.Tokens >= longPartTokens && st.store.lowLatency()
+		score, isFallback := rendezvousScore(a, h.Part, st.store.CapacityTokens), h.Tokens >= longPartTokens && st.store.lowLatency()
 		if address == "" || (bestIsFallback && !isFallback) || (bestIsFallback == isFallback && score > bestScore) {
 			address, bestScore, bestIsFallback = a, score, isFallback
 		}
@@ -373,12 +373,12 @@
 		return s.freeTokens(now) >= tokens
 	}
 
-	return s.store.lowLatency() && s.freeTokens(now) >= tokens && float64(s.shortTokens) < shortPartShare*float64(s.store.Room)
+	return s.store.lowLatency() && s.freeTokens(now) >= tokens && float64(s.shortTokens) < shortPartShare*float64(s.store.CapacityTokens)
 }
 
 // freeTokens returns the store's free space in tokens, less the saves in flight.
 func (s *storeState) freeTokens(now time.Time) int {
-	free := s.store.Room - s.tokens
+	free := s.store.CapacityTokens - s.tokens
 
 	for p, save := range s.saves {
 		if now.After(save.expiresAt) {
@@ -472,7 +472,7 @@
 	for _, st := range d.stores {
 		if !st.unreachable {
 			held += st.tokens
-			capacity += st.store.Room
+			capacity += st.store.CapacityTokens
 			parts += len(st.parts)
 		}
 	}
--- a/vault/epoch_test.go
+++ b/vault/epoch_test.go
@@ -67,7 +67,7 @@
 
 	for i := range s.directories {
 		s.directories[i] = NewDirectory(int64(i + 1))
-		s.directories[i].Configure([]Store{{Address: storeAddress, Room: 100_000}})
+		s.directories[i].Configure([]Store{{Address: storeAddress, CapacityTokens: 100_000}})
 	}
 
 	s.store.saving[numberedPart(0)] = s.clock
@@ -118,7 +118,7 @@
 
 // askPeer returns the answer of process j to process i.
 func (s *epochSimulation) askPeer(i, j int) message {
-	u := s.directories[j].Tell(s.now(), []Position{s.directories[i].Followed(storeAddress)})
+	u := s.directories[j].Updates(s.now(), []Position{s.directories[i].PeerPosition(storeAddress)})
 
 	return message{update: &u[0]}
 }
@@ -126,11 +126,11 @@
 func (s *epochSimulation) deliver(i int, m message) {
 	switch d := s.directories[i]; {
 	case m.update != nil:
-		d.Adopt(s.now(), *m.update)
+		d.ApplyUpdate(s.now(), *m.update)
 	case m.listing != nil:
-		d.Learn(s.now(), storeAddress, *m.listing)
+		d.ApplyListing(s.now(), storeAddress, *m.listing)
 	default:
-		d.Follow(s.now(), storeAddress, m.events)
+		d.ApplyEvents(s.now(), storeAddress, m.events)
 	}
 }
 
@@ -218,9 +218,9 @@
 	p := newHeld("a", 2000)
 
 	clock := func(at time.Time) int64 { return 1000 + at.Sub(now.Add(-epochGrace-freeMargin)).Milliseconds() }
-	d.Follow(now, "large", Events{Epoch: 2, Clock: clock(now)})
+	d.ApplyEvents(now, "large", Events{Epoch: 2, Clock: clock(now)})
 	d.MarkUnreachable("quick")
-	d.Learn(now, "large", Listing{Epoch: 2})
+	d.ApplyListing(now, "large", Listing{Epoch: 2})
 
 	tests := []struct {
 		after time.Duration
@@ -229,7 +229,7 @@
 
 	for _, tt := range tests {
 		at := now.Add(tt.after)
-		d.Follow(at, "large", Events{Epoch: 2, Clock: clock(at)})
+		d.ApplyEvents(at, "large", Events{Epoch: 2, Clock: clock(at)})
 
 		if _, got := d.Place(at, p); got != tt.want {
 			t.Errorf("%v after the new epoch was first known: got a place %v, want %v", tt.after, got, tt.want)
@@ -244,7 +244,7 @@
 	d := newTestDirectory(t, now)
 	p := newHeld("a", 2000)
 	clock, _ := d.Clock(now)
-	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Clock: clock, Events: []Event{{Held: p, Added: true}}})
+	d.ApplyEvents(now, "large", Events{Epoch: 1, Next: 1, Clock: clock, Events: []Event{{Held: p, Added: true}}})
 
 	tests := []struct {
 		after      time.Duration
--- a/vault/peers_test.go
+++ b/vault/peers_test.go
@@ -39,7 +39,7 @@
 
 	for _, x := range positions {
 		x.Reporter = 1
-		all = append(all, Update{Position: x, Watched: p.reachable[x.Address] && !p.storesUnreachable, Unreachable: p.storesUnreachable, Epoch: 1, Snapshot: true})
+		all = append(all, Update{Position: x, Reachable: p.reachable[x.Address] && !p.storesUnreachable, Unreachable: p.storesUnreachable, Epoch: 1, Snapshot: true})
 	}
 
 	return all, nil
@@ -94,7 +94,7 @@
 
 				peers := &fakeReporters{dead: map[string]bool{}, asks: map[string]int{}, reachable: map[string]bool{"s1": true, "s2": true}}
 				store := &countingStore{calls: map[string]int{}}
-				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Rank: func(string) int { return 0 }, Log: logr.Discard()})
 				w.Configure([]Store{{Address: "s1"}, {Address: "s2"}, {Address: "s3"}})
 
 				go w.Run(ctx)
@@ -152,7 +152,7 @@
 				peers.reachable[s.Address] = true
 			}
 
-			w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+			w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Rank: func(string) int { return 0 }, Log: logr.Discard()})
 			w.Configure(stores)
 
 			var wg sync.WaitGroup
@@ -211,7 +211,7 @@
 				tt.setUp(peers)
 
 				source := &refusingStore{countingStore{calls: make(map[string]int)}}
-				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+				w := NewWatcher(WatcherConfig{Directory: NewDirectory(1), Source: source, Peers: peers, Rank: func(string) int { return 0 }, Log: logr.Discard()})
 				w.Configure([]Store{{Address: "s"}})
 
 				var wg sync.WaitGroup
@@ -257,7 +257,7 @@
 		peers := &hangingReporters{fakeReporters{asks: make(map[string]int), reachable: map[string]bool{"s": true}}, map[string]bool{"one": true}}
 		source := &countingStore{calls: make(map[string]int)}
 		d := NewDirectory(2)
-		w := NewWatcher(WatcherConfig{Directory: d, Source: source, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+		w := NewWatcher(WatcherConfig{Directory: d, Source: source, Peers: peers, Rank: func(string) int { return 0 }, Log: logr.Discard()})
 		w.Configure([]Store{{Address: "s"}})
 
 		var wg sync.WaitGroup
@@ -274,7 +274,7 @@
 		var totalGap time.Duration
 
 		for range duration / step {
-			if u := d.Tell(time.Now(), []Position{{Address: "s"}}); !u[0].Watched {
+			if u := d.Updates(time.Now(), []Position{{Address: "s"}}); !u[0].Reachable {
 				totalGap += step
 			}
 
--- a/vault/share.go
+++ b/vault/share.go
@@ -18,9 +18,9 @@
 // Update is what one process reports to another about a store.
 type Update struct {
 	Position
-	// Watched is set if the reporter follows the store, directly or through another process,
+	// Reachable is set if the reporter follows the store, directly or through another process,
 	// and the store answers.
-	Watched bool `cbor:"4,keyasint"`
+	Reachable bool `cbor:"4,keyasint"`
 	// Epoch is the store's epoch.
 	Epoch int64 `cbor:"5,keyasint"`
 	// Snapshot is set if Events hold all parts; otherwise they are the changes since the
@@ -75,8 +75,8 @@
 	return c.kept[uint64(len(c.kept))-(c.sequence-sequence):], true
 }
 
-// Tell returns the updates since the positions, one for each position.
-func (d *Directory) Tell(now time.Time, positions []Position) []Update {
+// Updates returns the updates since the positions, one for each position.
+func (d *Directory) Updates(now time.Time, positions []Position) []Update {
 	clock, known := d.Clock(now)
 	if !known {
 		clock = 0
@@ -114,7 +114,7 @@
 
 // fillUpdate fills in an update since a position.
 func (s *storeState) fillUpdate(u *Update, p Position, incarnation int64) {
-	u.Watched, u.Epoch, u.Sequence = true, s.epoch, s.changes.sequence
+	u.Reachable, u.Epoch, u.Sequence = true, s.epoch, s.changes.sequence
 	u.EpochFirstSeen, u.EpochLastSeen = s.epochFirstSeen, s.epochLastSeen
 
 	events, ok := s.changes.since(p.Sequence)
@@ -131,8 +131,8 @@
 	u.Events = slices.Clone(events)
 }
 
-// Followed returns how far this process has followed other processes' updates on a store.
-func (d *Directory) Followed(address string) Position {
+// PeerPosition returns how far this process has followed other processes' updates on a store.
+func (d *Directory) PeerPosition(address string) Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -145,10 +145,10 @@
 	return p
 }
 
-// Adopt applies an update from another process. It returns false if that process does not
+// ApplyUpdate applies an update from another process. It returns false if that process does not
 // follow the store or gets no answer from it, or if the store is not configured here.
-func (d *Directory) Adopt(now time.Time, u Update) bool {
-	if !u.Watched {
+func (d *Directory) ApplyUpdate(now time.Time, u Update) bool {
+	if !u.Reachable {
 		return false
 	}
 
--- a/vault/start_test.go
+++ b/vault/start_test.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 
-	return p.directories[i].Tell(time.Now(), positions), nil
+	return p.directories[i].Updates(time.Now(), positions), nil
 }
 
 // Guards against processes that start together calling all stores that are not reported yet, so
@@ -138,7 +138,7 @@
 				for i, d := range directories {
 					w := NewWatcher(WatcherConfig{
 						Directory: d, Source: source, Peers: &fleetPeers{directories: directories, self: i},
-						Turn: func(string) int { return 0 }, Log: logr.Discard(),
+						Rank: func(string) int { return 0 }, Log: logr.Discard(),
 					})
 
 					wg.Go(func() {
@@ -154,7 +154,7 @@
 
 				for _, d := range directories {
 					for _, s := range stores {
-						if u := d.Tell(time.Now(), []Position{{Address: s.Address}}); !u[0].Watched {
+						if u := d.Updates(time.Now(), []Position{{Address: s.Address}}); !u[0].Reachable {
 							unknown++
 						}
 					}
--- a/vault/store.go
+++ b/vault/store.go
@@ -10,8 +10,8 @@
 	Address string
 	// DataCentre is the data centre that it runs in.
 	DataCentre string
-	// Room is its capacity in tokens.
-	Room int
+	// CapacityTokens is its capacity in tokens.
+	CapacityTokens int
 	// FirstByte is the latency before the first byte of each transfer.
 	FirstByte time.Duration
 	// TokensPerMs is the rate of its link within a data centre; with zero, transfers
--- a/vault/vault.go
+++ b/vault/vault.go
@@ -53,14 +53,14 @@
 	Model string
 	// Version is its weight version.
 	Version int64
-	// Wall is the isolated organisation that alone may use the part; empty for parts
+	// Organisation is the isolated organisation that alone may use the part; empty for parts
 	// that all other organisations share.
-	Wall string
+	Organisation string
 }
 
 // Salt returns the cache salt with which engines and stores keep the parts of the scope.
 func (s Scope) Salt() string {
-	return s.Model + "/" + strconv.FormatInt(s.Version, 10) + "/" + s.Wall
+	return s.Model + "/" + strconv.FormatInt(s.Version, 10) + "/" + s.Organisation
 }
 
 // ParseSalt returns the scope of a text that Salt returned, and false for any other text.
@@ -80,7 +80,7 @@
 		return Scope{}, false
 	}
 
-	return Scope{Model: model, Version: v, Wall: organisation}, true
+	return Scope{Model: model, Version: v, Organisation: organisation}, true
 }
 
 // Part identifies one part of a prompt's KV cache in a store.
@@ -173,12 +173,12 @@
 // seconds and during which all prompts would otherwise be recomputed.
 const RegisteredGrace = 15 * time.Second
 
-// Right reports whether the part may be fetched at now. NewestAt is the last time at which
+// MayFetch reports whether the part may be fetched at now. NewestAt is the last time at which
 // the process was certain that no newer version was announced; zero means never.
 // Registered is set if the process is registered and knows of no newer version: nothing
 // is then freed before the process has confirmed the newer version or RegisteredGrace has
 // passed.
-func (p Part) Right(now, newestAt time.Time, registered bool) bool {
+func (p Part) MayFetch(now, newestAt time.Time, registered bool) bool {
 	g := p.grace()
 	if registered {
 		g = RegisteredGrace
--- a/vault/vault_test.go
+++ b/vault/vault_test.go
@@ -58,7 +58,7 @@
 		}
 
 		longGrace := lastOld >= registeredAt && (firstNew < 0 || firstNew > fetch)
-		if !part.Right(at(fetch), newestAt, longGrace) {
+		if !part.MayFetch(at(fetch), newestAt, longGrace) {
 			return
 		}
 
@@ -97,7 +97,7 @@
 func TestSaltKeepsScopesApart(t *testing.T) {
 	scopes := []Scope{
 		{Model: "m", Version: 1}, {Model: "m", Version: 11}, {Model: "m1", Version: 1},
-		{Model: "m", Version: 1, Wall: "bureau"}, {Model: "m", Version: 1, Wall: "1"},
+		{Model: "m", Version: 1, Organisation: "bureau"}, {Model: "m", Version: 1, Organisation: "1"},
 	}
 	seen := map[string]Scope{}
 
@@ -117,8 +117,8 @@
 
 // stores are a large store and a low-latency one.
 var stores = []Store{
-	{Address: "large", DataCentre: "east", Room: 20_000, FirstByte: 6 * time.Millisecond},
-	{Address: "quick", DataCentre: "west", Room: 10_000, FirstByte: 500 * time.Microsecond},
+	{Address: "large", DataCentre: "east", CapacityTokens: 20_000, FirstByte: 6 * time.Millisecond},
+	{Address: "quick", DataCentre: "west", CapacityTokens: 10_000, FirstByte: 500 * time.Microsecond},
 }
 
 func newTestDirectory(t *testing.T, now time.Time) *Directory {
@@ -130,8 +130,8 @@
 	firstSeen := now.Add(-epochGrace - freeMargin)
 
 	for _, s := range stores {
-		d.Learn(firstSeen, s.Address, Listing{Epoch: 1, Clock: 1000})
-		d.Follow(now, s.Address, Events{Epoch: 1, Clock: 1000 + now.Sub(firstSeen).Milliseconds()})
+		d.ApplyListing(firstSeen, s.Address, Listing{Epoch: 1, Clock: 1000})
+		d.ApplyEvents(now, s.Address, Events{Epoch: 1, Clock: 1000 + now.Sub(firstSeen).Milliseconds()})
 	}
 
 	return d
@@ -173,7 +173,7 @@
 	for i := range 100 {
 		h := newHeld(fmt.Sprint(i), 500)
 		if a, ok := d.Place(now, h); ok {
-			d.Follow(now, a, Events{Epoch: 1, Next: int64(i), Events: []Event{{Held: h, Added: true}}})
+			d.ApplyEvents(now, a, Events{Epoch: 1, Next: int64(i), Events: []Event{{Held: h, Added: true}}})
 
 			placed += h.Tokens
 		}
@@ -190,13 +190,13 @@
 	now := time.Unix(100, 0)
 	d := newTestDirectory(t, now)
 	p := newHeld("a", 2000)
-	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
+	d.ApplyEvents(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
 
 	if _, ok := d.Find(now, p.Part, "east"); !ok {
 		t.Fatal("got no copy, want one")
 	}
 
-	if d.Follow(now, "large", Events{Epoch: 2, Next: 1}) {
+	if d.ApplyEvents(now, "large", Events{Epoch: 2, Next: 1}) {
 		t.Error("got the events of a new epoch applied, want the list requested")
 	}
 
@@ -209,7 +209,7 @@
 	now := time.Unix(100, 0)
 	d := newTestDirectory(t, now)
 	p := newHeld("a", 2000)
-	d.Follow(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
+	d.ApplyEvents(now, "large", Events{Epoch: 1, Next: 1, Events: []Event{{Held: p, Added: true}}})
 	d.MarkUnreachable("large")
 
 	if _, ok := d.Find(now, p.Part, "east"); ok {
@@ -232,7 +232,7 @@
 	}
 
 	for i, p := range parts {
-		d.Follow(now, "large", Events{Epoch: 1, Next: int64(i), Events: []Event{{Held: p, Added: true}}})
+		d.ApplyEvents(now, "large", Events{Epoch: 1, Next: int64(i), Events: []Event{{Held: p, Added: true}}})
 	}
 
 	long := func(string) time.Duration { return time.Hour }
@@ -260,7 +260,7 @@
 		now := time.Unix(100, 0)
 		reporter := NewDirectory(1)
 		reporter.Configure(stores)
-		reporter.Learn(now, "large", Listing{Epoch: 1, Clock: 5000})
+		reporter.ApplyListing(now, "large", Listing{Epoch: 1, Clock: 5000})
 
 		follower := NewDirectory(2)
 		follower.Configure(stores)
@@ -271,28 +271,28 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				next++
-				reporter.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld(id.Draw(t, "id"), 200), Added: rapid.Bool().Draw(t, "added")}}})
+				reporter.ApplyEvents(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld(id.Draw(t, "id"), 200), Added: rapid.Bool().Draw(t, "added")}}})
 			},
 			"many changes": func(*rapid.T) {
 				for range 3 * keptChanges {
 					next++
-					reporter.Follow(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld("x", 200), Added: next%2 == 0}}})
+					reporter.ApplyEvents(now, "large", Events{Epoch: epoch, Next: next, Events: []Event{{Held: newHeld("x", 200), Added: next%2 == 0}}})
 				}
 			},
 			"store restarts": func(*rapid.T) {
 				epoch++
-				reporter.Follow(now, "large", Events{Epoch: epoch})
-				reporter.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
+				reporter.ApplyEvents(now, "large", Events{Epoch: epoch})
+				reporter.ApplyListing(now, "large", Listing{Epoch: epoch, Clock: 6000})
 			},
 			"the reporter restarts": func(*rapid.T) {
 				incarnation += 2
 				reporter = NewDirectory(incarnation)
 				reporter.Configure(stores)
-				reporter.Learn(now, "large", Listing{Epoch: epoch, Clock: 6000})
+				reporter.ApplyListing(now, "large", Listing{Epoch: epoch, Clock: 6000})
 			},
 			"ask": func(t *rapid.T) {
-				for _, u := range reporter.Tell(now, []Position{follower.Followed("large")}) {
-					if !follower.Adopt(now, u) {
+				for _, u := range reporter.Updates(now, []Position{follower.PeerPosition("large")}) {
+					if !follower.ApplyUpdate(now, u) {
 						t.Fatal("Adopt returned false, want the update applied")
 					}
 				}
@@ -319,7 +319,7 @@
 	}
 
 	d.Configure(stores)
-	d.Learn(time.Unix(100, 0), "large", Listing{Epoch: 1, Clock: 7000})
+	d.ApplyListing(time.Unix(100, 0), "large", Listing{Epoch: 1, Clock: 7000})
 
 	if got, _ := d.Clock(time.Unix(102, 0)); got != 9000 {
 		t.Errorf("got %d, want 9000", got)
@@ -332,9 +332,9 @@
 func TestPromisedTransfersMakeTheNextOneWait(t *testing.T) {
 	now := time.Unix(100, 0)
 	d := NewDirectory(1)
-	d.Configure([]Store{{Address: "large", DataCentre: "east", Room: 20_000, FirstByte: 6 * time.Millisecond, TokensPerMs: 250}})
-	d.Learn(now, "large", Listing{Epoch: 1, Clock: 7000, Held: []Held{newHeld("a", 5000)}})
-	d.SetSharers(4)
+	d.Configure([]Store{{Address: "large", DataCentre: "east", CapacityTokens: 20_000, FirstByte: 6 * time.Millisecond, TokensPerMs: 250}})
+	d.ApplyListing(now, "large", Listing{Epoch: 1, Clock: 7000, Held: []Held{newHeld("a", 5000)}})
+	d.SetProcessCount(4)
 
 	near, _ := d.Find(now, newHeld("a", 0).Part, "east")
 	if want := 26 * time.Millisecond; near.Wait != 0 || near.Transfer != want {
@@ -346,7 +346,7 @@
 		t.Errorf("other data centre: got a transfer of %v, want %v", far.Transfer, want)
 	}
 
-	d.Promise(now, near)
+	d.ReserveLink(now, near)
 
 	if c, _ := d.Find(now, newHeld("a", 0).Part, "east"); c.Wait != 4*near.Transfer {
 		t.Errorf("after a reservation: got a wait of %v, want %v", c.Wait, 4*near.Transfer)
--- a/vault/watcher.go
+++ b/vault/watcher.go
@@ -88,12 +88,12 @@
 	// Peers are asked about the stores that they follow, because stores accept only a few
 	// concurrent calls.
 	Peers Peers
-	// Turn returns this process's rank among the processes that free parts of a store,
+	// Rank returns this process's rank among the processes that free parts of a store,
 	// zero for the first. Each waits its rank times RankDelay.
-	Turn func(address string) int
-	// Still reports whether a VM with an engine is paused, or was until recently; nil means
+	Rank func(address string) int
+	// EnginePaused reports whether a VM with an engine is paused, or was until recently; nil means
 	// that none ever is.
-	Still func(now time.Time) bool
+	EnginePaused func(now time.Time) bool
 	// Log receives a line whenever a store is lost, is reachable again, misses events or
 	// has parts freed.
 	Log logr.Logger
@@ -195,9 +195,9 @@
 	}
 }
 
-// Named records that a version of a model is the newest, according to the record at an
+// SetNewestVersion records that a version of a model is the newest, according to the record at an
 // offset of the operators' topic.
-func (w *Watcher) Named(now time.Time, model string, version, offset int64) {
+func (w *Watcher) SetNewestVersion(now time.Time, model string, version, offset int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -366,7 +366,7 @@
 		for _, u := range updates {
 			switch {
 			case !remaining[u.Address]:
-			case w.cfg.Directory.Adopt(time.Now(), u):
+			case w.cfg.Directory.ApplyUpdate(time.Now(), u):
 				delete(remaining, u.Address)
 				w.setReported(u.Address)
 			case u.Unreachable:
@@ -399,7 +399,7 @@
 func (w *Watcher) positions(addresses map[string]bool) []Position {
 	all := make([]Position, 0, len(addresses))
 	for a := range addresses {
-		all = append(all, w.cfg.Directory.Followed(a))
+		all = append(all, w.cfg.Directory.PeerPosition(a))
 	}
 
 	return all
@@ -432,7 +432,7 @@
 		return err
 	}
 
-	if !w.cfg.Directory.Follow(time.Now(), address, e) {
+	if !w.cfg.Directory.ApplyEvents(time.Now(), address, e) {
 		event.Log(w.cfg.Log, event.VaultGap, "vault", address, "epoch", e.Epoch, "lost", e.Lost)
 	}
 
@@ -448,7 +448,7 @@
 		return err
 	}
 
-	w.cfg.Directory.Learn(time.Now(), address, l)
+	w.cfg.Directory.ApplyListing(time.Now(), address, l)
 
 	return nil
 }
@@ -502,14 +502,14 @@
 	w.mu.Unlock()
 
 	extra := time.Duration(0)
-	if w.cfg.Still != nil && w.cfg.Still(now) {
+	if w.cfg.EnginePaused != nil && w.cfg.EnginePaused(now) {
 		extra = pausedGrace
 	}
 
 	for model, all := range replaced {
 		for _, newer := range all {
 			sinceReplaced := func(address string) time.Duration {
-				return now.Sub(newer.learnedAt) - time.Duration(w.cfg.Turn(address))*RankDelay - extra
+				return now.Sub(newer.learnedAt) - time.Duration(w.cfg.Rank(address))*RankDelay - extra
 			}
 
 			for _, parts := range w.cfg.Directory.Freeable(model, newer.version, sinceReplaced, newer.confirmed, maxFreedParts) {
--- a/vault/watcher_test.go
+++ b/vault/watcher_test.go
@@ -76,7 +76,7 @@
 		defer cancel()
 
 		d := NewDirectory(1)
-		w := NewWatcher(WatcherConfig{Directory: d, Source: &clocklessStore{}, Peers: &fakePeers{}, Turn: func(string) int { return 0 }, Log: logr.Discard()})
+		w := NewWatcher(WatcherConfig{Directory: d, Source: &clocklessStore{}, Peers: &fakePeers{}, Rank: func(string) int { return 0 }, Log: logr.Discard()})
 		w.Configure([]Store{{Address: "s1"}})
 
 		go w.Run(ctx)
@@ -124,10 +124,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := &fakeStore{}
-		cfg := WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Turn: func(string) int { return 0 }, Log: logr.Discard()}
+		cfg := WatcherConfig{Directory: NewDirectory(1), Source: store, Peers: peers, Rank: func(string) int { return 0 }, Log: logr.Discard()}
 
 		for _, f := range paused {
-			cfg.Still = f
+			cfg.EnginePaused = f
 		}
 
 		w := NewWatcher(cfg)
@@ -135,11 +135,11 @@
 		var running sync.WaitGroup
 
 		running.Go(func() { w.Run(ctx) })
-		w.Configure([]Store{{Address: "s", Room: 1000}})
+		w.Configure([]Store{{Address: "s", CapacityTokens: 1000}})
 		time.Sleep(time.Second)
 
 		replacedAt := time.Now()
-		w.Named(replacedAt, "m", 2, 7)
+		w.SetNewestVersion(replacedAt, "m", 2, 7)
 
 		if meanwhile != nil {
 			meanwhile()
