--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -71,16 +71,16 @@
 	e.registration = exchange.NewRegistration(exchange.RegistrationConfig{Log: source, Topic: platform.EntriesTopic, Peers: e.client, Logger: log})
 	e.roster = roster.New(roster.Config{
 		Self: cfg.VM, DataCentre: cfg.DataCentre, Regions: cfg.Regions, Log: log,
-		Named:     func(service string) bool { return e.gateway.HasService(service) },
-		Restarted: func(id string) { e.gateway.TargetRestarted(id) },
-		SlowStart: func(service string) slowstart.Limit { return e.gateway.SlowStart(service) },
-		Entries:   members,
+		Configured: func(service string) bool { return e.gateway.HasService(service) },
+		Restarted:  func(id string) { e.gateway.TargetRestarted(id) },
+		SlowStart:  func(service string) slowstart.Limit { return e.gateway.SlowStart(service) },
+		Entries:    members,
 	})
 	e.pool = upstream.NewPool(upstream.Config{})
 	e.watcher = vault.NewWatcher(vault.WatcherConfig{
 		Directory: directory, Source: platformClient, Peers: storePeers{e.client, e.registration, cfg.Peers}, Log: log,
 		Rank:         func(address string) int { return members.Rank(time.Now(), address) },
-		EnginePaused: e.roster.Still,
+		EnginePaused: e.roster.AnyPaused,
 	})
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
@@ -141,7 +141,7 @@
 		}),
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.RegisterTopic, Topic: register, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Every: registerReadPause(e.cfg.Bounds.Drain), OnNews: listings.Take, OnAway: e.roster.Away, Log: e.log,
+			LoadWait: e.loadWait(), Every: registerReadPause(e.cfg.Bounds.Drain), OnNews: listings.Take, OnAway: e.roster.SetLogUnavailable, Log: e.log,
 		}),
 	}
 }
@@ -192,15 +192,15 @@
 }
 
 // onReport handles a side process's load report.
-func (e *gatewayProcess) onReport(now time.Time, p pulse.Pulse) {
+func (e *gatewayProcess) onReport(now time.Time, p pulse.Report) {
 	e.directory.SetClock(now, p.Clock)
-	e.roster.Pulse(now, p)
+	e.roster.ObserveReport(now, p)
 }
 
 // subscriptions returns the addresses of the engines whose load reports this entry needs, and
 // the interval of the reports.
 func (e *gatewayProcess) subscriptions() (addresses []string, interval time.Duration) {
-	return e.roster.Watched(time.Now(), e.gateway.HasEngines)
+	return e.roster.Subscriptions(time.Now(), e.gateway.HasEngines)
 }
 
 // demand returns a function that returns the rate of prompts, per second, since its last call,
@@ -228,9 +228,9 @@
 	}
 
 	if n.Loaded {
-		e.roster.Has(id, n.Model, n.Version, "side process")
+		e.roster.ObserveVersion(id, n.Model, n.Version, "side process")
 	} else {
-		e.roster.Loading(now, id, n.Model, n.Version)
+		e.roster.ObserveLoading(now, id, n.Model, n.Version)
 	}
 }
 
@@ -294,7 +294,7 @@
 
 	reports, err := pulse.Listen(pulse.ListenerConfig{
 		Address: cfg.Internal(reportPortOffset), Port: cfg.FirstInternal + reportPortOffset,
-		Engines: e.subscriptions, OnPulse: e.onReport, Demand: e.demand(),
+		Engines: e.subscriptions, OnReport: e.onReport, Demand: e.demand(),
 	})
 	if err != nil {
 		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -73,7 +73,7 @@
 
 	partsFollower := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: platformClient})
 
-	reporter, err := pulse.NewBeacon(pulse.BeaconConfig{
+	reporter, err := pulse.NewReporter(pulse.ReporterConfig{
 		Address: cfg.Internal(reportPortOffset), Engine: platformClient, EngineAddress: cfg.Engine, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Reset, LoadIn: l.LoadIn,
 	})
 	if err != nil {
--- a/experiment/drawn/engine.go
+++ b/experiment/drawn/engine.go
@@ -47,7 +47,7 @@
 	cached      map[int]int // tokens by shared prefix
 	lru         []int       // cached prefixes, the least recently used first
 	stepping    bool        // a step is in progress
-	report      pulse.Pulse
+	report      pulse.Report
 }
 
 // enqueue adds a prompt to the wait queue behind those of its rank. Lower ranks go first.
@@ -165,9 +165,9 @@
 }
 
 // loadReport returns the engine's current load.
-func (e *engine) loadReport() pulse.Pulse {
-	return pulse.Pulse{
-		Running: len(e.running) + len(e.prefilling), Reading: len(e.prefilling), Waiting: len(e.waiting),
+func (e *engine) loadReport() pulse.Report {
+	return pulse.Report{
+		Running: len(e.running) + len(e.prefilling), Prefilling: len(e.prefilling), Waiting: len(e.waiting),
 		UsedTokens: e.usedTokens, TotalTokens: e.d.MemoryTokens,
 	}
 }
--- a/experiment/drawn/play.go
+++ b/experiment/drawn/play.go
@@ -208,7 +208,7 @@
 	}
 
 	e, x := s.engines[i], p.entry
-	p.sentAt, p.engineIdle = now, e.report.Reading+e.report.Waiting+x.sentRequests[i] == 0
+	p.sentAt, p.engineIdle = now, e.report.Prefilling+e.report.Waiting+x.sentRequests[i] == 0
 
 	prefillTokens := p.ownTokens
 	if e.cached[p.prefix] == 0 {
@@ -282,7 +282,7 @@
 	for i, e := range s.engines {
 		c := &candidates[i]
 		c.Name, c.Slots = strconv.Itoa(i), batchSlots
-		c.Running, c.Reading, c.Waiting = e.report.Running+x.sentRequests[i], e.report.Reading, e.report.Waiting
+		c.Running, c.Reading, c.Waiting = e.report.Running+x.sentRequests[i], e.report.Prefilling, e.report.Waiting
 		c.SentTokens, c.UsedTokens = x.sentPrefill[i], e.report.UsedTokens+x.sentMemory[i]
 		c.Has, c.New = e.cached[p.prefix] > 0, !s.computedPrefixes[p.prefix]
 
@@ -316,7 +316,7 @@
 // package gateway.
 const maxMemoryShare = 0.95
 
-func memoryFull(report pulse.Pulse, tokens, sentRequests, memory int) bool {
+func memoryFull(report pulse.Report, tokens, sentRequests, memory int) bool {
 	return report.Running+report.Waiting+sentRequests > 0 && float64(tokens) > maxMemoryShare*float64(memory)
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -246,14 +246,14 @@
 func (t *task) recordHead(c choice, a ResponseHead) {
 	now := time.Now()
 	t.inFlight.answered.Store(true)
-	t.g.cfg.Roster.Heard(now, c.engine.ID)
+	t.g.cfg.Roster.ObserveAnswer(now, c.engine.ID)
 
 	if a.HasLoad {
-		t.g.cfg.Roster.Load(now, c.engine.ID, a.Running, a.Waiting)
+		t.g.cfg.Roster.ObserveLoad(now, c.engine.ID, a.Running, a.Waiting)
 	}
 
 	if a.Version > 0 && t.arrival.Prompt != nil {
-		t.g.cfg.Roster.Has(c.engine.ID, t.arrival.Prompt.Model, a.Version, "answer")
+		t.g.cfg.Roster.ObserveVersion(c.engine.ID, t.arrival.Prompt.Model, a.Version, "answer")
 	}
 }
 
@@ -308,12 +308,12 @@
 
 	switch {
 	case a.Target != "" && a.Target != c.engine.ID:
-		t.g.cfg.Roster.Gone(now, c.engine.ID)
+		t.g.cfg.Roster.ObserveReplaced(now, c.engine.ID)
 	case a.Version > c.engine.Version:
 		// The roster now has the reported version, so the same target may be tried with it.
 		delete(t.tried, c.engine.ID)
 	default:
-		t.g.cfg.Roster.Refused(now, c.engine.ID, refusedBackoff)
+		t.g.cfg.Roster.ObserveRefusal(now, c.engine.ID, refusedBackoff)
 	}
 }
 
@@ -339,7 +339,7 @@
 		pause = loadingRetryAfter
 	}
 
-	t.g.cfg.Roster.Refused(time.Now(), c.engine.ID, pause)
+	t.g.cfg.Roster.ObserveRefusal(time.Now(), c.engine.ID, pause)
 
 	return o
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -128,13 +128,13 @@
 
 	for i, e := range all {
 		candidates[i] = route.OpeningCandidate{
-			Name: e.ID, Excluded: t.exclusion(e, required), Suspected: e.Doubted || e.Failures > 1 || e.Quiet,
+			Name: e.ID, Excluded: t.exclusion(e, required), Suspected: e.Doubted || e.Failures > 1 || e.HeartbeatMissing,
 			Old: e.Version > 0 && e.Version < due, Slots: e.Slots, Distance: t.roundTrip(e),
 		}
 		fillLoad(&candidates[i], e)
 
-		if e.Loads {
-			candidates[i].Overrun = max(run-e.LoadsIn, 0)
+		if e.LoadScheduled {
+			candidates[i].Overrun = max(run-e.LoadIn, 0)
 		}
 
 		l.fillCandidate(&candidates[i], e, newest)
@@ -162,7 +162,7 @@
 	}
 	t.setCacheParams(l, &c)
 	c.params.Priority = enginePriority(t.priority(), t.profile().IsShort(c.prefillTokens))
-	c.idle = e.Fresh && e.Pulse.Reading+e.Pulse.Waiting+e.Since.Requests == 0 && len(c.params.Fetch) == 0
+	c.idle = e.Fresh && e.Report.Prefilling+e.Report.Waiting+e.SentSince.Requests == 0 && len(c.params.Fetch) == 0
 
 	return c, nil
 }
@@ -189,9 +189,9 @@
 // fresh report, the load that this entry knows from its own requests and their responses.
 func fillLoad(c *route.OpeningCandidate, e roster.Engine) {
 	if e.Fresh {
-		c.Running, c.Reading, c.Waiting = e.Pulse.Running+e.Since.Requests, e.Pulse.Reading, e.Pulse.Waiting
-		c.SentTokens = e.Since.Reading
-		c.UsedTokens = e.Pulse.UsedTokens + e.Since.Memory
+		c.Running, c.Reading, c.Waiting = e.Report.Running+e.SentSince.Requests, e.Report.Prefilling, e.Report.Waiting
+		c.SentTokens = e.SentSince.PrefillTokens
+		c.UsedTokens = e.Report.UsedTokens + e.SentSince.CacheTokens
 
 		return
 	}
@@ -308,8 +308,8 @@
 	left := time.Duration(0)
 
 	for _, e := range all {
-		if e.Throttled && e.Cold > 0 && (left == 0 || e.Cold < left) {
-			left = e.Cold
+		if e.Throttled && e.ColdFor > 0 && (left == 0 || e.ColdFor < left) {
+			left = e.ColdFor
 		}
 	}
 
@@ -347,9 +347,9 @@
 	e := c.engine
 
 	event.Log(t.g.cfg.Log, event.AttemptSent, "request_id", t.arrival.ID, "route", t.route.Name, "attempt", t.attempts+1,
-		"target", e.ID, "reason", c.reason, "cost_ms", int(c.cost), "candidates", c.candidates, "cold_ms", e.Cold.Milliseconds(), "config", t.cfg.Version(),
-		"running", max(e.Pulse.Running, e.Load.Running), "reading", e.Pulse.Reading, "tokens_per_ms", int(t.profile().TokensPerMs()), "waiting", max(e.Pulse.Waiting, e.Load.Waiting),
-		"used_tokens", e.Pulse.UsedTokens, "pulse_age_ms", loadReportAge(e), "sent_since", e.Since.Requests,
+		"target", e.ID, "reason", c.reason, "cost_ms", int(c.cost), "candidates", c.candidates, "cold_ms", e.ColdFor.Milliseconds(), "config", t.cfg.Version(),
+		"running", max(e.Report.Running, e.Load.Running), "reading", e.Report.Prefilling, "tokens_per_ms", int(t.profile().TokensPerMs()), "waiting", max(e.Report.Waiting, e.Load.Waiting),
+		"used_tokens", e.Report.UsedTokens, "pulse_age_ms", loadReportAge(e), "sent_since", e.SentSince.Requests,
 		"version", c.params.Version, "fetches", len(c.params.Fetch) > 0, "saves", len(c.params.Save) > 0, "unread", c.prefillTokens, "fetch_wait_ms", c.fetchWait.Milliseconds(), "fetch_ms", c.fetchTime.Milliseconds(),
 		"opening", t.prefixID(), "salt", c.params.Salt)
 }
@@ -367,9 +367,9 @@
 const noLoadReport = -1
 
 func loadReportAge(e roster.Engine) int64 {
-	if e.Pulse.Start == 0 {
+	if e.Report.SourceStart == 0 {
 		return noLoadReport
 	}
 
-	return e.PulseAge.Milliseconds()
+	return e.ReportAge.Milliseconds()
 }
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -308,7 +308,7 @@
 // list adds an engine to the roster.
 func (env *testEnv) list(e *fakeEngine) {
 	for service, address := range map[string]string{"s": e.address, "llm": e.llmAddress} {
-		env.roster.List(time.Now(), roster.Listing{ID: service + e.id, Service: service, Address: address, DataCentre: "east", Slots: 8, Versions: map[string]int64{"m": 1}})
+		env.roster.ObserveListing(time.Now(), roster.Listing{ID: service + e.id, Service: service, Address: address, DataCentre: "east", Slots: 8, Versions: map[string]int64{"m": 1}})
 	}
 }
 
--- a/gateway/fleets_test.go
+++ b/gateway/fleets_test.go
@@ -48,7 +48,7 @@
 				learnSpeed(env.gateway)
 			}
 
-			env.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llmAddress, Running: 1, Waiting: tt.waiting, Model: "m", Version: 1})
+			env.roster.ObserveReport(time.Now(), pulse.Report{Engine: e.llmAddress, Running: 1, Waiting: tt.waiting, Model: "m", Version: 1})
 
 			r := env.request(t, "POST", "/soon/1", "x", "Tokens", "3000")
 			if r.status != tt.status {
@@ -79,8 +79,8 @@
 	env := newTestEnv(t, broken, busy)
 	learnSpeed(env.gateway)
 
-	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: broken.llmAddress, Model: "m", Version: 1})
-	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: busy.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1})
+	env.roster.ObserveReport(time.Now(), pulse.Report{Engine: broken.llmAddress, Model: "m", Version: 1})
+	env.roster.ObserveReport(time.Now(), pulse.Report{Engine: busy.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1})
 
 	r := env.request(t, "POST", "/soon/1", "x", "Tokens", "3000")
 	if want := eventText(0) + eventText(1) + eventText(2) + eventText(3); r.status != http.StatusOK || r.err != nil || r.body != want {
--- a/gateway/flights_test.go
+++ b/gateway/flights_test.go
@@ -16,7 +16,7 @@
 	paused, arrived := newHangingEngine(t, "a", "")
 	env := newTestEnv(t, paused)
 	other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
-	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: paused.llmAddress, Model: "m", Version: 1})
+	env.roster.ObserveReport(time.Now(), pulse.Report{Engine: paused.llmAddress, Model: "m", Version: 1})
 
 	got := make(chan reply, 1)
 
@@ -26,7 +26,7 @@
 	env.list(other)
 
 	for range 6 {
-		env.roster.Pulse(time.Now(), pulse.Pulse{Engine: other.llmAddress, Model: "m", Version: 1})
+		env.roster.ObserveReport(time.Now(), pulse.Report{Engine: other.llmAddress, Model: "m", Version: 1})
 		env.roster.Tick(time.Now())
 		env.gateway.Tick(time.Now())
 	}
@@ -40,8 +40,8 @@
 	}
 
 	for _, e := range env.roster.Candidates(time.Now(), "llm", "m") {
-		if e.ID == "llma" && (e.Failures > 0 || !e.Quiet) {
-			t.Errorf("got %d failures, quiet %v, want none and quiet", e.Failures, e.Quiet)
+		if e.ID == "llma" && (e.Failures > 0 || !e.HeartbeatMissing) {
+			t.Errorf("got %d failures, quiet %v, want none and quiet", e.Failures, e.HeartbeatMissing)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 
 	now := time.Now()
 	env.list(changed)
-	env.roster.Has("llmb", "m", 2, "test")
+	env.roster.ObserveVersion("llmb", "m", 2, "test")
 	env.gateway.VersionNamed(now, "m", 2, now)
 	env.gateway.Tick(now.Add(7 * time.Second))
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -224,7 +224,7 @@
 		event.Log(g.cfg.Log, event.AttemptsOverdue, "attempts", n)
 	}
 
-	for _, id := range g.cfg.Roster.Silent() {
+	for _, id := range g.cfg.Roster.Unresponsive() {
 		if n := g.inFlight.cancel(id, errUnresponsive); n > 0 {
 			event.Log(g.cfg.Log, event.TargetSilent, "target", id, "attempts", n)
 		}
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -27,7 +27,7 @@
 // still come.
 func (t *task) watchCallerTimeout(ctx context.Context, target string, cancel context.CancelCauseFunc) {
 	for pause.For(ctx, max(t.untilCallerTimeout(time.Now()), callerTimeoutPollInterval)) {
-		if t.untilCallerTimeout(time.Now()) <= 0 && t.g.cfg.Roster.Late(target) {
+		if t.untilCallerTimeout(time.Now()) <= 0 && t.g.cfg.Roster.ReportOverdue(target) {
 			cancel(errCallerTimeout)
 
 			return
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -33,7 +33,7 @@
 			select {
 			case now := <-tick.C:
 				for _, a := range addresses {
-					env.roster.Pulse(now, pulse.Pulse{Engine: a, Model: "m", Version: 1})
+					env.roster.ObserveReport(now, pulse.Report{Engine: a, Model: "m", Version: 1})
 				}
 			case <-stop:
 				return
@@ -61,7 +61,7 @@
 			paused, arrived := newHangingEngine(t, "a", tt.shown)
 			env := newTestEnv(t, paused)
 			other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
-			env.roster.Pulse(time.Now(), pulse.Pulse{Engine: paused.llmAddress, Model: "m", Version: 1})
+			env.roster.ObserveReport(time.Now(), pulse.Report{Engine: paused.llmAddress, Model: "m", Version: 1})
 
 			got := make(chan reply, 1)
 
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -70,7 +70,7 @@
 		x.key = resident.Key(x.part)
 
 		for _, e := range l.engines {
-			if e.Version == version && e.Fresh && !e.Quiet && !e.Loading && e.Pulse.Has(x.key, x.tokens) {
+			if e.Version == version && e.Fresh && !e.HeartbeatMissing && !e.Loading && e.Report.Has(x.key, x.tokens) {
 				x.engines = append(x.engines, e)
 			}
 		}
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -16,8 +16,8 @@
 const otherID = "a"
 
 // loadReportOf returns an engine's load report with its long parts.
-func loadReportOf(e *fakeEngine, running int, parts ...resident.Part) pulse.Pulse {
-	return pulse.Pulse{Engine: e.llmAddress, Model: "m", Version: 1, Running: running, Resident: parts}
+func loadReportOf(e *fakeEngine, running int, parts ...resident.Part) pulse.Report {
+	return pulse.Report{Engine: e.llmAddress, Model: "m", Version: 1, Running: running, Resident: parts}
 }
 
 // After a version change the stores have no room for the new parts yet, so that only engines have
@@ -48,8 +48,8 @@
 			all := map[string]*fakeEngine{"b": newFakeEngine(t, "b", stream), "c": newFakeEngine(t, "c", stream)}
 			env := newTestEnv(t, all["b"], all["c"], newFakeEngine(t, otherID, stream))
 			now := time.Now()
-			env.roster.Pulse(now, loadReportOf(all["b"], tt.running, tt.parts...))
-			env.roster.Pulse(now, loadReportOf(all["c"], 0))
+			env.roster.ObserveReport(now, loadReportOf(all["b"], tt.running, tt.parts...))
+			env.roster.ObserveReport(now, loadReportOf(all["c"], 0))
 
 			if got := env.request(t, "POST", "/llm/1", "x", "Tokens", "5000"); got.status != 200 {
 				t.Fatalf("got %d", got.status)
@@ -80,7 +80,7 @@
 
 	for range 3 {
 		for _, e := range []*fakeEngine{b, c} {
-			env.roster.Pulse(time.Now(), loadReportOf(e, e.count()))
+			env.roster.ObserveReport(time.Now(), loadReportOf(e, e.count()))
 		}
 
 		env.request(t, "POST", "/llm/1", "x", "Tokens", "5000")
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -119,7 +119,7 @@
 	}
 
 	b := newFakeEngine(t, "b", hasVersion("3"))
-	env.roster.List(now, roster.Listing{ID: "llmb", Service: "llm", Address: b.llmAddress, DataCentre: "east", Slots: 8, Versions: map[string]int64{"m": 3}})
+	env.roster.ObserveListing(now, roster.Listing{ID: "llmb", Service: "llm", Address: b.llmAddress, DataCentre: "east", Slots: 8, Versions: map[string]int64{"m": 3}})
 
 	if got := env.request(t, "POST", "/llm/1", "x", "Tokens", "500"); got.status != 200 || b.count() != 1 {
 		t.Errorf("with an engine that has them: got %d, want 200", got.status)
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -158,12 +158,12 @@
 // fetched parts would be evicted and prefilled again: at twice the usual load an engine then does a
 // quarter of its work.
 func (t *task) fitsMemory(e roster.Engine) bool {
-	if e.Pulse.Running+e.Pulse.Waiting+e.Since.Requests == 0 {
+	if e.Report.Running+e.Report.Waiting+e.SentSince.Requests == 0 {
 		return true
 	}
 
 	p := t.arrival.Prompt
-	used := e.Pulse.UsedTokens + e.Since.Memory + t.profile().MeanKVTokens()*e.Pulse.Waiting
+	used := e.Report.UsedTokens + e.SentSince.CacheTokens + t.profile().MeanKVTokens()*e.Report.Waiting
 
 	return float64(used+p.Tokens+p.Output) <= maxMemoryShare*float64(t.service.Engines.MemoryTokens)
 }
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -20,10 +20,10 @@
 		want   bool
 	}{
 		{"idle engine", roster.Engine{}, 90_000, true},
-		{"five small prompts running", roster.Engine{Pulse: pulse.Pulse{Running: 5, UsedTokens: 40_000}}, 8_000, true},
-		{"two large prompts running", roster.Engine{Pulse: pulse.Pulse{Running: 2, UsedTokens: 60_000}}, 30_000, false},
-		{"three prompts waiting", roster.Engine{Pulse: pulse.Pulse{Waiting: 3, UsedTokens: 0}}, 30_000, false},
-		{"two prompts sent since the load report", roster.Engine{Since: roster.Sent{Requests: 2, Memory: 50_000}}, 20_000, false},
+		{"five small prompts running", roster.Engine{Report: pulse.Report{Running: 5, UsedTokens: 40_000}}, 8_000, true},
+		{"two large prompts running", roster.Engine{Report: pulse.Report{Running: 2, UsedTokens: 60_000}}, 30_000, false},
+		{"three prompts waiting", roster.Engine{Report: pulse.Report{Waiting: 3, UsedTokens: 0}}, 30_000, false},
+		{"two prompts sent since the load report", roster.Engine{SentSince: roster.Sent{Requests: 2, CacheTokens: 50_000}}, 20_000, false},
 	}
 
 	for _, tt := range tests {
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -28,9 +28,9 @@
 // markCold lists an engine's targets as cold for another d.
 func (env *testEnv) markCold(e *fakeEngine, d time.Duration) {
 	for service, address := range map[string]string{"s": e.address, "llm": e.llmAddress} {
-		env.roster.List(time.Now(), roster.Listing{
+		env.roster.ObserveListing(time.Now(), roster.Listing{
 			ID: service + e.id, Service: service, Address: address, DataCentre: "east", Slots: 8,
-			Versions: map[string]int64{"m": 1}, Cold: d,
+			Versions: map[string]int64{"m": 1}, ColdFor: d,
 		})
 	}
 }
@@ -76,7 +76,7 @@
 	env := newTestEnv(t, e)
 	env.limitSlowStart(3 * time.Second)
 	env.markCold(e, 3*time.Second)
-	env.roster.Pulse(time.Now(), pulse.Pulse{Engine: e.llmAddress, Model: "m", Version: 1, ColdMs: 3000, Permits: 2})
+	env.roster.ObserveReport(time.Now(), pulse.Report{Engine: e.llmAddress, Model: "m", Version: 1, ColdMs: 3000, Permits: 2})
 
 	for i, want := range []int{200, 200, 503} {
 		r := env.request(t, "POST", "/soon/1", "x", "Tokens", "100", "Id", strconv.Itoa(i))
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -144,8 +144,8 @@
 func TestWhatWaitsForRoomIsRefusedAsAStopEnds(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
-	full := pulse.Pulse{Engine: e.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1}
-	env.roster.Pulse(time.Now(), full)
+	full := pulse.Report{Engine: e.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1}
+	env.roster.ObserveReport(time.Now(), full)
 
 	got := make(chan reply, 1)
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -69,7 +69,7 @@
 	for {
 		n, err := x.Read(buf)
 		if n > 0 {
-			t.g.cfg.Roster.Heard(time.Now(), c.engine.ID)
+			t.g.cfg.Roster.ObserveAnswer(time.Now(), c.engine.ID)
 		}
 
 		pending = append(pending, buf[:n]...)
--- a/loader/standby.go
+++ b/loader/standby.go
@@ -181,7 +181,7 @@
 		r.schedule(now, s.cfg.Turn, engines)
 
 		for _, e := range engines {
-			if _, busy := s.inProgress[e.ID]; busy || !e.Alone || e.Loading || e.Version >= r.desired.Version {
+			if _, busy := s.inProgress[e.ID]; busy || !e.NoSideProcess || e.Loading || e.Version >= r.desired.Version {
 				continue
 			}
 
@@ -213,7 +213,7 @@
 	var all []Sibling
 
 	for _, e := range engines {
-		if _, ok := r.slotStarts[e.ID]; ok || !e.Alone || e.Version >= r.desired.Version {
+		if _, ok := r.slotStarts[e.ID]; ok || !e.NoSideProcess || e.Version >= r.desired.Version {
 			continue
 		}
 
--- a/loader/standby_test.go
+++ b/loader/standby_test.go
@@ -41,7 +41,7 @@
 
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
 		if e := f.engines[id]; !f.unlisted[id] {
-			all = append(all, roster.Holding{ID: id, Address: id, Version: e.loadedVersion(), Alone: !f.hasLoader[id]})
+			all = append(all, roster.Holding{ID: id, Address: id, Version: e.loadedVersion(), NoSideProcess: !f.hasLoader[id]})
 		}
 	}
 
--- a/pulse/listener.go
+++ b/pulse/listener.go
@@ -23,16 +23,16 @@
 	// Demand returns the rate of prompts at this process, per second, and whether engines
 	// currently divide their permits by it; nil reports no demand.
 	Demand func(now time.Time) (perSecond int, shared bool)
-	// OnPulse is called with each load report, per engine in the order of sending, from one
+	// OnReport is called with each load report, per engine in the order of sending, from one
 	// goroutine.
-	OnPulse func(now time.Time, p Pulse)
+	OnReport func(now time.Time, p Report)
 }
 
 // Listener subscribes to engines and receives their load reports. Use Listen.
 type Listener struct {
 	cfg      ListenerConfig
 	conn     *net.UDPConn
-	latest   map[string]Pulse
+	latest   map[string]Report
 	interval atomic.Int64 // requested report interval in ns
 }
 
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 
-	return &Listener{cfg: cfg, conn: conn, latest: make(map[string]Pulse)}, nil
+	return &Listener{cfg: cfg, conn: conn, latest: make(map[string]Report)}, nil
 }
 
 // Run renews the subscriptions and receives load reports until ctx ends.
@@ -63,21 +63,21 @@
 			continue
 		}
 
-		var p Pulse
+		var p Report
 		if cbor.Unmarshal(buf[:n], &p) != nil || !l.newer(p) {
 			continue
 		}
 
 		p.Interval = time.Duration(l.interval.Load())
-		l.cfg.OnPulse(time.Now(), p)
+		l.cfg.OnReport(time.Now(), p)
 	}
 }
 
 // newer reports whether a load report is newer than the latest one of its engine, and if so
 // records it. Datagrams may arrive out of order.
-func (l *Listener) newer(p Pulse) bool {
+func (l *Listener) newer(p Report) bool {
 	old, ok := l.latest[p.Engine]
-	if ok && (p.Start < old.Start || (p.Start == old.Start && p.Sequence <= old.Sequence)) {
+	if ok && (p.SourceStart < old.SourceStart || (p.SourceStart == old.SourceStart && p.Sequence <= old.Sequence)) {
 		return false
 	}
 
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -27,19 +27,19 @@
 	"boragehub/resident"
 )
 
-// Pulse is a load report of an engine.
-type Pulse struct {
+// Report is a load report of an engine.
+type Report struct {
 	// Engine is the engine's address.
 	Engine string `cbor:"1,keyasint"`
 	// Sequence increases by one with each load report since the start of the side
 	// process; Start is the time of that start, in ns of its clock.
-	Sequence uint64 `cbor:"2,keyasint"`
-	Start    int64  `cbor:"3,keyasint"`
+	Sequence    uint64 `cbor:"2,keyasint"`
+	SourceStart int64  `cbor:"3,keyasint"`
 	// Running and Waiting are the numbers of the engine's running and queued requests.
 	Running int `cbor:"4,keyasint"`
 	Waiting int `cbor:"5,keyasint"`
-	// Reading is the number of running requests that are still in prefill.
-	Reading int `cbor:"13,keyasint,omitempty"`
+	// Prefilling is the number of running requests that are still in prefill.
+	Prefilling int `cbor:"13,keyasint,omitempty"`
 	// UsedTokens is the part of the KV cache that requests hold, TotalTokens its size.
 	UsedTokens  int `cbor:"7,keyasint"`
 	TotalTokens int `cbor:"8,keyasint"`
@@ -48,8 +48,8 @@
 	Version int64  `cbor:"10,keyasint"`
 	// Clock is the engine's clock in ms when it was queried.
 	Clock int64 `cbor:"12,keyasint,omitempty"`
-	// Born is the engine's start time in ms of its clock; zero when not reported.
-	Born int64 `cbor:"14,keyasint,omitempty"`
+	// StartedMs is the engine's start time in ms of its clock; zero when not reported.
+	StartedMs int64 `cbor:"14,keyasint,omitempty"`
 	// LoadInMs is the time until the engine's next weight load, at least 1; zero when
 	// none is scheduled.
 	LoadInMs int64 `cbor:"15,keyasint,omitempty"`
@@ -68,7 +68,7 @@
 
 // AfterRestart returns the part of p that stays valid when the engine has restarted: its
 // address and the report interval.
-func (p Pulse) AfterRestart() Pulse { return Pulse{Engine: p.Engine, Interval: p.Interval} }
+func (p Report) AfterRestart() Report { return Report{Engine: p.Engine, Interval: p.Interval} }
 
 // Subscription is the datagram that an entry sends to a side process.
 type Subscription struct {
@@ -80,7 +80,7 @@
 
 // Has reports whether the engine's KV cache holds at least that many tokens of the part
 // with the given key.
-func (p Pulse) Has(key uint64, tokens int) bool {
+func (p Report) Has(key uint64, tokens int) bool {
 	for _, r := range p.Resident {
 		if r.Key == key {
 			return r.Tokens >= tokens
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -12,12 +12,12 @@
 )
 
 // fixedEngine is an engine that always returns the same load report.
-type fixedEngine struct{ report Pulse }
+type fixedEngine struct{ report Report }
 
-func (f fixedEngine) Pulse(context.Context, string) (Pulse, error) { return f.report, nil }
+func (f fixedEngine) Report(context.Context, string) (Report, error) { return f.report, nil }
 
 func TestSubscribersGetPulses(t *testing.T) {
-	r, err := NewBeacon(BeaconConfig{Address: "127.0.0.1:0", Engine: fixedEngine{Pulse{Running: 3, Version: 2}}, EngineAddress: "127.0.0.1:9"})
+	r, err := NewReporter(ReporterConfig{Address: "127.0.0.1:0", Engine: fixedEngine{Report{Running: 3, Version: 2}}, EngineAddress: "127.0.0.1:9"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,12 +25,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	got := make(chan Pulse, 16)
+	got := make(chan Report, 16)
 
 	l, err := Listen(ListenerConfig{
 		Address: "127.0.0.1:0", Port: r.conn.LocalAddr().(*net.UDPAddr).Port,
-		Engines: func() ([]string, time.Duration) { return []string{"127.0.0.1:9"}, MinInterval },
-		OnPulse: func(_ time.Time, p Pulse) { got <- p },
+		Engines:  func() ([]string, time.Duration) { return []string{"127.0.0.1:9"}, MinInterval },
+		OnReport: func(_ time.Time, p Report) { got <- p },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 // Datagrams arrive out of order, and a restarted side process numbers its load reports from one
 // again. Applied in the wrong order, they would make a busy engine look idle.
 func TestOnlyNewerPulsesCount(t *testing.T) {
-	l := &Listener{latest: map[string]Pulse{}}
+	l := &Listener{latest: map[string]Report{}}
 
 	tests := []struct {
 		start    int64
@@ -69,7 +69,7 @@
 	}
 
 	for _, tt := range tests {
-		if got := l.newer(Pulse{Engine: "a", Start: tt.start, Sequence: tt.sequence}); got != tt.want {
+		if got := l.newer(Report{Engine: "a", SourceStart: tt.start, Sequence: tt.sequence}); got != tt.want {
 			t.Errorf("%d/%d: got %v, want %v", tt.start, tt.sequence, got, tt.want)
 		}
 	}
@@ -149,14 +149,14 @@
 }
 
 func TestPulseTellsWhatIsInMemory(t *testing.T) {
-	p := Pulse{Resident: []resident.Part{{Key: 7, Tokens: 2048}}}
+	p := Report{Resident: []resident.Part{{Key: 7, Tokens: 2048}}}
 
 	body, err := cbor.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	var got Pulse
+	var got Report
 	if err := cbor.Unmarshal(body, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	}
 
 	for _, tt := range tests {
-		r := &Reporter{cfg: BeaconConfig{LoadIn: tt.loadIn}}
+		r := &Reporter{cfg: ReporterConfig{LoadIn: tt.loadIn}}
 		if got := r.loadIn(now); got != tt.want {
 			t.Errorf("%s: got %d, want %d", tt.name, got, tt.want)
 		}
--- a/pulse/reporter.go
+++ b/pulse/reporter.go
@@ -15,12 +15,12 @@
 
 // Engine queries the engine of this side process.
 type Engine interface {
-	// Pulse queries the engine at address. The Reporter sets Engine, Sequence and Start.
-	Pulse(ctx context.Context, address string) (Pulse, error)
+	// Report queries the engine at address. The Reporter sets Engine, Sequence and Start.
+	Report(ctx context.Context, address string) (Report, error)
 }
 
-// BeaconConfig configures a Reporter.
-type BeaconConfig struct {
+// ReporterConfig configures a Reporter.
+type ReporterConfig struct {
 	// Address is the local UDP address at which subscriptions arrive.
 	Address string
 	// Engine queries the engine at EngineAddress.
@@ -41,7 +41,7 @@
 
 // Reporter sends an engine's load reports to its subscribers. Use NewBeacon.
 type Reporter struct {
-	cfg  BeaconConfig
+	cfg  ReporterConfig
 	conn *net.UDPConn
 
 	mu          sync.Mutex
@@ -56,8 +56,8 @@
 	dueAt     time.Time // when its next load report is due
 }
 
-// NewBeacon returns a Reporter that is bound to cfg.Address.
-func NewBeacon(cfg BeaconConfig) (*Reporter, error) {
+// NewReporter returns a Reporter that is bound to cfg.Address.
+func NewReporter(cfg ReporterConfig) (*Reporter, error) {
 	conn, err := listen(cfg.Address)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 
 	go r.subscriptions(ctx)
 
-	p := Pulse{Start: time.Now().UnixNano()}
+	p := Report{SourceStart: time.Now().UnixNano()}
 	lost := true
 
 	for pause.For(ctx, MinInterval) {
@@ -92,7 +92,7 @@
 		}
 
 		c, cancel := context.WithTimeout(ctx, MinInterval)
-		next, err := r.cfg.Engine.Pulse(c, r.cfg.EngineAddress)
+		next, err := r.cfg.Engine.Report(c, r.cfg.EngineAddress)
 
 		cancel()
 
@@ -109,15 +109,15 @@
 
 		lost = false
 
-		if next.Born > p.Born && p.Born > 0 && r.cfg.Restarted != nil {
+		if next.StartedMs > p.StartedMs && p.StartedMs > 0 && r.cfg.Restarted != nil {
 			r.cfg.Restarted()
 		}
 
-		if next.Born > p.Born {
+		if next.StartedMs > p.StartedMs {
 			r.noteEngineStart(time.Now(), next)
 		}
 
-		next.Engine, next.Start, next.Sequence = r.cfg.EngineAddress, p.Start, p.Sequence+1
+		next.Engine, next.SourceStart, next.Sequence = r.cfg.EngineAddress, p.SourceStart, p.Sequence+1
 		if r.cfg.Resident != nil {
 			next.Resident = r.cfg.Resident()
 		}
@@ -130,9 +130,9 @@
 }
 
 // noteEngineStart passes the start of the engine on to the slow-start guard.
-func (r *Reporter) noteEngineStart(now time.Time, p Pulse) {
+func (r *Reporter) noteEngineStart(now time.Time, p Report) {
 	if r.cfg.SlowStart != nil && p.Clock > 0 {
-		r.cfg.SlowStart.Started(now, time.Duration(p.Clock-p.Born)*time.Millisecond)
+		r.cfg.SlowStart.Started(now, time.Duration(p.Clock-p.StartedMs)*time.Millisecond)
 	}
 }
 
@@ -222,7 +222,7 @@
 }
 
 // send sends a load report to the given subscribers, each with its own permits.
-func (r *Reporter) send(now time.Time, p Pulse, to []subscriber) {
+func (r *Reporter) send(now time.Time, p Report, to []subscriber) {
 	var permits map[string]int
 
 	if g := r.cfg.SlowStart; g != nil {
@@ -258,7 +258,7 @@
 }
 
 // encode returns the CBOR encoding of a load report.
-func encode(p Pulse) []byte {
+func encode(p Report) []byte {
 	body, err := cbor.Marshal(p)
 	if err != nil {
 		return nil // a struct of strings and numbers can always be encoded
--- a/roster/holding.go
+++ b/roster/holding.go
@@ -10,9 +10,9 @@
 	Version int64
 	// Loading reports whether it is taken to be loading weights.
 	Loading bool
-	// Alone reports whether the target is taken to have no side process: this process has
+	// NoSideProcess reports whether the target is taken to have no side process: this process has
 	// subscribed to its load reports for noSideProcessAfter and never received one.
-	Alone bool
+	NoSideProcess bool
 }
 
 // noSideProcessAfter is how long a subscription stays unanswered before the target is taken
@@ -31,7 +31,7 @@
 		if v := e.versions[model]; v > 0 && !l.Draining && r.currentRegistration(l.Address).id == id {
 			all = append(all, Holding{
 				ID: id, Address: l.Address, Version: v, Loading: now.Before(e.loadingUntil),
-				Alone: !r.reporting[l.Address] && !e.subscribedAt.IsZero() && now.Sub(e.subscribedAt) >= noSideProcessAfter,
+				NoSideProcess: !r.reporting[l.Address] && !e.subscribedAt.IsZero() && now.Sub(e.subscribedAt) >= noSideProcessAfter,
 			})
 		}
 	}
--- a/roster/holding_test.go
+++ b/roster/holding_test.go
@@ -19,7 +19,7 @@
 		{ID: "leaving", Service: "llm", Address: "b:1", Versions: map[string]int64{"m": 3}, Draining: true},
 		{ID: "of another model", Service: "llm", Address: "c:1", Versions: map[string]int64{"n": 3}},
 	} {
-		r.List(t0, l)
+		r.ObserveListing(t0, l)
 	}
 
 	steps := []struct {
@@ -29,9 +29,11 @@
 		want bool
 	}{
 		{"not subscribed", func() {}, time.Hour, false},
-		{"subscribed", func() { r.Watched(t0, func(string) bool { return true }) }, noSideProcessAfter - 1, false},
+		{"subscribed", func() { r.Subscriptions(t0, func(string) bool { return true }) }, noSideProcessAfter - 1, false},
 		{"subscription unanswered for long", func() {}, noSideProcessAfter, true},
-		{"report received", func() { r.Pulse(t0, pulse.Pulse{Engine: "a:1", Sequence: 1, Start: 1, Model: "m", Version: 3}) }, noSideProcessAfter, false},
+		{"report received", func() {
+			r.ObserveReport(t0, pulse.Report{Engine: "a:1", Sequence: 1, SourceStart: 1, Model: "m", Version: 3})
+		}, noSideProcessAfter, false},
 		{"report received long ago", func() {}, time.Hour, false},
 	}
 
@@ -43,7 +45,7 @@
 			t.Fatalf("%s: got %+v, want one", s.name, got)
 		}
 
-		if want := (Holding{ID: "a", Address: "a:1", Version: 3, Alone: s.want}); got[0] != want {
+		if want := (Holding{ID: "a", Address: "a:1", Version: 3, NoSideProcess: s.want}); got[0] != want {
 			t.Errorf("%s: got %+v, want %+v", s.name, got[0], want)
 		}
 	}
--- a/roster/pulse.go
+++ b/roster/pulse.go
@@ -16,8 +16,8 @@
 	return (maxLostReports + 1) * max(e.report.Interval, pulse.MinInterval)
 }
 
-// Pulse applies a load report that an engine's side process sent directly.
-func (r *Roster) Pulse(now time.Time, p pulse.Pulse) {
+// ObserveReport applies a load report that an engine's side process sent directly.
+func (r *Roster) ObserveReport(now time.Time, p pulse.Report) {
 	r.mu.Lock()
 	id, restarted := r.applyReport(now, p)
 	r.mu.Unlock()
@@ -27,7 +27,7 @@
 
 // applyReport applies a load report. It returns the id of the reporting target and whether
 // that target has restarted under the same id. The caller holds mu.
-func (r *Roster) applyReport(now time.Time, p pulse.Pulse) (id string, restarted bool) {
+func (r *Roster) applyReport(now time.Time, p pulse.Report) (id string, restarted bool) {
 	id = r.currentRegistration(p.Engine).id
 	e, ok := r.engines[id]
 	if !ok {
@@ -36,8 +36,8 @@
 
 	r.reporting[p.Engine] = true
 
-	restarted = r.observeStart(now, id, e.listing.Service, e, p.Born)
-	if e.isEarlierStart(p.Born) {
+	restarted = r.observeStart(now, id, e.listing.Service, e, p.StartedMs)
+	if e.isEarlierStart(p.StartedMs) {
 		return "", false
 	}
 
@@ -50,10 +50,10 @@
 	return id, restarted
 }
 
-// Watched returns the addresses of the targets to whose load reports this process subscribes,
+// Subscriptions returns the addresses of the targets to whose load reports this process subscribes,
 // and the interval between two reports of one target. They are the targets of the services for
 // which pass returns true; when there are too many, the most recently used ones.
-func (r *Roster) Watched(now time.Time, pass func(service string) bool) (addresses []string, interval time.Duration) {
+func (r *Roster) Subscriptions(now time.Time, pass func(service string) bool) (addresses []string, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -52,10 +52,10 @@
 	Slots int
 	// Versions holds the target's weight versions by model.
 	Versions map[string]int64
-	// Born is the target's start time in ms of its own clock; zero when not reported.
-	Born int64
-	// Cold is the time until the target is warm after its start; zero when it is warm.
-	Cold time.Duration
+	// StartedMs is the target's start time in ms of its own clock; zero when not reported.
+	StartedMs int64
+	// ColdFor is the time until the target is warm after its start; zero when it is warm.
+	ColdFor time.Duration
 	// Offset is the entry's position in the register. Targets rewrite their entries
 	// regularly, so the entry with the highest offset is the latest.
 	Offset int64
@@ -63,7 +63,7 @@
 
 // equal reports whether l and o agree in everything but ID, DataCentre, Cold and Offset.
 func (l Listing) equal(o Listing) bool {
-	if l.Service != o.Service || l.Address != o.Address || l.Draining != o.Draining || l.Slots != o.Slots || l.Born != o.Born || len(l.Versions) != len(o.Versions) {
+	if l.Service != o.Service || l.Address != o.Address || l.Draining != o.Draining || l.Slots != o.Slots || l.StartedMs != o.StartedMs || len(l.Versions) != len(o.Versions) {
 		return false
 	}
 
@@ -91,9 +91,9 @@
 	// announced and its completion is not reported; 4 s when zero. A load takes about
 	// 0.5 s, and the requests that run before it another 1 to 2 s.
 	MaxLoadTime time.Duration
-	// Named reports whether a service is configured; nil means that all are. Register
+	// Configured reports whether a service is configured; nil means that all are. Register
 	// entries of other services never count as the target at an address.
-	Named func(service string) bool
+	Configured func(service string) bool
 	// SlowStart returns the request limit of a service's cold targets; nil means no
 	// limit.
 	SlowStart func(service string) slowstart.Limit
@@ -118,22 +118,22 @@
 	// Loading reports whether the target is taken to be loading weights and to refuse
 	// work.
 	Loading bool
-	// Loads reports whether a weight load is scheduled, LoadsIn after the call; zero
+	// LoadScheduled reports whether a weight load is scheduled, LoadsIn after the call; zero
 	// when it is due.
-	Loads   bool
-	LoadsIn time.Duration
-	// Pulse is the last load report received directly from the target's side process,
+	LoadScheduled bool
+	LoadIn        time.Duration
+	// Report is the last load report received directly from the target's side process,
 	// PulseAge its age. Fresh reports whether it is recent enough to be used.
-	Pulse    pulse.Pulse
-	PulseAge time.Duration
-	Fresh    bool
-	// Since counts the requests that this process sent to the target after that report.
-	Since Sent
-	// Quiet reports whether the target is suspected of having failed: neither load
+	Report    pulse.Report
+	ReportAge time.Duration
+	Fresh     bool
+	// SentSince counts the requests that this process sent to the target after that report.
+	SentSince Sent
+	// HeartbeatMissing reports whether the target is suspected of having failed: neither load
 	// reports nor answers have arrived from it for several checks.
-	Quiet bool
-	// Cold is the time until the target is warm; zero when it is warm or has no limit.
-	Cold time.Duration
+	HeartbeatMissing bool
+	// ColdFor is the time until the target is warm; zero when it is warm or has no limit.
+	ColdFor time.Duration
 	// Throttled reports whether this process may send the target no request now because
 	// the target may be cold.
 	Throttled bool
@@ -150,14 +150,14 @@
 
 // Sent counts requests that were sent to a target.
 type Sent struct {
-	// Requests is their number, Reading the number of tokens that the target has to
-	// prefill for them, and Memory the number of KV cache tokens that they take.
-	Requests, Reading, Memory int
+	// Requests is their number, PrefillTokens the number of tokens that the target has to
+	// prefill for them, and CacheTokens the number of KV cache tokens that they take.
+	Requests, PrefillTokens, CacheTokens int
 }
 
 // engine is the state kept for one target.
 type engine struct {
-	report       pulse.Pulse
+	report       pulse.Report
 	reportedAt   time.Time
 	subscribedAt time.Time // since when this process subscribes to its load reports; zero while it doesn't
 	sentSince    Sent
@@ -230,9 +230,9 @@
 	}
 }
 
-// Away records whether the log is unavailable. Drops are delayed during an outage and
+// SetLogUnavailable records whether the log is unavailable. Drops are delayed during an outage and
 // for Config.DropDelay after it.
-func (r *Roster) Away(now time.Time, unavailable bool) {
+func (r *Roster) SetLogUnavailable(now time.Time, unavailable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -240,8 +240,8 @@
 	r.dropsDelayedUntil = now.Add(r.cfg.DropDelay)
 }
 
-// List applies the register's entry for one target.
-func (r *Roster) List(now time.Time, l Listing) {
+// ObserveListing applies the register's entry for one target.
+func (r *Roster) ObserveListing(now time.Time, l Listing) {
 	r.mu.Lock()
 	restarted := r.applyListing(now, l)
 	r.mu.Unlock()
@@ -262,8 +262,8 @@
 		r.firstListedAt = now
 	}
 
-	restarted = r.observeStart(now, l.ID, l.Service, e, l.Born)
-	e.slowStart.observeCold(now, l.Cold)
+	restarted = r.observeStart(now, l.ID, l.Service, e, l.StartedMs)
+	e.slowStart.observeCold(now, l.ColdFor)
 
 	if ok && e.listing.Address != l.Address {
 		r.removeRegistration(e.listing.Address, l.ID)
@@ -275,7 +275,7 @@
 	e.dropAfter = time.Time{}
 	changed := !ok || !e.listing.equal(l) || r.currentRegistration(l.Address).id != before
 
-	if !e.isEarlierStart(l.Born) {
+	if !e.isEarlierStart(l.StartedMs) {
 		for model, v := range l.Versions {
 			r.raiseVersion(l.ID, e, model, v, "register")
 		}
@@ -292,9 +292,9 @@
 	return restarted
 }
 
-// Drop applies the removal of a target from the register. During and shortly after a log
+// ObserveRemoval applies the removal of a target from the register. During and shortly after a log
 // outage the removal is delayed unless the target is draining; Tick then carries it out.
-func (r *Roster) Drop(now time.Time, id string) {
+func (r *Roster) ObserveRemoval(now time.Time, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -411,7 +411,7 @@
 	for _, t := range targets {
 		if e, ok := r.engines[t.VM]; ok && r.currentRegistration(e.listing.Address).id == t.VM && !r.evacuated[e.listing.DataCentre] {
 			view := e.view(now, t, model)
-			view.Cold, view.Throttled = r.throttle(now, e)
+			view.ColdFor, view.Throttled = r.throttle(now, e)
 			all = append(all, view)
 		}
 	}
@@ -425,11 +425,11 @@
 	loads := time.Duration(e.report.LoadInMs) * time.Millisecond
 
 	return Engine{
-		Loads: loads > 0, LoadsIn: max(loads-age, 0),
+		LoadScheduled: loads > 0, LoadIn: max(loads-age, 0),
 		Target: t, ID: t.VM, Slots: e.listing.Slots,
 		Version: e.versions[model], Loading: now.Before(e.loadingUntil),
-		Pulse: e.report, PulseAge: age, Fresh: age < e.maxReportAge(), Since: e.sentSince,
-		Quiet: e.suspected(),
+		Report: e.report, ReportAge: age, Fresh: age < e.maxReportAge(), SentSince: e.sentSince,
+		HeartbeatMissing: e.suspected(),
 	}
 }
 
@@ -442,8 +442,8 @@
 	if e, ok := r.engines[id]; ok {
 		e.lastSentAt = now
 		e.sentSince.Requests++
-		e.sentSince.Reading += reading
-		e.sentSince.Memory += memory
+		e.sentSince.PrefillTokens += reading
+		e.sentSince.CacheTokens += memory
 	}
 
 	r.mu.Unlock()
@@ -458,14 +458,14 @@
 	}
 }
 
-// Load records the load that a target reported on an answer, in requests.
-func (r *Roster) Load(now time.Time, id string, running, waiting int) {
+// ObserveLoad records the load that a target reported on an answer, in requests.
+func (r *Roster) ObserveLoad(now time.Time, id string, running, waiting int) {
 	r.table.ObserveLoad(now, id, target.Load{Running: running, Waiting: waiting})
 }
 
-// Loading records that a target is about to load a weight version. It is ignored when the
+// ObserveLoading records that a target is about to load a weight version. It is ignored when the
 // target is known to have that version or a newer one.
-func (r *Roster) Loading(now time.Time, id, model string, version int64) {
+func (r *Roster) ObserveLoading(now time.Time, id, model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -478,9 +478,9 @@
 	event.Log(r.cfg.Log, event.EngineLoading, "target", id, "model", model, "version", version)
 }
 
-// Refused records that a target refused work although it is not full: it is loading weights
+// ObserveRefusal records that a target refused work although it is not full: it is loading weights
 // and the load was not announced. The target counts as loading for the time d.
-func (r *Roster) Refused(now time.Time, id string, d time.Duration) {
+func (r *Roster) ObserveRefusal(now time.Time, id string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -489,12 +489,14 @@
 	}
 }
 
-// Gone records that another target answers at a target's address. The target counts as
+// ObserveReplaced records that another target answers at a target's address. The target counts as
 // loading for Config.MaxLoadTime, so that it gets no work until the register has changed.
-func (r *Roster) Gone(now time.Time, id string) { r.Refused(now, id, r.cfg.MaxLoadTime) }
+func (r *Roster) ObserveReplaced(now time.Time, id string) {
+	r.ObserveRefusal(now, id, r.cfg.MaxLoadTime)
+}
 
-// Has records that a target has a weight version. Basis names the source; it is logged.
-func (r *Roster) Has(id, model string, version int64, basis string) {
+// ObserveVersion records that a target has a weight version. Basis names the source; it is logged.
+func (r *Roster) ObserveVersion(id, model string, version int64, basis string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -29,8 +29,8 @@
 
 func newTestRoster() *Roster {
 	r := New(Config{Self: "entry-1", DataCentre: "east", Log: logr.Discard()})
-	r.List(epoch, testListing("a", "10.0.0.1:80", 1))
-	r.List(epoch, testListing("b", "10.0.0.2:80", 1))
+	r.ObserveListing(epoch, testListing("a", "10.0.0.1:80", 1))
+	r.ObserveListing(epoch, testListing("b", "10.0.0.2:80", 1))
 
 	return r
 }
@@ -39,7 +39,7 @@
 	r := newTestRoster()
 	l := testListing("a", "10.0.0.1:80", 1)
 	l.Draining = true
-	r.List(at(10), l)
+	r.ObserveListing(at(10), l)
 
 	if _, ok := candidatesByID(r, at(10))["a"]; ok {
 		t.Error("got a as a candidate, want it left out")
@@ -62,16 +62,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newTestRoster()
-			r.Away(at(0), true)
-			r.Away(at(4000), false)
-			r.Drop(at(4010), "a")
+			r.SetLogUnavailable(at(0), true)
+			r.SetLogUnavailable(at(4000), false)
+			r.ObserveRemoval(at(4010), "a")
 
 			if _, ok := candidatesByID(r, at(4020))["a"]; !ok {
 				t.Fatal("got a removed at once, want its removal delayed")
 			}
 
 			if tt.back {
-				r.List(at(5500), testListing("a", "10.0.0.1:80", 1))
+				r.ObserveListing(at(5500), testListing("a", "10.0.0.1:80", 1))
 			}
 
 			r.Tick(at(6500))
@@ -85,7 +85,7 @@
 
 func TestDropInCalmTimesIsBelievedAtOnce(t *testing.T) {
 	r := newTestRoster()
-	r.Drop(at(10), "a")
+	r.ObserveRemoval(at(10), "a")
 
 	if _, ok := candidatesByID(r, at(10))["a"]; ok {
 		t.Error("got a kept, want it removed")
@@ -96,9 +96,9 @@
 	r := newTestRoster()
 	l := testListing("a", "10.0.0.1:80", 1)
 	l.Draining = true
-	r.List(at(0), l)
-	r.Away(at(10), true)
-	r.Drop(at(20), "a")
+	r.ObserveListing(at(0), l)
+	r.SetLogUnavailable(at(10), true)
+	r.ObserveRemoval(at(20), "a")
 
 	if got := r.Len(); got != 1 {
 		t.Errorf("got %d targets, want 1", got)
@@ -107,8 +107,8 @@
 
 func TestVersionsOnlyRise(t *testing.T) {
 	r := newTestRoster()
-	r.Has("a", "m", 3, "answer")
-	r.List(at(100), testListing("a", "10.0.0.1:80", 2)) // the register is stale
+	r.ObserveVersion("a", "m", 3, "answer")
+	r.ObserveListing(at(100), testListing("a", "10.0.0.1:80", 2)) // the register is stale
 
 	if got := candidatesByID(r, at(100))["a"].Version; got != 3 {
 		t.Errorf("got version %d, want 3", got)
@@ -119,7 +119,7 @@
 // the end of the load. Without a time limit the engine would never get work again.
 func TestAnnouncedLoadEnds(t *testing.T) {
 	r := newTestRoster()
-	r.Loading(at(0), "a", "m", 2)
+	r.ObserveLoading(at(0), "a", "m", 2)
 
 	if !candidatesByID(r, at(100))["a"].Loading {
 		t.Error("got a not loading, want it loading")
@@ -129,8 +129,8 @@
 		t.Error("after the time limit: got a loading")
 	}
 
-	r.Loading(at(5000), "a", "m", 2)
-	r.Has("a", "m", 2, "side process")
+	r.ObserveLoading(at(5000), "a", "m", 2)
+	r.ObserveVersion("a", "m", 2, "side process")
 
 	if candidatesByID(r, at(5100))["a"].Loading {
 		t.Error("with the new version: got a loading")
@@ -139,8 +139,8 @@
 
 func TestLateNoticeOfAVersionThatIsThereIsIgnored(t *testing.T) {
 	r := newTestRoster()
-	r.Has("a", "m", 2, "answer")
-	r.Loading(at(0), "a", "m", 2)
+	r.ObserveVersion("a", "m", 2, "answer")
+	r.ObserveLoading(at(0), "a", "m", 2)
 
 	if candidatesByID(r, at(10))["a"].Loading {
 		t.Error("got a loading")
@@ -149,17 +149,17 @@
 
 func TestPulseCountsWhatWasSentSince(t *testing.T) {
 	r := newTestRoster()
-	r.Pulse(at(0), pulse.Pulse{Engine: "10.0.0.1:80", Running: 3, UsedTokens: 4000, Model: "m", Version: 1})
+	r.ObserveReport(at(0), pulse.Report{Engine: "10.0.0.1:80", Running: 3, UsedTokens: 4000, Model: "m", Version: 1})
 	s := r.Sent(at(10), "a", 500, 900)
 
 	e := candidatesByID(r, at(20))["a"]
-	if !e.Fresh || e.Pulse.Running != 3 || e.Since != (Sent{1, 500, 900}) {
+	if !e.Fresh || e.Report.Running != 3 || e.SentSince != (Sent{1, 500, 900}) {
 		t.Errorf("got %+v, want the report and one request since", e)
 	}
 
-	r.Pulse(at(100), pulse.Pulse{Engine: "10.0.0.1:80", Running: 4, Model: "m", Version: 1})
+	r.ObserveReport(at(100), pulse.Report{Engine: "10.0.0.1:80", Running: 4, Model: "m", Version: 1})
 
-	if got := candidatesByID(r, at(100))["a"].Since; got != (Sent{}) {
+	if got := candidatesByID(r, at(100))["a"].SentSince; got != (Sent{}) {
 		t.Errorf("after the next report: got %+v, want none", got)
 	}
 
@@ -177,8 +177,8 @@
 	r := newTestRoster()
 	older, newer := testListing("a", "10.0.0.1:80", 1), testListing("a2", "10.0.0.1:80", 1)
 	older.Offset, newer.Offset = 10, 14
-	r.List(at(0), newer)
-	r.List(at(0), older) // a full list is unordered
+	r.ObserveListing(at(0), newer)
+	r.ObserveListing(at(0), older) // a full list is unordered
 
 	got := candidatesByID(r, at(10))
 	if _, ok := got["a"]; ok {
@@ -193,7 +193,7 @@
 		t.Errorf("by address: got %q %v, want a2", id, ok)
 	}
 
-	r.Drop(at(20), "a2")
+	r.ObserveRemoval(at(20), "a2")
 
 	if _, ok := candidatesByID(r, at(30))["a"]; !ok {
 		t.Error("with a2 dropped: got a left out, want it as a candidate")
--- a/roster/silence.go
+++ b/roster/silence.go
@@ -61,8 +61,8 @@
 	return e.liveness.missedChecks >= unresponsiveChecks+e.extraChecks(unresponsiveChecks)
 }
 
-// Heard records that bytes of an answer arrived from a target.
-func (r *Roster) Heard(now time.Time, id string) {
+// ObserveAnswer records that bytes of an answer arrived from a target.
+func (r *Roster) ObserveAnswer(now time.Time, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -72,10 +72,10 @@
 	}
 }
 
-// Late reports whether a target's next load report is overdue while other targets are seen.
+// ReportOverdue reports whether a target's next load report is overdue while other targets are seen.
 // It does so long before the target is suspected and is wrong whenever a report is lost, so
 // use it only where there is no time to wait longer and a wrong result costs little.
-func (r *Roster) Late(id string) bool {
+func (r *Roster) ReportOverdue(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -86,9 +86,9 @@
 	return ok && e.liveness.everReported && r.lastSeen.Sub(e.liveness.lastSeen) > reportOverdueAfter+max(e.report.Interval-pulse.MinInterval, 0)
 }
 
-// Silent returns the ids of the unresponsive targets: those not seen for so long that
+// Unresponsive returns the ids of the unresponsive targets: those not seen for so long that
 // requests waiting for them are to be given up.
-func (r *Roster) Silent() []string {
+func (r *Roster) Unresponsive() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -114,8 +114,8 @@
 	pausedAfterDrop = 6 * time.Second
 )
 
-// Still reports whether any target is taken to be paused, or was until recently.
-func (r *Roster) Still(now time.Time) bool {
+// AnyPaused reports whether any target is taken to be paused, or was until recently.
+func (r *Roster) AnyPaused(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/roster/silence_test.go
+++ b/roster/silence_test.go
@@ -11,7 +11,7 @@
 // callers wait until they disconnect. Other targets are seen, so this process is not the one that
 // is paused.
 func TestTargetThatIsNotHeardGetsNoWork(t *testing.T) {
-	report := func(r *Roster, ms int, address string) { r.Pulse(at(ms), pulse.Pulse{Engine: address}) }
+	report := func(r *Roster, ms int, address string) { r.ObserveReport(at(ms), pulse.Report{Engine: address}) }
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	tests := []struct {
@@ -24,10 +24,10 @@
 		{"one check", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 2, false, false},
 		{"two checks", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 3, true, false},
 		{"four checks", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 5, true, true},
-		{"its answers continue", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b); r.Heard(at(ms), "a") }, 9, false, false},
+		{"its answers continue", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b); r.ObserveAnswer(at(ms), "a") }, 9, false, false},
 		{"no target is seen", func(r *Roster) { report(r, 0, a); report(r, 0, b) }, func(*Roster, int) {}, 9, false, false},
-		{"long report interval", func(r *Roster) { slow := pulse.Pulse{Engine: a, Interval: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 5, false, false},
-		{"several reports at a long interval missing", func(r *Roster) { slow := pulse.Pulse{Engine: a, Interval: time.Second}; r.Pulse(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 12, true, false},
+		{"long report interval", func(r *Roster) { slow := pulse.Report{Engine: a, Interval: time.Second}; r.ObserveReport(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 5, false, false},
+		{"several reports at a long interval missing", func(r *Roster) { slow := pulse.Report{Engine: a, Interval: time.Second}; r.ObserveReport(at(0), slow) }, func(r *Roster, ms int) { report(r, ms, b) }, 12, true, false},
 		{"never reported", func(*Roster) {}, func(r *Roster, ms int) { report(r, ms, b) }, 9, false, false},
 	}
 
@@ -41,17 +41,17 @@
 				r.Tick(at(250*i + 1))
 			}
 
-			if got := candidatesByID(r, at(250*tt.checks))["a"].Quiet; got != tt.quiet {
+			if got := candidatesByID(r, at(250*tt.checks))["a"].HeartbeatMissing; got != tt.quiet {
 				t.Errorf("got quiet %v, want %v", got, tt.quiet)
 			}
 
-			if got := len(r.Silent()) > 0; got != tt.silent {
+			if got := len(r.Unresponsive()) > 0; got != tt.silent {
 				t.Errorf("got silent %v, want %v", got, tt.silent)
 			}
 
 			report(r, 250*tt.checks, a)
 
-			if got := candidatesByID(r, at(250*tt.checks))["a"].Quiet; got || len(r.Silent()) > 0 {
+			if got := candidatesByID(r, at(250*tt.checks))["a"].HeartbeatMissing; got || len(r.Unresponsive()) > 0 {
 				t.Error("after a report: got a suspected or unresponsive, want neither")
 			}
 		})
@@ -70,32 +70,32 @@
 		meanwhile func(r *Roster)
 		want      bool
 	}{
-		{"next report is due", 0, func(r *Roster) { r.Pulse(at(140), pulse.Pulse{Engine: b}) }, false},
-		{"next report is overdue", 0, func(r *Roster) { r.Pulse(at(160), pulse.Pulse{Engine: b}) }, true},
-		{"next report is overdue by the answer of another target", 0, func(r *Roster) { r.Heard(at(160), "b") }, true},
+		{"next report is due", 0, func(r *Roster) { r.ObserveReport(at(140), pulse.Report{Engine: b}) }, false},
+		{"next report is overdue", 0, func(r *Roster) { r.ObserveReport(at(160), pulse.Report{Engine: b}) }, true},
+		{"next report is overdue by the answer of another target", 0, func(r *Roster) { r.ObserveAnswer(at(160), "b") }, true},
 		{"no target is seen", 0, func(*Roster) {}, false},
-		{"its answers continue", 0, func(r *Roster) { r.Heard(at(100), "a"); r.Heard(at(160), "b") }, false},
-		{"seen again", 0, func(r *Roster) { r.Heard(at(160), "b"); r.Pulse(at(170), pulse.Pulse{Engine: a}) }, false},
-		{"long report interval", time.Second, func(r *Roster) { r.Heard(at(1000), "b") }, false},
-		{"report at a long interval is overdue", time.Second, func(r *Roster) { r.Heard(at(1060), "b") }, true},
+		{"its answers continue", 0, func(r *Roster) { r.ObserveAnswer(at(100), "a"); r.ObserveAnswer(at(160), "b") }, false},
+		{"seen again", 0, func(r *Roster) { r.ObserveAnswer(at(160), "b"); r.ObserveReport(at(170), pulse.Report{Engine: a}) }, false},
+		{"long report interval", time.Second, func(r *Roster) { r.ObserveAnswer(at(1000), "b") }, false},
+		{"report at a long interval is overdue", time.Second, func(r *Roster) { r.ObserveAnswer(at(1060), "b") }, true},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newTestRoster()
-			r.Pulse(at(0), pulse.Pulse{Engine: a, Interval: tt.interval})
+			r.ObserveReport(at(0), pulse.Report{Engine: a, Interval: tt.interval})
 			tt.meanwhile(r)
 
-			if got := r.Late("a"); got != tt.want {
+			if got := r.ReportOverdue("a"); got != tt.want {
 				t.Errorf("got late %v, want %v", got, tt.want)
 			}
 		})
 	}
 
 	r := newTestRoster()
-	r.Heard(at(1000), "b")
+	r.ObserveAnswer(at(1000), "b")
 
-	if r.Late("a") || r.Late("nobody") {
+	if r.ReportOverdue("a") || r.ReportOverdue("nobody") {
 		t.Error("got a target late that never reported, want it not late")
 	}
 }
@@ -105,33 +105,33 @@
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	r := newTestRoster()
-	r.Pulse(at(0), pulse.Pulse{Engine: a})
+	r.ObserveReport(at(0), pulse.Report{Engine: a})
 
 	for i := range 4 {
-		if got, want := r.Still(at(250*i)), i > 2; got != want {
+		if got, want := r.AnyPaused(at(250*i)), i > 2; got != want {
 			t.Errorf("after %d checks: got still %v, want %v", i, got, want)
 		}
 
-		r.Pulse(at(250*i), pulse.Pulse{Engine: b})
+		r.ObserveReport(at(250*i), pulse.Report{Engine: b})
 		r.Tick(at(250 * i))
 	}
 
-	r.Pulse(at(800), pulse.Pulse{Engine: a})
+	r.ObserveReport(at(800), pulse.Report{Engine: a})
 	r.Tick(at(1000))
 
-	if !r.Still(at(1500)) || r.Still(at(1800)) {
-		t.Errorf("got still %v and %v, want it for a second", r.Still(at(1500)), r.Still(at(1800)))
+	if !r.AnyPaused(at(1500)) || r.AnyPaused(at(1800)) {
+		t.Errorf("got still %v and %v, want it for a second", r.AnyPaused(at(1500)), r.AnyPaused(at(1800)))
 	}
 
 	// It is paused again, and the register drops it since its heartbeats are missing there too.
 	for i := range 4 {
-		r.Pulse(at(2000+250*i), pulse.Pulse{Engine: b})
+		r.ObserveReport(at(2000+250*i), pulse.Report{Engine: b})
 		r.Tick(at(2000 + 250*i))
 	}
 
-	r.Drop(at(4000), "a")
+	r.ObserveRemoval(at(4000), "a")
 
-	if !r.Still(at(9000)) || r.Still(at(10_100)) {
-		t.Errorf("after the drop: got still %v and %v, want it for six seconds", r.Still(at(9000)), r.Still(at(10_100)))
+	if !r.AnyPaused(at(9000)) || r.AnyPaused(at(10_100)) {
+		t.Errorf("after the drop: got still %v and %v, want it for six seconds", r.AnyPaused(at(9000)), r.AnyPaused(at(10_100)))
 	}
 }
--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -62,7 +62,7 @@
 }
 
 // observeReport records the slow-start state and the permits in a load report.
-func (s *slowStart) observeReport(now time.Time, p pulse.Pulse) {
+func (s *slowStart) observeReport(now time.Time, p pulse.Report) {
 	if p.Warm && now.After(s.ignoreWarmUntil) {
 		s.maybeColdUntil = time.Time{}
 	}
--- a/roster/slow_start_test.go
+++ b/roster/slow_start_test.go
@@ -110,10 +110,10 @@
 	})
 
 	for _, e := range f.engines {
-		r.List(f.now, f.listing(e))
+		r.ObserveListing(f.now, f.listing(e))
 	}
 
-	r.Watched(f.now, func(string) bool { return true })
+	r.Subscriptions(f.now, func(string) bool { return true })
 	r.Tick(f.now)
 
 	return r
@@ -122,7 +122,7 @@
 func (f *simFleet) listing(e *simEngine) Listing {
 	return Listing{
 		ID: e.id, Service: "llm", Address: e.address, DataCentre: "east", Slots: 48, Versions: map[string]int64{"m": 1},
-		Born: e.startedMs, Cold: max(e.coldUntil.Sub(f.now), 0),
+		StartedMs: e.startedMs, ColdFor: max(e.coldUntil.Sub(f.now), 0),
 	}
 }
 
@@ -156,7 +156,7 @@
 			e.listed = true
 
 			for _, x := range f.entries {
-				x.r.List(f.now, f.listing(e))
+				x.r.ObserveListing(f.now, f.listing(e))
 			}
 		}
 	}
@@ -204,8 +204,8 @@
 
 	for n, x := range f.entries {
 		if (n+tick/10)%2 == 0 && f.rnd.Float64() >= f.loss && !f.now.Before(x.frozenUntil) {
-			x.r.Pulse(f.now, pulse.Pulse{
-				Engine: e.address, Model: "m", Version: 1, Born: e.startedMs, Interval: 200 * time.Millisecond,
+			x.r.ObserveReport(f.now, pulse.Report{
+				Engine: e.address, Model: "m", Version: 1, StartedMs: e.startedMs, Interval: 200 * time.Millisecond,
 				ColdMs: e.guard.Remaining(f.now).Milliseconds(), Warm: e.guard.Warm(f.now), Permits: permits[fmt.Sprint(n)],
 			})
 		}
@@ -434,8 +434,8 @@
 	west := testListing("b", "10.0.0.2:80", 1)
 	west.DataCentre = "west"
 
-	r.List(at(0), testListing("a", "10.0.0.1:80", 1))
-	r.List(at(0), west)
+	r.ObserveListing(at(0), testListing("a", "10.0.0.1:80", 1))
+	r.ObserveListing(at(0), west)
 
 	tests := []struct {
 		dataCentre string
@@ -455,7 +455,7 @@
 		}
 	}
 
-	if got := candidatesByID(r, at(10_100))["b"]; got.Cold <= 0 {
+	if got := candidatesByID(r, at(10_100))["b"]; got.ColdFor <= 0 {
 		t.Errorf("got %+v, want a target that may be cold", got)
 	}
 }
--- a/roster/start.go
+++ b/roster/start.go
@@ -90,7 +90,7 @@
 	var best registration
 
 	for _, reg := range r.registrations[address] {
-		if r.cfg.Named != nil && !r.cfg.Named(reg.service) {
+		if r.cfg.Configured != nil && !r.cfg.Configured(reg.service) {
 			continue
 		}
 
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -13,7 +13,7 @@
 
 // withStart returns l with a start time, in ms of the target's clock.
 func withStart(l Listing, ms int64) Listing {
-	l.Born = ms
+	l.StartedMs = ms
 
 	return l
 }
@@ -25,10 +25,10 @@
 	var restarted []string
 
 	r := New(Config{Self: "entry-1", DataCentre: "east", Restarted: func(id string) { restarted = append(restarted, id) }, Log: logr.Discard()})
-	r.List(at(0), withStart(testListing("a", "10.0.0.1:80", 2), 5000))
-	r.List(at(0), withStart(testListing("b", "10.0.0.2:80", 2), 5000))
-	r.Pulse(at(10), pulse.Pulse{Engine: "10.0.0.1:80", Running: 9, UsedTokens: 60_000, Model: "m", Version: 2, Born: 5000})
-	r.Loading(at(10), "a", "m", 3)
+	r.ObserveListing(at(0), withStart(testListing("a", "10.0.0.1:80", 2), 5000))
+	r.ObserveListing(at(0), withStart(testListing("b", "10.0.0.2:80", 2), 5000))
+	r.ObserveReport(at(10), pulse.Report{Engine: "10.0.0.1:80", Running: 9, UsedTokens: 60_000, Model: "m", Version: 2, StartedMs: 5000})
+	r.ObserveLoading(at(10), "a", "m", 3)
 
 	for range 8 {
 		r.Done(at(20), r.Sent(at(20), "a", 100, 100), target.Failed)
@@ -38,22 +38,22 @@
 		t.Fatalf("got restarts %v reported before any restart", restarted)
 	}
 
-	r.Pulse(at(30), pulse.Pulse{Engine: "10.0.0.1:80", Model: "m", Version: 1, Born: 6000})
+	r.ObserveReport(at(30), pulse.Report{Engine: "10.0.0.1:80", Model: "m", Version: 1, StartedMs: 6000})
 
 	got := candidatesByID(r, at(30))["a"]
-	if got.Version != 1 || got.Loading || got.Failures != 0 || got.Doubted || got.Pulse.Running != 0 || got.Since != (Sent{}) {
+	if got.Version != 1 || got.Loading || got.Failures != 0 || got.Doubted || got.Report.Running != 0 || got.SentSince != (Sent{}) {
 		t.Errorf("got %+v, want no state of the earlier start", got)
 	}
 
 	// News of the earlier start arrives late, from the register and in a load report.
-	r.List(at(40), withStart(testListing("a", "10.0.0.1:80", 2), 5000))
-	r.Pulse(at(50), pulse.Pulse{Engine: "10.0.0.1:80", Running: 9, Model: "m", Version: 2, Born: 5000})
+	r.ObserveListing(at(40), withStart(testListing("a", "10.0.0.1:80", 2), 5000))
+	r.ObserveReport(at(50), pulse.Report{Engine: "10.0.0.1:80", Running: 9, Model: "m", Version: 2, StartedMs: 5000})
 
-	if got := candidatesByID(r, at(50))["a"]; got.Version != 1 || got.Pulse.Running != 0 {
-		t.Errorf("after late news: got version %d and %d running, want 1 and none", got.Version, got.Pulse.Running)
+	if got := candidatesByID(r, at(50))["a"]; got.Version != 1 || got.Report.Running != 0 {
+		t.Errorf("after late news: got version %d and %d running, want 1 and none", got.Version, got.Report.Running)
 	}
 
-	r.List(at(60), withStart(testListing("a", "10.0.0.1:80", 1), 6000))
+	r.ObserveListing(at(60), withStart(testListing("a", "10.0.0.1:80", 1), 6000))
 
 	if len(restarted) != 1 || restarted[0] != "a" {
 		t.Errorf("got restarts %v reported, want a once", restarted)
@@ -68,12 +68,12 @@
 // engine. The engine must keep getting work.
 func TestEntryOfAnUnnamedServiceTakesNoAddress(t *testing.T) {
 	named := map[string]bool{"llm": true}
-	r := New(Config{Self: "entry-1", DataCentre: "east", Named: func(s string) bool { return named[s] }, Log: logr.Discard()})
-	r.List(at(0), testListing("a", "10.0.0.1:80", 1))
+	r := New(Config{Self: "entry-1", DataCentre: "east", Configured: func(s string) bool { return named[s] }, Log: logr.Discard()})
+	r.ObserveListing(at(0), testListing("a", "10.0.0.1:80", 1))
 
 	foreign := testListing("z", "10.0.0.1:80", 1)
 	foreign.Service, foreign.Offset = "unheard of", 99
-	r.List(at(10), foreign)
+	r.ObserveListing(at(10), foreign)
 
 	if _, ok := candidatesByID(r, at(10))["a"]; !ok {
 		t.Error("got the engine replaced at its address, want it kept")
@@ -90,7 +90,7 @@
 		t.Errorf("once configured: got %q, want z", id)
 	}
 
-	r.Drop(at(20), "z")
+	r.ObserveRemoval(at(20), "z")
 
 	if id, _ := r.ByAddress("10.0.0.1:80"); id != "a" {
 		t.Errorf("once dropped: got %q, want a", id)
@@ -101,7 +101,7 @@
 // one.
 func TestTargetThatMovesLeavesItsAddress(t *testing.T) {
 	r := newTestRoster()
-	r.List(at(10), testListing("a", "10.0.0.9:80", 1))
+	r.ObserveListing(at(10), testListing("a", "10.0.0.9:80", 1))
 
 	if id, ok := r.ByAddress("10.0.0.1:80"); ok {
 		t.Errorf("got %q at the old address, want none", id)
@@ -114,7 +114,7 @@
 
 func TestNextLoadComesNearerBetweenPulses(t *testing.T) {
 	r := newTestRoster()
-	r.Pulse(at(0), pulse.Pulse{Engine: "10.0.0.1:80", Model: "m", Version: 1, LoadInMs: 300})
+	r.ObserveReport(at(0), pulse.Report{Engine: "10.0.0.1:80", Model: "m", Version: 1, LoadInMs: 300})
 
 	tests := []struct {
 		ms   int
@@ -122,14 +122,14 @@
 	}{{0, 300 * time.Millisecond}, {100, 200 * time.Millisecond}, {400, 0}}
 
 	for _, tt := range tests {
-		if got := candidatesByID(r, at(tt.ms))["a"]; !got.Loads || got.LoadsIn != tt.want {
-			t.Errorf("after %d ms: got %v in %v, want in %v", tt.ms, got.Loads, got.LoadsIn, tt.want)
+		if got := candidatesByID(r, at(tt.ms))["a"]; !got.LoadScheduled || got.LoadIn != tt.want {
+			t.Errorf("after %d ms: got %v in %v, want in %v", tt.ms, got.LoadScheduled, got.LoadIn, tt.want)
 		}
 	}
 
-	r.Pulse(at(500), pulse.Pulse{Engine: "10.0.0.1:80", Model: "m", Version: 2})
+	r.ObserveReport(at(500), pulse.Report{Engine: "10.0.0.1:80", Model: "m", Version: 2})
 
-	if candidatesByID(r, at(500))["a"].Loads {
+	if candidatesByID(r, at(500))["a"].LoadScheduled {
 		t.Error("with the new weights: got a load scheduled")
 	}
 }
@@ -144,13 +144,13 @@
 	for i := range targets {
 		l := testListing(fmt.Sprintf("old-%d", i), fmt.Sprintf("10.0.0.%d:80", i), 1)
 		l.Offset = int64(i)
-		r.List(at(0), l)
+		r.ObserveListing(at(0), l)
 	}
 
 	for i := range targets {
 		l := testListing(fmt.Sprintf("new-%d", i), fmt.Sprintf("10.0.0.%d:80", i), 1)
 		l.Offset = int64(targets + i)
-		r.List(at(1000), l)
+		r.ObserveListing(at(1000), l)
 	}
 
 	if got := len(candidatesByID(r, at(1000))); got != targets {
@@ -164,13 +164,13 @@
 	known := false
 	r := New(Config{
 		Self: "entry-1", DataCentre: "east", Log: logr.Discard(),
-		Named: func(service string) bool { return !known || service == "llm" },
+		Configured: func(service string) bool { return !known || service == "llm" },
 	})
 
 	l := testListing("a", "10.0.0.1:80", 1)
-	r.List(at(0), l)
+	r.ObserveListing(at(0), l)
 	l.ID, l.Service, l.Offset = "foreign", "unheard of", 1
-	r.List(at(0), l)
+	r.ObserveListing(at(0), l)
 
 	known = true
 	r.Reconfigured()
@@ -189,7 +189,7 @@
 		r := New(Config{Self: "entry-1", DataCentre: "east", Log: logr.Discard()})
 
 		for i := range targets {
-			r.List(at(0), testListing(fmt.Sprintf("e-%d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), 1))
+			r.ObserveListing(at(0), testListing(fmt.Sprintf("e-%d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), 1))
 		}
 
 		if got := len(r.Candidates(at(0), "llm", "m")); got == 0 {
