--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -70,11 +70,11 @@
 	now := time.Now()
 	standing, _ := c.e.crashes.Check(now, c.message.Fingerprint)
 	allowed := retry.MayHedge(retry.Hedge{
-		Idempotent: true,
-		Suspect:    standing != quarantine.Clear,
-		Waited:     waited,
-		Usual:      c.values.HedgeAfter,
-		Left:       time.Until(c.request.arrived.Add(c.values.Timeout)),
+		Idempotent:  true,
+		Suspect:     standing != quarantine.Clear,
+		Waited:      waited,
+		TypicalWait: c.values.HedgeAfter,
+		TimeLeft:    time.Until(c.request.arrived.Add(c.values.Timeout)),
 	})
 
 	if !allowed || !c.budget.Allow(now) {
--- a/entry/job.go
+++ b/entry/job.go
@@ -56,7 +56,7 @@
 	defer cancel()
 
 	j.budget = j.e.budgets.forService(j.service, j.values.RetryRatio)
-	j.budget.First(time.Now())
+	j.budget.CountFirstAttempt(time.Now())
 
 	var lastErr error
 
@@ -142,12 +142,12 @@
 // so. It reports false if ctx ends first.
 func (j *job) shouldRetry(ctx context.Context, sent bool, err error) bool {
 	kind := failure.KindOf(err)
-	allowed := ctx.Err() == nil && retry.May(retry.Attempt{
-		Idempotent: true,
-		Sent:       sent,
-		Kind:       kind,
-		Number:     j.attempt,
-		Most:       j.values.MaxAttempts,
+	allowed := ctx.Err() == nil && retry.MayRetry(retry.Attempt{
+		Idempotent:  true,
+		Sent:        sent,
+		Kind:        kind,
+		Number:      j.attempt,
+		MaxAttempts: j.values.MaxAttempts,
 		// After a response with an inconsistent token count the text already delivered
 		// can't be continued.
 		Answered: kind == failure.Internal && j.delivered > 0,
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -154,7 +154,7 @@
 // run serves c until it gets a response or fails.
 func (c *call) run(ctx context.Context) (message.Reply, error) {
 	c.budget = c.e.budgets.forService(c.service.Name, c.values.RetryRatio)
-	c.budget.First(time.Now())
+	c.budget.CountFirstAttempt(time.Now())
 
 	var lastErr error
 
@@ -210,12 +210,12 @@
 
 func (c *call) shouldRetry(ctx context.Context, sent bool, err error) bool {
 	kind := failure.KindOf(err)
-	allowed := ctx.Err() == nil && retry.May(retry.Attempt{
-		Idempotent: !c.message.Once,
-		Sent:       sent,
-		Kind:       kind,
-		Number:     c.attempt,
-		Most:       c.values.MaxAttempts,
+	allowed := ctx.Err() == nil && retry.MayRetry(retry.Attempt{
+		Idempotent:  !c.message.Once,
+		Sent:        sent,
+		Kind:        kind,
+		Number:      c.attempt,
+		MaxAttempts: c.values.MaxAttempts,
 	})
 
 	if !allowed || !c.budget.Allow(time.Now()) {
@@ -252,18 +252,18 @@
 	for i, t := range targets {
 		mean, inFlight := c.e.serviceTimes.get(c.service.Name, t.VM)
 		candidates[i] = route.CallCandidate{
-			Name:         t.VM,
-			Draining:     t.State == target.Draining,
-			Suspected:    t.Doubted,
-			Tried:        c.tried[t.VM],
-			Delay:        c.e.roundTrip(t.DataCentre),
-			LoadAt:       now.Add(-t.Load.Age),
-			Running:      t.Load.Running,
-			Waiting:      t.Load.Waiting,
-			SentRequests: t.Ahead,
-			InFlight:     inFlight,
-			CallTime:     mean,
-			AtOnce:       c.e.engines.get(t.VM).maxRunning,
+			Name:          t.VM,
+			Draining:      t.State == target.Draining,
+			Suspected:     t.Suspected,
+			Tried:         c.tried[t.VM],
+			RoundTrip:     c.e.roundTrip(t.DataCentre),
+			LoadAt:        now.Add(-t.Load.Age),
+			Running:       t.Load.Running,
+			Waiting:       t.Load.Waiting,
+			SentRequests:  t.SentRequests,
+			InFlight:      inFlight,
+			CallTime:      mean,
+			MaxConcurrent: c.e.engines.get(t.VM).maxRunning,
 		}
 	}
 
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -61,7 +61,7 @@
 		return
 	}
 
-	if t, ok := e.targets.NextToAsk(now, pollMinAge); ok {
+	if t, ok := e.targets.NextToPoll(now, pollMinAge); ok {
 		go e.pollTarget(ctx, t)
 	}
 }
@@ -178,7 +178,7 @@
 		bytesPerToken: s.BytesPerToken,
 	})
 	e.homes.set(t.Service, t.VM, s.Homes)
-	e.logChanges(e.targets.ObserveHello(now, target.Hello{
+	e.logChanges(e.targets.ObserveState(now, target.StateReport{
 		VM:            t.VM,
 		BootID:        s.Boot,
 		Started:       now.Add(-time.Duration(s.UpMS) * time.Millisecond),
--- a/entry/router.go
+++ b/entry/router.go
@@ -49,7 +49,7 @@
 	c := r.decision.Cost(r.decision.Target())
 	held := 0
 
-	switch c.How {
+	switch c.Strategy {
 	case route.Warm:
 		for _, h := range r.lookup.holdings {
 			if !h.Store && h.Holder == r.target.VM {
@@ -231,7 +231,7 @@
 
 		for _, h := range lookup.holdings {
 			if !h.Store && h.Holder == t.VM {
-				c.Warm = h.Blocks * blockTokensOf(j.e.engines.get(t.VM))
+				c.WarmTokens = h.Blocks * blockTokensOf(j.e.engines.get(t.VM))
 				c.WarmAt = now.Add(-time.Duration(h.AgeMS) * time.Millisecond)
 			}
 		}
@@ -285,7 +285,7 @@
 			DataCentre: h.DataCentre,
 			Tokens:     h.Blocks * blockTokensOf(info),
 			Store:      true,
-			Learned:    now.Add(-time.Duration(h.AgeMS) * time.Millisecond),
+			LastSeen:   now.Add(-time.Duration(h.AgeMS) * time.Millisecond),
 		})
 	}
 
--- a/entry/view.go
+++ b/entry/view.go
@@ -123,10 +123,10 @@
 			Running:       t.Load.Running,
 			Waiting:       t.Load.Waiting,
 			LoadAgeMS:     t.Load.Age.Milliseconds(),
-			Doubted:       t.Doubted,
+			Doubted:       t.Suspected,
 			Probe:         t.Probe,
 			Failures:      t.Failures,
-			HeardMS:       t.Heard.Milliseconds(),
+			HeardMS:       t.SinceLastSeen.Milliseconds(),
 		})
 	}
 
--- a/experiment/calls.go
+++ b/experiment/calls.go
@@ -133,7 +133,7 @@
 
 func (s *callSimulation) candidate(entry, i int, t *plainTarget) route.CallCandidate {
 	if s.policy == Clairvoyant {
-		return route.CallCandidate{LoadAt: epoch.Add(s.clock.now), Running: t.running, Waiting: len(t.waiting), CallTime: medianCallTime, AtOnce: maxConcurrentCalls}
+		return route.CallCandidate{LoadAt: epoch.Add(s.clock.now), Running: t.running, Waiting: len(t.waiting), CallTime: medianCallTime, MaxConcurrent: maxConcurrentCalls}
 	}
 
 	r := t.latestReport(s.clock.now)
@@ -146,7 +146,7 @@
 	}
 
 	s.sent[entry][i] = s.sent[entry][i][len(s.sent[entry][i])-sentSince:]
-	c := route.CallCandidate{LoadAt: epoch.Add(r.at), Running: r.running, Waiting: r.waiting, CallTime: medianCallTime, AtOnce: maxConcurrentCalls}
+	c := route.CallCandidate{LoadAt: epoch.Add(r.at), Running: r.running, Waiting: r.waiting, CallTime: medianCallTime, MaxConcurrent: maxConcurrentCalls}
 
 	if s.policy == Boragehub {
 		c.SentRequests = sentSince
--- a/experiment/choose.go
+++ b/experiment/choose.go
@@ -13,7 +13,7 @@
 // gets there. The engine is nil if the policy found none.
 type choice struct {
 	engine       *engine
-	strategy     route.How
+	strategy     route.Strategy
 	cachedTokens int
 	source       route.Source
 	// windows are the IDs of the windows reserved on the link, one for each chunk.
@@ -191,11 +191,11 @@
 		return choice{}
 	}
 
-	p := choice{engine: s.engines[d.Target()], strategy: d.How()}
+	p := choice{engine: s.engines[d.Target()], strategy: d.Strategy()}
 
-	switch d.How() {
+	switch d.Strategy() {
 	case route.Warm:
-		p.cachedTokens = s.candidates[d.Target()].Warm
+		p.cachedTokens = s.candidates[d.Target()].WarmTokens
 	case route.Import:
 		p.source = s.sources[d.Source()]
 		p.cachedTokens = p.source.Tokens
@@ -271,7 +271,7 @@
 	if h.Kind == directory.Store {
 		if e.unreachableUntil[h.Name] <= s.clock.now {
 			s.sources = append(s.sources, route.Source{
-				Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Store: true, Learned: h.Learned,
+				Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Store: true, LastSeen: h.Learned,
 			})
 		}
 
@@ -281,10 +281,10 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		if c.Name == h.Name {
-			c.Warm, c.WarmAt = max(c.Warm, tokens), h.Learned
+			c.WarmTokens, c.WarmAt = max(c.WarmTokens, tokens), h.Learned
 
 			if s.ablation != EngineImports && !c.Suspected {
-				s.sources = append(s.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Learned: h.Learned})
+				s.sources = append(s.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, LastSeen: h.Learned})
 			}
 
 			return
@@ -309,15 +309,15 @@
 
 	c := route.Candidate{
 		Name: x.name, DataCentre: x.dataCentre, Suspected: !s.usable(e, x),
-		Delay: 2 * s.delay(e.dataCentre, x.dataCentre), LoadAt: epoch.Add(r.at),
+		RoundTrip: 2 * s.delay(e.dataCentre, x.dataCentre), LoadAt: epoch.Add(r.at),
 		Running: r.running, Waiting: r.waiting, WaitingPrefillTokens: r.pendingPrefill[class],
-		MaxRunning: x.spec.MaxRunning, PlaceTime: time.Second,
+		MaxRunning: x.spec.MaxRunning, SlotTime: time.Second,
 		PrefillTokensPerSecond: x.spec.PrefillTokensPerSecond,
 	}
 
-	c.BusyTokens = min(r.pendingPrefill[classes-1]-r.pendingPrefill[class], x.spec.ChunkTokens) / 2
+	c.LowerPriorityTokens = min(r.pendingPrefill[classes-1]-r.pendingPrefill[class], x.spec.ChunkTokens) / 2
 	if s.ablation == BusyTokens {
-		c.BusyTokens = 0
+		c.LowerPriorityTokens = 0
 	}
 
 	if s.policy != Clairvoyant && s.ablation != SentSinceReport {
@@ -335,10 +335,10 @@
 			continue
 		}
 
-		s.candidates[i].Warm, s.candidates[i].WarmAt = tokens, s.now()
+		s.candidates[i].WarmTokens, s.candidates[i].WarmAt = tokens, s.now()
 
 		if s.cutDataCentre != x.dataCentre {
-			s.sources = append(s.sources, route.Source{Name: x.name, DataCentre: x.dataCentre, Tokens: tokens, Learned: s.now()})
+			s.sources = append(s.sources, route.Source{Name: x.name, DataCentre: x.dataCentre, Tokens: tokens, LastSeen: s.now()})
 		}
 	}
 
--- a/experiment/drawn/play.go
+++ b/experiment/drawn/play.go
@@ -273,18 +273,18 @@
 // prompt should then be held.
 func (s *simulation) choose(p *prompt) (target int, hold bool) {
 	x := p.entry
-	r := route.OpeningRequest{
-		Opening: strconv.Itoa(p.prefix), Shared: p.sharedTokens, Own: p.ownTokens, Output: p.stepsLeft, Aim: s.d.Kinds[p.kind].FirstEventLimit,
+	r := route.PrefixRequest{
+		SharedPrefixID: strconv.Itoa(p.prefix), SharedTokens: p.sharedTokens, OwnTokens: p.ownTokens, OutputTokens: p.stepsLeft, Aim: s.d.Kinds[p.kind].FirstEventLimit,
 	}
-	candidates := make([]route.OpeningCandidate, len(s.engines))
+	candidates := make([]route.PrefixCandidate, len(s.engines))
 	fullEngines := 0
 
 	for i, e := range s.engines {
 		c := &candidates[i]
 		c.Name, c.Slots = strconv.Itoa(i), batchSlots
-		c.Running, c.Reading, c.Waiting = e.report.Running+x.sentRequests[i], e.report.Prefilling, e.report.Waiting
+		c.Running, c.Prefilling, c.Waiting = e.report.Running+x.sentRequests[i], e.report.Prefilling, e.report.Waiting
 		c.SentTokens, c.UsedTokens = x.sentPrefill[i], e.report.UsedTokens+x.sentMemory[i]
-		c.Has, c.New = e.cached[p.prefix] > 0, !s.computedPrefixes[p.prefix]
+		c.HasPrefix, c.NewPrefix = e.cached[p.prefix] > 0, !s.computedPrefixes[p.prefix]
 
 		if memoryFull(e.report, c.UsedTokens+x.profile.MeanKVTokens()*c.Waiting+p.memory(), x.sentRequests[i], s.d.MemoryTokens) {
 			c.Excluded = route.NoRoom
@@ -294,19 +294,19 @@
 
 	switch s.policy {
 	case HomeEngine:
-		return route.DecideOpening(route.OpeningConfig{}, r, candidates).Home(), false
+		return route.DecidePrefix(route.PrefixConfig{}, r, candidates).Home(), false
 	case LeastLoaded:
 		return leastLoaded(candidates), false
 	default:
 	}
 
-	d := route.DecideOpening(x.profile.SharedPrefixConfig(s.d.MemoryTokens), r, candidates)
+	d := route.DecidePrefix(x.profile.SharedPrefixConfig(s.d.MemoryTokens), r, candidates)
 
 	switch {
 	case !d.Found():
 		return -1, fullEngines > 0
-	case d.Pace() != route.SendNow:
-		return -1, d.Pace() == route.Hold
+	case d.Admission() != route.SendNow:
+		return -1, d.Admission() == route.Hold
 	default:
 		return d.Target(), false
 	}
@@ -321,7 +321,7 @@
 }
 
 // leastLoaded returns the index of the engine with the fewest prompts.
-func leastLoaded(candidates []route.OpeningCandidate) int {
+func leastLoaded(candidates []route.PrefixCandidate) int {
 	best := 0
 	for i, c := range candidates {
 		if c.Running+c.Waiting < candidates[best].Running+candidates[best].Waiting {
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -238,7 +238,7 @@
 	})
 }
 
-func (m *recorder) recordStrategy(v *visit, strategy route.How) {
+func (m *recorder) recordStrategy(v *visit, strategy route.Strategy) {
 	if m.measured(v) {
 		m.r.Strategies[strategy]++
 	}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -148,7 +148,7 @@
 
 	switch s.ablation {
 	case ReportUncertainty:
-		s.routeCfg.LoadDoubt = negligible
+		s.routeCfg.LoadUncertainty = negligible
 	case ParkingCost:
 		s.parkingCfg.LinkWeight = negligible
 	case RecomputedWeight:
@@ -157,7 +157,7 @@
 	}
 
 	if s.policy == Clairvoyant {
-		s.routeCfg.LoadDoubt = negligible
+		s.routeCfg.LoadUncertainty = negligible
 	}
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -81,8 +81,8 @@
 		// targets retry by themselves: with retries by the gateway as well, the other targets
 		// are overloaded.
 		return t.attemptError(o, failure.Timeout)
-	case !retry.May(retry.Attempt{
-		Idempotent: t.route.Repeatable(), Sent: o.mayHaveRun, Kind: o.kind, Number: t.possibleRuns, Most: max(t.route.MaxAttempts, 1),
+	case !retry.MayRetry(retry.Attempt{
+		Idempotent: t.route.Repeatable(), Sent: o.mayHaveRun, Kind: o.kind, Number: t.possibleRuns, MaxAttempts: max(t.route.MaxAttempts, 1),
 	}):
 		return t.attemptError(o, o.kind)
 	case !t.g.retryBudget(t.service.Name).Allow(now):
@@ -153,7 +153,7 @@
 	t.tried[c.engine.ID] = true
 
 	if t.attempts == 1 {
-		t.g.retryBudget(t.service.Name).First(now)
+		t.g.retryBudget(t.service.Name).CountFirstAttempt(now)
 	}
 
 	ctx, cancel := context.WithDeadline(ctx, now.Add(t.attemptTimeout(now)))
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -96,9 +96,9 @@
 
 	for i, e := range all {
 		calls[i] = route.CallCandidate{
-			Name: e.ID, Draining: e.Loading || e.Throttled, Suspected: e.Doubted || e.Failures > 0, Tried: t.tried[e.ID],
-			Delay: t.roundTrip(e), LoadAt: now.Add(-e.Load.Age), Running: e.Load.Running, Waiting: e.Load.Waiting,
-			InFlight: e.Ahead, CallTime: plainCallTime, AtOnce: e.Slots,
+			Name: e.ID, Draining: e.Loading || e.Throttled, Suspected: e.Suspected || e.Failures > 0, Tried: t.tried[e.ID],
+			RoundTrip: t.roundTrip(e), LoadAt: now.Add(-e.Load.Age), Running: e.Load.Running, Waiting: e.Load.Waiting,
+			InFlight: e.SentRequests, CallTime: plainCallTime, MaxConcurrent: e.Slots,
 		}
 	}
 
@@ -121,15 +121,15 @@
 	p := t.arrival.Prompt
 	newest := t.g.newest(p.Model)
 	due, required := t.g.versionNamedFor(now, p.Model, oldVersionGrace), t.g.requiredVersion(now, p.Model)
-	candidates := make([]route.OpeningCandidate, len(all))
+	candidates := make([]route.PrefixCandidate, len(all))
 	all = assumeRequiredVersion(all, required)
 	l := t.lookup(now, all)
 	run := t.profile().AnswerTime(p.Output)
 
 	for i, e := range all {
-		candidates[i] = route.OpeningCandidate{
-			Name: e.ID, Excluded: t.exclusion(e, required), Suspected: e.Doubted || e.Failures > 1 || e.HeartbeatMissing,
-			Old: e.Version > 0 && e.Version < due, Slots: e.Slots, Distance: t.roundTrip(e),
+		candidates[i] = route.PrefixCandidate{
+			Name: e.ID, Excluded: t.exclusion(e, required), Suspected: e.Suspected || e.Failures > 1 || e.HeartbeatMissing,
+			OldWeights: e.Version > 0 && e.Version < due, Slots: e.Slots, RoundTrip: t.roundTrip(e),
 		}
 		fillLoad(&candidates[i], e)
 
@@ -140,7 +140,7 @@
 		l.fillCandidate(&candidates[i], e, newest)
 	}
 
-	d := route.DecideOpening(t.profile().SharedPrefixConfig(t.service.Engines.MemoryTokens), t.prefixRequest(), candidates)
+	d := route.DecidePrefix(t.profile().SharedPrefixConfig(t.service.Engines.MemoryTokens), t.prefixRequest(), candidates)
 	if !d.Found() {
 		return choice{}, t.noEngineError(candidates, all)
 	}
@@ -187,39 +187,39 @@
 
 // fillLoad sets an engine's load: its load report and the requests sent since or, without a
 // fresh report, the load that this entry knows from its own requests and their responses.
-func fillLoad(c *route.OpeningCandidate, e roster.Engine) {
+func fillLoad(c *route.PrefixCandidate, e roster.Engine) {
 	if e.Fresh {
-		c.Running, c.Reading, c.Waiting = e.Report.Running+e.SentSince.Requests, e.Report.Prefilling, e.Report.Waiting
+		c.Running, c.Prefilling, c.Waiting = e.Report.Running+e.SentSince.Requests, e.Report.Prefilling, e.Report.Waiting
 		c.SentTokens = e.SentSince.PrefillTokens
 		c.UsedTokens = e.Report.UsedTokens + e.SentSince.CacheTokens
 
 		return
 	}
 
-	c.Running, c.Waiting = max(e.Ahead, e.Load.Running), e.Load.Waiting
-	c.SentTokens = e.AheadTokens
-	c.UsedTokens = e.AheadTokens
+	c.Running, c.Waiting = max(e.SentRequests, e.Load.Running), e.Load.Waiting
+	c.SentTokens = e.SentTokens
+	c.UsedTokens = e.SentTokens
 }
 
 // prefixRequest describes the prompt's shared prefix for the decision.
-func (t *task) prefixRequest() route.OpeningRequest {
+func (t *task) prefixRequest() route.PrefixRequest {
 	p := t.arrival.Prompt
 	shared := p.SharedTokens()
 
-	return route.OpeningRequest{
-		Opening: p.SharedPrefixID(), Shared: shared, Own: p.Tokens - shared, Output: p.Output, Aim: t.route.Aim,
-		Untold: t.prefixUnreported(),
+	return route.PrefixRequest{
+		SharedPrefixID: p.SharedPrefixID(), SharedTokens: shared, OwnTokens: p.Tokens - shared, OutputTokens: p.Output, Aim: t.route.Aim,
+		PrefixUnreported: t.prefixUnreported(),
 	}
 }
 
 // checkPace returns an error if a prompt should not be sent now. A stream that has started
 // continues at once wherever it can: late events are worth more to its caller than none.
-func (t *task) checkPace(d route.OpeningDecision) error {
+func (t *task) checkPace(d route.PrefixDecision) error {
 	if t.stream.started {
 		return nil
 	}
 
-	switch d.Pace() {
+	switch d.Admission() {
 	case route.Hold:
 		return errNoCapacity
 	case route.TooLate:
@@ -283,7 +283,7 @@
 }
 
 // noEngineError returns why no engine can take the prompt.
-func (t *task) noEngineError(candidates []route.OpeningCandidate, all []roster.Engine) error {
+func (t *task) noEngineError(candidates []route.PrefixCandidate, all []roster.Engine) error {
 	throttled := false
 
 	for _, c := range candidates {
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -112,9 +112,9 @@
 }
 
 // fillCandidate sets how an engine would get the prompt's longest shared part, if there is one.
-func (l *lookup) fillCandidate(c *route.OpeningCandidate, e roster.Engine, newest int64) {
+func (l *lookup) fillCandidate(c *route.PrefixCandidate, e roster.Engine, newest int64) {
 	if l.longestPart < 0 {
-		c.Has = true
+		c.HasPrefix = true
 
 		return
 	}
@@ -122,7 +122,7 @@
 	x := l.part(l.longestPart, e.Version)
 	found, ok := l.fastestCopy(x, e)
 
-	c.Has = x.heldBy(e)
-	c.Kept, c.FetchWait, c.Fetch = ok, found.Wait, found.Transfer
-	c.New = !ok && x.long && e.Version >= newest
+	c.HasPrefix = x.heldBy(e)
+	c.PrefixFetchable, c.FetchWait, c.FetchTime = ok, found.Wait, found.Transfer
+	c.NewPrefix = !ok && x.long && e.Version >= newest
 }
--- a/profile/fleet.go
+++ b/profile/fleet.go
@@ -80,13 +80,13 @@
 
 // SharedPrefixConfig returns what is known for the routing of a prompt by its shared prefix, for
 // engines with memoryTokens of memory. Values that are not known yet are zero.
-func (f *Service) SharedPrefixConfig(memoryTokens int) route.OpeningConfig {
-	cfg := route.OpeningConfig{MemoryTokens: memoryTokens, TokensPerMs: f.TokensPerMs()}
+func (f *Service) SharedPrefixConfig(memoryTokens int) route.PrefixConfig {
+	cfg := route.PrefixConfig{MemoryTokens: memoryTokens, TokensPerMs: f.TokensPerMs()}
 	cfg.PromptTokens, _ = f.prefillTokens.Value()
-	cfg.QuickTokens, _ = f.shortPrefillTokens.Value()
+	cfg.ShortPromptTokens, _ = f.shortPrefillTokens.Value()
 
 	goalMs, _ := f.shortLatencyGoalMs.Value()
-	cfg.QuickAim = time.Duration(goalMs * float64(time.Millisecond))
+	cfg.ShortPromptAim = time.Duration(goalMs * float64(time.Millisecond))
 
 	return cfg
 }
--- a/retry/bench_test.go
+++ b/retry/bench_test.go
@@ -13,7 +13,7 @@
 
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		budget.First(now)
+		budget.CountFirstAttempt(now)
 		budget.Allow(now)
 	}
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -73,8 +73,8 @@
 	b.cfg.Floor = n
 }
 
-// First counts a first attempt.
-func (b *Budget) First(now time.Time) {
+// CountFirstAttempt counts a first attempt.
+func (b *Budget) CountFirstAttempt(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -16,17 +16,17 @@
 	Kind failure.Kind
 	// Number is the number of the attempt, counted from 1.
 	Number int
-	// Most is the maximum number of attempts; zero allows no retry.
-	Most int
+	// MaxAttempts is the maximum number of attempts; zero allows no retry.
+	MaxAttempts int
 	// Answered says that part of the answer was sent to the caller. Only an engine that can
 	// resume the answer may then continue it, which is not a retry.
 	Answered bool
 }
 
-// May reports whether the rules allow the request to be retried on another target. The
+// MayRetry reports whether the rules allow the request to be retried on another target. The
 // caller has to check its Budget as well.
-func May(a Attempt) bool {
-	if a.Number >= a.Most || a.Answered || !retryableElsewhere(a.Kind) {
+func MayRetry(a Attempt) bool {
+	if a.Number >= a.MaxAttempts || a.Answered || !retryableElsewhere(a.Kind) {
 		return false
 	}
 
@@ -59,11 +59,11 @@
 	Suspect bool
 	// Waited is how long the request has waited so far.
 	Waited time.Duration
-	// Usual is the 95th percentile of the wait of such requests; zero, when not known,
+	// TypicalWait is the 95th percentile of the wait of such requests; zero, when not known,
 	// allows no hedge.
-	Usual time.Duration
-	// Left is the time until the request's deadline.
-	Left time.Duration
+	TypicalWait time.Duration
+	// TimeLeft is the time until the request's deadline.
+	TimeLeft time.Duration
 	// Hedged says that the request was hedged before.
 	Hedged bool
 }
@@ -72,9 +72,9 @@
 // idempotent request that has waited longer than 95 % of such requests and can still meet
 // its deadline. The caller has to check its Budget as well.
 func MayHedge(h Hedge) bool {
-	if !h.Idempotent || h.Suspect || h.Hedged || h.Usual <= 0 {
+	if !h.Idempotent || h.Suspect || h.Hedged || h.TypicalWait <= 0 {
 		return false
 	}
 
-	return h.Waited > h.Usual && h.Left > 0
+	return h.Waited > h.TypicalWait && h.TimeLeft > 0
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -39,7 +39,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond)
 			},
 			"first": func(*rapid.T) {
-				b.First(now)
+				b.CountFirstAttempt(now)
 				firstAttempts = append(firstAttempts, now)
 			},
 			"repeat": func(rt *rapid.T) {
@@ -68,23 +68,23 @@
 		a    Attempt
 		want bool
 	}{
-		{"idempotent, target lost", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3}, true},
-		{"idempotent, attempts used up", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 3, Most: 3}, false},
-		{"idempotent, partly answered", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3, Answered: true}, false},
-		{"idempotent, bad request", Attempt{Idempotent: true, Sent: true, Kind: failure.BadRequest, Number: 1, Most: 3}, false},
-		{"idempotent, deadline exceeded", Attempt{Idempotent: true, Sent: true, Kind: failure.Timeout, Number: 1, Most: 3}, false},
-		{"idempotent, quarantined", Attempt{Idempotent: true, Sent: true, Kind: failure.Quarantined, Number: 1, Most: 3}, false},
-		{"booking, target lost", Attempt{Sent: true, Kind: failure.TargetLost, Number: 1, Most: 3}, false},
-		{"booking, never sent", Attempt{Kind: failure.TargetLost, Number: 1, Most: 3}, true},
-		{"booking, refused as draining", Attempt{Sent: true, Kind: failure.Draining, Number: 1, Most: 3}, true},
-		{"booking, malformed answer", Attempt{Sent: true, Kind: failure.BadMessage, Number: 1, Most: 3}, false},
-		{"booking, log unavailable", Attempt{Sent: true, Kind: failure.LogUnavailable, Number: 1, Most: 3}, false},
-		{"booking, outcome unknown", Attempt{Sent: true, Kind: failure.OutcomeUnknown, Number: 1, Most: 3}, false},
+		{"idempotent, target lost", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, MaxAttempts: 3}, true},
+		{"idempotent, attempts used up", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 3, MaxAttempts: 3}, false},
+		{"idempotent, partly answered", Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: 1, MaxAttempts: 3, Answered: true}, false},
+		{"idempotent, bad request", Attempt{Idempotent: true, Sent: true, Kind: failure.BadRequest, Number: 1, MaxAttempts: 3}, false},
+		{"idempotent, deadline exceeded", Attempt{Idempotent: true, Sent: true, Kind: failure.Timeout, Number: 1, MaxAttempts: 3}, false},
+		{"idempotent, quarantined", Attempt{Idempotent: true, Sent: true, Kind: failure.Quarantined, Number: 1, MaxAttempts: 3}, false},
+		{"booking, target lost", Attempt{Sent: true, Kind: failure.TargetLost, Number: 1, MaxAttempts: 3}, false},
+		{"booking, never sent", Attempt{Kind: failure.TargetLost, Number: 1, MaxAttempts: 3}, true},
+		{"booking, refused as draining", Attempt{Sent: true, Kind: failure.Draining, Number: 1, MaxAttempts: 3}, true},
+		{"booking, malformed answer", Attempt{Sent: true, Kind: failure.BadMessage, Number: 1, MaxAttempts: 3}, false},
+		{"booking, log unavailable", Attempt{Sent: true, Kind: failure.LogUnavailable, Number: 1, MaxAttempts: 3}, false},
+		{"booking, outcome unknown", Attempt{Sent: true, Kind: failure.OutcomeUnknown, Number: 1, MaxAttempts: 3}, false},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := May(c.a); got != c.want {
+			if got := MayRetry(c.a); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -95,7 +95,7 @@
 // have been executed, so it may be retried only after a failure that guarantees that nothing ran.
 func TestBookingIsRepeatedOnlyOnAPromise(t *testing.T) {
 	for _, k := range failure.Kinds() {
-		got := May(Attempt{Sent: true, Kind: k, Number: 1, Most: 9})
+		got := MayRetry(Attempt{Sent: true, Kind: k, Number: 1, MaxAttempts: 9})
 		if got && k.Answer().Ran != failure.NotRun {
 			t.Errorf("%v: got a retry, want none: it may have run", k)
 		}
@@ -103,7 +103,7 @@
 }
 
 func TestMayHedge(t *testing.T) {
-	late := Hedge{Idempotent: true, Waited: 2 * time.Second, Usual: time.Second, Left: time.Second}
+	late := Hedge{Idempotent: true, Waited: 2 * time.Second, TypicalWait: time.Second, TimeLeft: time.Second}
 	booking, suspect, hedged, early := late, late, late, late
 	booking.Idempotent = false
 	suspect.Suspect = true
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -220,8 +220,8 @@
 		cfg: cfg,
 		table: target.NewTable(target.TableConfig{
 			Self: cfg.Self, DataCentre: cfg.DataCentre, Regions: cfg.Regions,
-			Subset: maxTargets, Known: maxTargets, SilentAfter: time.Hour, EjectFor: time.Second, EjectMost: 4 * time.Second,
-			ProbePatience: 2 * time.Second, ForgetAfter: time.Minute,
+			SubsetSize: maxTargets, MaxSubsetTotal: maxTargets, UnresponsiveAfter: time.Hour, BaseEjection: time.Second, MaxEjection: 4 * time.Second,
+			ProbeTimeout: 2 * time.Second, ForgetAfter: time.Minute,
 		}),
 		engines:       make(map[string]*engine),
 		registrations: make(map[string][]registration),
@@ -435,7 +435,7 @@
 
 // Sent records that a request is sent to a target. Reading is the number of tokens that
 // the target has to prefill, memory the number of KV cache tokens that the request takes.
-func (r *Roster) Sent(now time.Time, id string, reading, memory int) target.Sending {
+func (r *Roster) Sent(now time.Time, id string, reading, memory int) target.Attempt {
 	r.mu.Lock()
 	r.syncTable(now)
 
@@ -452,7 +452,7 @@
 }
 
 // Done records the outcome of a request.
-func (r *Roster) Done(now time.Time, s target.Sending, o target.Outcome) {
+func (r *Roster) Done(now time.Time, s target.Attempt, o target.Outcome) {
 	for _, c := range r.table.Done(now, s, o) {
 		r.logChange(c)
 	}
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -41,7 +41,7 @@
 	r.ObserveReport(at(30), pulse.Report{Engine: "10.0.0.1:80", Model: "m", Version: 1, StartedMs: 6000})
 
 	got := candidatesByID(r, at(30))["a"]
-	if got.Version != 1 || got.Loading || got.Failures != 0 || got.Doubted || got.Report.Running != 0 || got.SentSince != (Sent{}) {
+	if got.Version != 1 || got.Loading || got.Failures != 0 || got.Suspected || got.Report.Running != 0 || got.SentSince != (Sent{}) {
 		t.Errorf("got %+v, want no state of the earlier start", got)
 	}
 
--- a/route/call.go
+++ b/route/call.go
@@ -11,8 +11,8 @@
 	Name string
 	// Draining, Suspected and Tried have the same meaning as in Candidate.
 	Draining, Suspected, Tried bool
-	// Delay is the round-trip time between the entry and the target.
-	Delay time.Duration
+	// RoundTrip is the round-trip time between the entry and the target.
+	RoundTrip time.Duration
 	// LoadAt is the time at which the load report was measured.
 	LoadAt time.Time
 	// Running and Waiting are the numbers of calls in the load report. SentRequests is
@@ -23,8 +23,8 @@
 	InFlight int
 	// CallTime is the mean duration of a call; a short default is used when zero.
 	CallTime time.Duration
-	// AtOnce is the number of calls that the target runs concurrently; 1 when zero.
-	AtOnce int
+	// MaxConcurrent is the number of calls that the target runs concurrently; 1 when zero.
+	MaxConcurrent int
 }
 
 // DecideCall returns the target for a call of a plain service: the one with the
@@ -97,10 +97,10 @@
 	age := max(seconds(now.Sub(c.LoadAt)), 0)
 	weight := math.Exp(-age / callSeconds)
 	calls := weight*float64(c.Running+c.Waiting+c.SentRequests) + (1-weight)*float64(c.InFlight)
-	queued := calls / float64(max(c.AtOnce, 1))
-	uncertainty := cfg.LoadDoubt * min(age, callSeconds) * fraction / float64(max(c.AtOnce, 1))
+	queued := calls / float64(max(c.MaxConcurrent, 1))
+	uncertainty := cfg.LoadUncertainty * min(age, callSeconds) * fraction / float64(max(c.MaxConcurrent, 1))
 
-	return float32(seconds(c.Delay) + callSeconds*(1+queued) + uncertainty)
+	return float32(seconds(c.RoundTrip) + callSeconds*(1+queued) + uncertainty)
 }
 
 // defaultCallSeconds is the assumed duration of a call where none was measured yet.
--- a/route/config.go
+++ b/route/config.go
@@ -10,9 +10,9 @@
 	// RecomputedWeight is the cost of one second of prefill for tokens that were
 	// computed before.
 	RecomputedWeight float64
-	// LoadDoubt is the largest relative error of an estimated queue wait per second
+	// LoadUncertainty is the largest relative error of an estimated queue wait per second
 	// of age of the load report; 1 when zero.
-	LoadDoubt float64
+	LoadUncertainty float64
 	// ContextHalfLife is the time after which half of the engines that were last
 	// reported to hold a context have evicted it; 10 minutes when zero.
 	ContextHalfLife time.Duration
@@ -33,8 +33,8 @@
 		c.FirstTokenWeight = 1
 	}
 
-	if c.LoadDoubt <= 0 {
-		c.LoadDoubt = defaultLoadUncertainty
+	if c.LoadUncertainty <= 0 {
+		c.LoadUncertainty = defaultLoadUncertainty
 	}
 
 	if c.ContextHalfLife <= 0 {
--- a/route/decision.go
+++ b/route/decision.go
@@ -28,13 +28,13 @@
 // Cost returns the cost of candidate i.
 func (d *Decision) Cost(i int) Cost { return d.costs[i] }
 
-// How returns how the chosen candidate gets the prompt's context.
-func (d *Decision) How() How {
+// Strategy returns how the chosen candidate gets the prompt's context.
+func (d *Decision) Strategy() Strategy {
 	if !d.Found() {
 		return Recompute
 	}
 
-	return d.costs[d.target].How
+	return d.costs[d.target].Strategy
 }
 
 // Source returns the index in Request.Sources of the copy to import, -1 for none.
@@ -65,7 +65,7 @@
 	c := d.costs[d.target]
 	fields := []any{
 		"target", candidates[d.target].Name,
-		"how", c.How.String(),
+		"how", c.Strategy.String(),
 		"source", c.Source,
 		"first_token_s", c.FirstToken,
 		"wait_s", c.Wait,
@@ -97,7 +97,7 @@
 			continue
 		}
 
-		fmt.Fprintf(&b, "%s=%.3f/%s", candidates[i].Name, c.Total, c.How)
+		fmt.Fprintf(&b, "%s=%.3f/%s", candidates[i].Name, c.Total, c.Strategy)
 	}
 
 	return b.String()
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -29,7 +29,7 @@
 
 // option is the estimate of one strategy for a candidate.
 type option struct {
-	strategy   How
+	strategy   Strategy
 	source     int
 	transfer   float64
 	prefill    float64
@@ -50,7 +50,7 @@
 	for n := range min(len(q.Sources), MaxSources) {
 		s.copyChances[n] = 1
 		if !q.Sources[n].Store {
-			s.copyChances[n] = copyChance(now, q.Sources[n].Learned, cfg.ContextHalfLife)
+			s.copyChances[n] = copyChance(now, q.Sources[n].LastSeen, cfg.ContextHalfLife)
 		}
 	}
 
@@ -59,19 +59,19 @@
 
 // bestCost returns the cost of the cheapest strategy for candidate i.
 func (s *shared) bestCost(c *Candidate, i int) Cost {
-	e := estimate{shared: s, c: c, delay: seconds(c.Delay)}
+	e := estimate{shared: s, c: c, delay: seconds(c.RoundTrip)}
 	e.idlePrefillPerToken = 1 / c.PrefillTokensPerSecond
 	e.prefillPerToken = e.idlePrefillPerToken * (1 + s.cfg.Interference*e.batchFill())
 	e.queueWait = e.estimateQueueWait()
 	age := max(seconds(s.now.Sub(c.LoadAt)), 0)
-	e.uncertainty = (e.queueWait + unreportedPromptsPerSecond*e.prefillPerToken*float64(s.q.Tokens)) * s.cfg.LoadDoubt * age * seededFraction(s.q.Seed, i)
+	e.uncertainty = (e.queueWait + unreportedPromptsPerSecond*e.prefillPerToken*float64(s.q.Tokens)) * s.cfg.LoadUncertainty * age * seededFraction(s.q.Seed, i)
 
 	best := option{total: math.Inf(1)}
 	e.consider(&best, Recompute, -1, 0, 0)
 
-	if c.Warm > 0 {
+	if c.WarmTokens > 0 {
 		chance := copyChance(s.now, c.WarmAt, s.cfg.ContextHalfLife)
-		e.consider(&best, Warm, -1, chance*float64(c.Warm), 0)
+		e.consider(&best, Warm, -1, chance*float64(c.WarmTokens), 0)
 	}
 
 	if s.q.Links != nil {
@@ -86,7 +86,7 @@
 	for n := range min(len(e.shared.q.Sources), MaxSources) {
 		s := &e.shared.q.Sources[n]
 		// Tokens that the engine holds already need no transfer.
-		missing := s.Tokens - e.c.Warm
+		missing := s.Tokens - e.c.WarmTokens
 		if missing <= 0 || s.Name == e.c.Name {
 			continue
 		}
@@ -111,14 +111,14 @@
 // whichever is longer.
 func (e *estimate) estimateQueueWait() float64 {
 	c := e.c
-	prefill := float64(c.WaitingPrefillTokens+c.BusyTokens+c.SentTokens) * e.prefillPerToken
+	prefill := float64(c.WaitingPrefillTokens+c.LowerPriorityTokens+c.SentTokens) * e.prefillPerToken
 
 	excess := c.Running + c.Waiting + c.SentRequests + 1 - c.MaxRunning
 	if c.MaxRunning <= 0 || excess <= 0 {
 		return prefill
 	}
 
-	slotWait := float64(excess) * seconds(c.PlaceTime) / float64(c.MaxRunning)
+	slotWait := float64(excess) * seconds(c.SlotTime) / float64(c.MaxRunning)
 
 	return max(prefill, slotWait)
 }
@@ -126,7 +126,7 @@
 // consider estimates one strategy, in which cached leading tokens are available
 // after the transfer and the rest is computed, and stores it in best if it costs
 // less.
-func (e *estimate) consider(best *option, strategy How, source int, cached, transfer float64) {
+func (e *estimate) consider(best *option, strategy Strategy, source int, cached, transfer float64) {
 	q, cfg := &e.shared.q, &e.shared.cfg
 	cached = min(cached, float64(q.Tokens))
 
@@ -144,7 +144,7 @@
 
 func (e *estimate) cost(p *option) Cost {
 	return Cost{
-		How:        p.strategy,
+		Strategy:   p.strategy,
 		Source:     int8(p.source),
 		Wait:       float32(e.queueWait),
 		Transfer:   float32(p.transfer),
--- a/route/opening.go
+++ b/route/opening.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OpeningRequest is a prompt with a shared prefix, a prefix that other prompts have in common.
-type OpeningRequest struct {
-	// Opening identifies the shared prefix. Prompts with the same one run best on an
+// PrefixRequest is a prompt with a shared prefix, a prefix that other prompts have in common.
+type PrefixRequest struct {
+	// SharedPrefixID identifies the shared prefix. Prompts with the same one run best on an
 	// engine that has prefilled it before.
-	Opening string
-	// Shared is the length of the shared prefix, Own that of the rest, in tokens.
-	Shared, Own int
-	// Output is the maximum length of the answer in tokens.
-	Output int
-	// Untold says that engines don't report whether they hold the prefix, because it
+	SharedPrefixID string
+	// SharedTokens is the length of the shared prefix, OwnTokens that of the rest, in tokens.
+	SharedTokens, OwnTokens int
+	// OutputTokens is the maximum length of the answer in tokens.
+	OutputTokens int
+	// PrefixUnreported says that engines don't report whether they hold the prefix, because it
 	// is too short; its home engine is then assumed to hold it.
-	Untold bool
+	PrefixUnreported bool
 	// Aim is the time within which the first event of the answer is on time.
 	Aim time.Duration
 }
 
 // memoryTokens returns the KV cache memory that the request takes on an engine, in tokens.
-func (r OpeningRequest) memoryTokens() int { return r.Shared + r.Own + r.Output }
+func (r PrefixRequest) memoryTokens() int { return r.SharedTokens + r.OwnTokens + r.OutputTokens }
 
-// OpeningCandidate is an engine, with the state known to the entry.
-type OpeningCandidate struct {
+// PrefixCandidate is an engine, with the state known to the entry.
+type PrefixCandidate struct {
 	// Name is the VM name.
 	Name string
 	// Excluded is the reason why the engine gets no work; None when it may.
@@ -34,66 +34,66 @@
 	// Suspected says that the engine failed recently; it is chosen only when all
 	// others are excluded or overloaded.
 	Suspected bool
-	// Old says that the engine's weights are older than those that operators set; its
+	// OldWeights says that the engine's weights are older than those that operators set; its
 	// answers have less value.
-	Old bool
-	// Running and Waiting are the numbers of its requests; Reading is the number of
+	OldWeights bool
+	// Running and Waiting are the numbers of its requests; Prefilling is the number of
 	// running requests whose prompt is still in prefill.
-	Running, Reading, Waiting int
+	Running, Prefilling, Waiting int
 	// SentTokens is the number of tokens to prefill of the requests sent there since
 	// the load report.
 	SentTokens int
 	// UsedTokens is the memory that its requests hold, in tokens.
 	UsedTokens int
-	// Has says that the engine holds the shared prefix or is prefilling it.
-	Has bool
-	// Kept says that a store or another engine holds the prefix for the engine's
+	// HasPrefix says that the engine holds the shared prefix or is prefilling it.
+	HasPrefix bool
+	// PrefixFetchable says that a store or another engine holds the prefix for the engine's
 	// weights, so that an engine without it imports it instead of computing it.
-	Kept bool
-	// FetchWait is the wait until the link to that holder is free, Fetch the time that
+	PrefixFetchable bool
+	// FetchWait is the wait until the link to that holder is free, FetchTime the time that
 	// the import then takes on it.
-	FetchWait, Fetch time.Duration
-	// New says that the prefix was most likely never computed for the engine's
+	FetchWait, FetchTime time.Duration
+	// NewPrefix says that the prefix was most likely never computed for the engine's
 	// weights: no store holds it, although one had room.
-	New bool
+	NewPrefix bool
 	// Slots is the number of requests that the engine runs concurrently; no limit when zero.
 	Slots int
-	// Distance is the round-trip time to the engine.
-	Distance time.Duration
+	// RoundTrip is the round-trip time to the engine.
+	RoundTrip time.Duration
 	// Overrun is by how much the prompt is expected to run past the time at which the
 	// engine is to load new weights.
 	Overrun time.Duration
 }
 
-// OpeningConfig holds the measured properties of the engines and of recent prompts.
+// PrefixConfig holds the measured properties of the engines and of recent prompts.
 // Zero values get a default unless the field says otherwise.
-type OpeningConfig struct {
+type PrefixConfig struct {
 	// TokensPerMs is the prefill speed of an engine; 50 when zero, the speed of the
 	// slowest engines in use.
 	TokensPerMs float64
 	// PromptTokens is the usual number of tokens of a prompt that an engine has to
 	// prefill; 1,000 when zero.
 	PromptTokens float64
-	// QuickTokens is the same for prompts with less to prefill than usual, which
+	// ShortPromptTokens is the same for prompts with less to prefill than usual, which
 	// engines schedule first among those of equal priority; PromptTokens when zero.
-	QuickTokens float64
-	// QuickAim is the Aim of those prompts; when zero, no prompt is held in their favour.
-	QuickAim time.Duration
+	ShortPromptTokens float64
+	// ShortPromptAim is the Aim of those prompts; when zero, no prompt is held in their favour.
+	ShortPromptAim time.Duration
 	// MemoryTokens is the capacity of an engine's KV cache in tokens; 70,000 when zero.
 	MemoryTokens int
 }
 
-func (c OpeningConfig) withDefaults() OpeningConfig {
+func (c PrefixConfig) withDefaults() PrefixConfig {
 	c.TokensPerMs = orDefault(c.TokensPerMs, 50)
 	c.PromptTokens = orDefault(c.PromptTokens, 1000)
-	c.QuickTokens = orDefault(c.QuickTokens, c.PromptTokens)
+	c.ShortPromptTokens = orDefault(c.ShortPromptTokens, c.PromptTokens)
 	c.MemoryTokens = orDefault(c.MemoryTokens, 70_000)
 
 	return c
 }
 
 // prefillMs returns the time in ms to prefill the given number of tokens.
-func (c OpeningConfig) prefillMs(tokens int) float64 { return float64(tokens) / c.TokensPerMs }
+func (c PrefixConfig) prefillMs(tokens int) float64 { return float64(tokens) / c.TokensPerMs }
 
 func orDefault[T int | float64 | time.Duration](v, d T) T {
 	if v == 0 {
@@ -103,32 +103,32 @@
 	return v
 }
 
-// OpeningDecision is the outcome of DecideOpening.
-type OpeningDecision struct {
+// PrefixDecision is the outcome of DecideOpening.
+type PrefixDecision struct {
 	target    int
 	home      int
 	costMs    float64
 	waitMs    float64
-	admission Pace
+	admission Admission
 }
 
 // Found reports whether any engine can take the prompt.
-func (d OpeningDecision) Found() bool { return d.target >= 0 }
+func (d PrefixDecision) Found() bool { return d.target >= 0 }
 
 // Target returns the index of the chosen engine, -1 when there is none.
-func (d OpeningDecision) Target() int { return d.target }
+func (d PrefixDecision) Target() int { return d.target }
 
 // Home returns the index of the prefix's home engine, -1 when there is none.
-func (d OpeningDecision) Home() int { return d.home }
+func (d PrefixDecision) Home() int { return d.home }
 
 // Cost returns the estimated cost in ms.
-func (d OpeningDecision) Cost() float64 { return d.costMs }
+func (d PrefixDecision) Cost() float64 { return d.costMs }
 
-// Pace returns whether to send the prompt now, to hold it or to refuse it.
-func (d OpeningDecision) Pace() Pace { return d.admission }
+// Admission returns whether to send the prompt now, to hold it or to refuse it.
+func (d PrefixDecision) Admission() Admission { return d.admission }
 
 // Wait returns how long the chosen engine is expected to work on other prompts first.
-func (d OpeningDecision) Wait() time.Duration {
+func (d PrefixDecision) Wait() time.Duration {
 	return time.Duration(d.waitMs * float64(time.Millisecond))
 }
 
@@ -157,15 +157,15 @@
 	oldWeightsFactor = 0.02
 )
 
-// DecideOpening returns the engine for a prompt with a shared prefix: the one with
+// DecidePrefix returns the engine for a prompt with a shared prefix: the one with
 // the least estimated time to the first event plus the penalty for computing the
 // prefix where it isn't cached. Rendezvous hashing ranks the engines for each prefix,
 // so that all entries agree on the first, the home engine, without communication;
 // the home engine holds the prefix unless it has evicted it.
-func DecideOpening(cfg OpeningConfig, r OpeningRequest, candidates []OpeningCandidate) OpeningDecision {
+func DecidePrefix(cfg PrefixConfig, r PrefixRequest, candidates []PrefixCandidate) PrefixDecision {
 	learned := cfg // admission uses measured values only, not defaults
 	cfg = cfg.withDefaults()
-	d := OpeningDecision{target: -1, home: homeIndex(r, candidates)}
+	d := PrefixDecision{target: -1, home: homeIndex(r, candidates)}
 
 	for i := range candidates {
 		c := &candidates[i]
@@ -184,11 +184,11 @@
 }
 
 // homeIndex returns the index of the prefix's home engine, -1 when there is none.
-func homeIndex(r OpeningRequest, candidates []OpeningCandidate) int {
+func homeIndex(r PrefixRequest, candidates []PrefixCandidate) int {
 	home, bestScore := -1, uint64(0)
 
 	for i := range candidates {
-		if score := xxhash.Sum64String(r.Opening + "/" + candidates[i].Name); home < 0 || score > bestScore {
+		if score := xxhash.Sum64String(r.SharedPrefixID + "/" + candidates[i].Name); home < 0 || score > bestScore {
 			home, bestScore = i, score
 		}
 	}
@@ -197,14 +197,14 @@
 }
 
 // totalCostMs returns the estimated cost of an engine in ms.
-func (c *OpeningCandidate) totalCostMs(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
-	ms := c.queueWaitMs(cfg, r) + float64(c.Distance)/float64(time.Millisecond) + cfg.prefillMs(r.Own)
+func (c *PrefixCandidate) totalCostMs(cfg PrefixConfig, r PrefixRequest, home bool) float64 {
+	ms := c.queueWaitMs(cfg, r) + float64(c.RoundTrip)/float64(time.Millisecond) + cfg.prefillMs(r.OwnTokens)
 
 	if !home {
 		ms += notHomeCostMs
 	}
 
-	if cached := c.Has || (home && r.Untold); !cached {
+	if cached := c.HasPrefix || (home && r.PrefixUnreported); !cached {
 		ms += c.missCostMs(cfg, r, home)
 	}
 
@@ -212,7 +212,7 @@
 		ms += (1 + recomputeFactor) * cfg.prefillMs(excess)
 	}
 
-	if c.Old {
+	if c.OldWeights {
 		ms += oldWeightsFactor * float64(r.Aim) / float64(time.Millisecond)
 	}
 
@@ -228,25 +228,25 @@
 }
 
 // missCostMs returns the cost in ms of an engine not holding the prefix.
-func (c *OpeningCandidate) missCostMs(cfg OpeningConfig, r OpeningRequest, home bool) float64 {
+func (c *PrefixCandidate) missCostMs(cfg PrefixConfig, r PrefixRequest, home bool) float64 {
 	switch {
-	case c.Kept:
-		return float64(c.FetchWait+c.Fetch) / float64(time.Millisecond)
-	case c.New && home:
+	case c.PrefixFetchable:
+		return float64(c.FetchWait+c.FetchTime) / float64(time.Millisecond)
+	case c.NewPrefix && home:
 		return 0
-	case c.New:
-		return newPrefixFactor * cfg.prefillMs(r.Shared)
+	case c.NewPrefix:
+		return newPrefixFactor * cfg.prefillMs(r.SharedTokens)
 	}
 
-	return (1 + recomputeFactor) * cfg.prefillMs(r.Shared)
+	return (1 + recomputeFactor) * cfg.prefillMs(r.SharedTokens)
 }
 
 // hasShortPrefill reports whether the prompt has at most the usual number of tokens
 // to prefill on the engine.
-func (c *OpeningCandidate) hasShortPrefill(cfg OpeningConfig, r OpeningRequest) bool {
-	missing := r.Own
-	if !c.Has && !c.Kept {
-		missing += r.Shared
+func (c *PrefixCandidate) hasShortPrefill(cfg PrefixConfig, r PrefixRequest) bool {
+	missing := r.OwnTokens
+	if !c.HasPrefix && !c.PrefixFetchable {
+		missing += r.SharedTokens
 	}
 
 	return float64(missing) <= cfg.PromptTokens
@@ -254,13 +254,13 @@
 
 // queueWaitMs estimates the time in ms before the engine starts one more prompt. Engines
 // prefill the prompts queued before it in chunks, one prompt after the other.
-func (c *OpeningCandidate) queueWaitMs(cfg OpeningConfig, r OpeningRequest) float64 {
+func (c *PrefixCandidate) queueWaitMs(cfg PrefixConfig, r PrefixRequest) float64 {
 	waiting := cfg.PromptTokens
 	if c.hasShortPrefill(cfg, r) {
-		waiting = cfg.QuickTokens
+		waiting = cfg.ShortPromptTokens
 	}
 
-	queuedTokens := float64(c.Reading)*cfg.PromptTokens + float64(c.Waiting)*waiting + float64(c.SentTokens)
+	queuedTokens := float64(c.Prefilling)*cfg.PromptTokens + float64(c.Waiting)*waiting + float64(c.SentTokens)
 	ms := queuedTokens/cfg.TokensPerMs + float64(c.Running)*runningCostMs
 
 	if c.Slots > 0 && c.Running >= c.Slots {
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-func engines(n int) []OpeningCandidate {
-	all := make([]OpeningCandidate, n)
+func engines(n int) []PrefixCandidate {
+	all := make([]PrefixCandidate, n)
 	for i := range all {
-		all[i] = OpeningCandidate{Name: fmt.Sprintf("engine-%d", i), Slots: 64}
+		all[i] = PrefixCandidate{Name: fmt.Sprintf("engine-%d", i), Slots: 64}
 	}
 
 	return all
 }
 
-func longPrompt(i int) OpeningRequest {
-	return OpeningRequest{Opening: fmt.Sprintf("case-%d", i), Shared: 12_800, Own: 4_260, Output: 30, Aim: 800 * time.Millisecond}
+func longPrompt(i int) PrefixRequest {
+	return PrefixRequest{SharedPrefixID: fmt.Sprintf("case-%d", i), SharedTokens: 12_800, OwnTokens: 4_260, OutputTokens: 30, Aim: 800 * time.Millisecond}
 }
 
-func shortPrompt(i int) OpeningRequest {
-	return OpeningRequest{Opening: fmt.Sprintf("seat-%d", i), Shared: 301, Own: 82, Output: 11, Aim: 400 * time.Millisecond}
+func shortPrompt(i int) PrefixRequest {
+	return PrefixRequest{SharedPrefixID: fmt.Sprintf("seat-%d", i), SharedTokens: 301, OwnTokens: 82, OutputTokens: 11, Aim: 400 * time.Millisecond}
 }
 
 // Guards against entries that place the same shared prefix on different engines. Entries
 // don't communicate about placement, and each lists the engines in an order of its own.
 func TestEntriesAgreeOnAnOpeningsEngine(t *testing.T) {
 	all := engines(12)
-	rotated := append(append([]OpeningCandidate{}, all[5:]...), all[:5]...)
+	rotated := append(append([]PrefixCandidate{}, all[5:]...), all[:5]...)
 
 	for i := range 200 {
-		a := DecideOpening(OpeningConfig{}, shortPrompt(i), all)
-		b := DecideOpening(OpeningConfig{}, shortPrompt(i), rotated)
+		a := DecidePrefix(PrefixConfig{}, shortPrompt(i), all)
+		b := DecidePrefix(PrefixConfig{}, shortPrompt(i), rotated)
 
 		if got, want := rotated[b.Target()].Name, all[a.Target()].Name; got != want {
 			t.Fatalf("%d: got %s, want %s", i, got, want)
@@ -45,19 +45,19 @@
 // prompt lengths are those of fare reviews and seat questions, the speed is 51 tokens
 // per ms.
 func TestShortPromptsPassByEnginesThatRead(t *testing.T) {
-	cfg := OpeningConfig{TokensPerMs: 51, PromptTokens: 4500}
+	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 4500}
 
 	for reading := range 11 {
 		all := engines(12)
 		for i := range reading + 1 {
-			all[i].Reading, all[i].Running = 1, 1
+			all[i].Prefilling, all[i].Running = 1, 1
 		}
 
 		for i := range 200 {
 			r := shortPrompt(i)
-			r.Untold = true
+			r.PrefixUnreported = true
 
-			if d := DecideOpening(cfg, r, all); all[d.Target()].Reading > 0 {
+			if d := DecidePrefix(cfg, r, all); all[d.Target()].Prefilling > 0 {
 				t.Fatalf("%d of 12 in prefill: got %s, want one without prefill", reading+1, all[d.Target()].Name)
 			}
 		}
@@ -69,16 +69,16 @@
 // flight would be underused, and contexts would be recomputed elsewhere.
 func TestGeneratingHardlyDelaysTheNextPrompt(t *testing.T) {
 	all := engines(9)
-	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
-	all[home].Has, all[home].Running = true, 12
+	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
+	all[home].HasPrefix, all[home].Running = true, 12
 
-	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got != home {
+	if got := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target(); got != home {
 		t.Errorf("got %s, want %s, which only decodes", all[got].Name, all[home].Name)
 	}
 
-	all[home].Reading = 40
+	all[home].Prefilling = 40
 
-	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got == home {
+	if got := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target(); got == home {
 		t.Errorf("got %s, which has forty prompts in prefill, want another", all[got].Name)
 	}
 }
@@ -87,11 +87,11 @@
 // with little to prefill first, so queued prompts delay a short one only slightly, whereas
 // prompts in prefill delay every prompt.
 func TestQuickPromptsPassThoseThatWait(t *testing.T) {
-	cfg := OpeningConfig{TokensPerMs: 100, PromptTokens: 4000, QuickTokens: 500}
+	cfg := PrefixConfig{TokensPerMs: 100, PromptTokens: 4000, ShortPromptTokens: 500}
 
 	tests := []struct {
 		name             string
-		r                OpeningRequest
+		r                PrefixRequest
 		reading, waiting int
 		want             time.Duration
 	}{
@@ -102,9 +102,9 @@
 
 	for _, tt := range tests {
 		all := engines(1)
-		all[0].Reading, all[0].Waiting = tt.reading, tt.waiting
+		all[0].Prefilling, all[0].Waiting = tt.reading, tt.waiting
 
-		if got := DecideOpening(cfg, tt.r, all).Wait(); got != tt.want {
+		if got := DecidePrefix(cfg, tt.r, all).Wait(); got != tt.want {
 			t.Errorf("%s: got a wait of %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -116,16 +116,16 @@
 // the load begins.
 func TestLongAnswersAvoidAnEngineThatIsToLoad(t *testing.T) {
 	all := engines(3)
-	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
-	all[home].Has = true
+	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
+	all[home].HasPrefix = true
 
-	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got != home {
+	if got := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target(); got != home {
 		t.Fatalf("got %d, want the engine that has the shared prefix", got)
 	}
 
 	all[home].Overrun = 1500 * time.Millisecond
 
-	if got := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target(); got == home {
+	if got := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target(); got == home {
 		t.Error("got the engine whose load it would delay by 1.5 s, want another")
 	}
 }
@@ -140,22 +140,22 @@
 	}{{50, true}, {160, true}, {500, true}}
 
 	for _, tt := range tests {
-		cfg := OpeningConfig{TokensPerMs: tt.tokensPerMs, PromptTokens: 4000}
+		cfg := PrefixConfig{TokensPerMs: tt.tokensPerMs, PromptTokens: 4000}
 		all := engines(9)
-		home := DecideOpening(cfg, longPrompt(1), all).Target()
-		all[home].Has, all[home].Waiting = true, 5
+		home := DecidePrefix(cfg, longPrompt(1), all).Target()
+		all[home].HasPrefix, all[home].Waiting = true, 5
 
-		if got := DecideOpening(cfg, longPrompt(1), all).Target() == home; got != tt.home {
+		if got := DecidePrefix(cfg, longPrompt(1), all).Target() == home; got != tt.home {
 			t.Errorf("%v tokens per ms: got home %v, want %v: elsewhere the prefix costs three times its 12,800 tokens", tt.tokensPerMs, got, tt.home)
 		}
 
 		// An import from a store takes 100 ms, independent of the prefill speed.
 		for i := range all {
-			all[i].Kept, all[i].Fetch = true, 100*time.Millisecond
+			all[i].PrefixFetchable, all[i].FetchTime = true, 100*time.Millisecond
 		}
 
 		wait := 5 * 4000 / tt.tokensPerMs
-		if got, want := DecideOpening(cfg, longPrompt(1), all).Target() == home, wait < 102; got != want {
+		if got, want := DecidePrefix(cfg, longPrompt(1), all).Target() == home, wait < 102; got != want {
 			t.Errorf("%v tokens per ms, held by a store: got home %v, want %v for a wait of %.0f ms", tt.tokensPerMs, got, want, wait)
 		}
 	}
@@ -163,15 +163,15 @@
 
 func TestAnEngineThatGoesMovesOnlyItsOwnOpenings(t *testing.T) {
 	all := engines(12)
-	excluded := DecideOpening(OpeningConfig{}, shortPrompt(0), all).Target()
-	remaining := append([]OpeningCandidate{}, all...)
+	excluded := DecidePrefix(PrefixConfig{}, shortPrompt(0), all).Target()
+	remaining := append([]PrefixCandidate{}, all...)
 	remaining[excluded].Excluded = Draining
 	moved := 0
 
 	for i := range 500 {
-		before := DecideOpening(OpeningConfig{}, shortPrompt(i), all).Target()
+		before := DecidePrefix(PrefixConfig{}, shortPrompt(i), all).Target()
 
-		after := DecideOpening(OpeningConfig{}, shortPrompt(i), remaining).Target()
+		after := DecidePrefix(PrefixConfig{}, shortPrompt(i), remaining).Target()
 		if after == excluded {
 			t.Fatal("got an engine that is excluded")
 		}
@@ -191,10 +191,10 @@
 // they have to compute the prefix first.
 func TestBusyEngineSharesItsOpenings(t *testing.T) {
 	all := engines(12)
-	home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
-	all[home].Reading = 8
+	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
+	all[home].Prefilling = 8
 
-	d := DecideOpening(OpeningConfig{}, longPrompt(1), all)
+	d := DecidePrefix(PrefixConfig{}, longPrompt(1), all)
 	if d.Target() == home {
 		t.Errorf("got the busy engine at a cost of %.0f ms", d.Cost())
 	}
@@ -207,27 +207,29 @@
 func TestChoiceWeighsWhatReadingAgainCosts(t *testing.T) {
 	tests := []struct {
 		name string
-		set  func(home, other *OpeningCandidate)
+		set  func(home, other *PrefixCandidate)
 		want string
 	}{
-		{"equal", func(*OpeningCandidate, *OpeningCandidate) {}, "home"},
-		{"held for the other's weights only", func(_, o *OpeningCandidate) { o.Kept = true }, "other"},
-		{"held nearer to the other", func(h, o *OpeningCandidate) {
-			h.Kept, o.Kept, h.Fetch, o.Fetch = true, true, 100*time.Millisecond, 50*time.Millisecond
+		{"equal", func(*PrefixCandidate, *PrefixCandidate) {}, "home"},
+		{"held for the other's weights only", func(_, o *PrefixCandidate) { o.PrefixFetchable = true }, "other"},
+		{"held nearer to the other", func(h, o *PrefixCandidate) {
+			h.PrefixFetchable, o.PrefixFetchable, h.FetchTime, o.FetchTime = true, true, 100*time.Millisecond, 50*time.Millisecond
+		}, "other"},
+		{"new prefix on both", func(h, o *PrefixCandidate) { h.NewPrefix, o.NewPrefix = true, true }, "home"},
+		{"old weights, held for them only", func(h, o *PrefixCandidate) { h.PrefixFetchable, h.OldWeights, o.NewPrefix = true, true, true }, "home"},
+		{"old weights, held for both", func(h, o *PrefixCandidate) { h.PrefixFetchable, h.OldWeights, o.PrefixFetchable = true, true, true }, "other"},
+		{"old weights, would be recomputed elsewhere", func(h, _ *PrefixCandidate) { h.HasPrefix, h.OldWeights = true, true }, "home"},
+		{"failed recently", func(h, o *PrefixCandidate) { h.PrefixFetchable, o.PrefixFetchable, h.Suspected = true, true, true }, "other"},
+		{"memory full", func(h, o *PrefixCandidate) { h.PrefixFetchable, o.PrefixFetchable, h.UsedTokens = true, true, 69_000 }, "other"},
+		{"no free slots", func(h, o *PrefixCandidate) {
+			h.PrefixFetchable, o.PrefixFetchable, h.Running, o.Running = true, true, 70, 6
 		}, "other"},
-		{"new prefix on both", func(h, o *OpeningCandidate) { h.New, o.New = true, true }, "home"},
-		{"old weights, held for them only", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.New = true, true, true }, "home"},
-		{"old weights, held for both", func(h, o *OpeningCandidate) { h.Kept, h.Old, o.Kept = true, true, true }, "other"},
-		{"old weights, would be recomputed elsewhere", func(h, _ *OpeningCandidate) { h.Has, h.Old = true, true }, "home"},
-		{"failed recently", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Suspected = true, true, true }, "other"},
-		{"memory full", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.UsedTokens = true, true, 69_000 }, "other"},
-		{"no free slots", func(h, o *OpeningCandidate) { h.Kept, o.Kept, h.Running, o.Running = true, true, 70, 6 }, "other"},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			all := engines(2)
-			home := DecideOpening(OpeningConfig{}, longPrompt(1), all).Target()
+			home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
 			other := 1 - home
 
 			tt.set(&all[home], &all[other])
@@ -237,7 +239,7 @@
 				want = other
 			}
 
-			if got := DecideOpening(OpeningConfig{}, longPrompt(1), all); got.Target() != want {
+			if got := DecidePrefix(PrefixConfig{}, longPrompt(1), all); got.Target() != want {
 				t.Errorf("got %d at %.0f ms, want %d", got.Target(), got.Cost(), want)
 			}
 		})
@@ -254,14 +256,14 @@
 		all[i].Excluded = NoRoom
 	}
 
-	if d := DecideOpening(OpeningConfig{}, longPrompt(1), all); d.Found() {
+	if d := DecidePrefix(PrefixConfig{}, longPrompt(1), all); d.Found() {
 		t.Errorf("got %s, want none", all[d.Target()].Name)
 	}
 
 	all[7].Excluded = None
 
 	for i := range 50 {
-		if got := DecideOpening(OpeningConfig{}, longPrompt(i), all).Target(); got != 7 {
+		if got := DecidePrefix(PrefixConfig{}, longPrompt(i), all).Target(); got != 7 {
 			t.Errorf("got %d, want the one with free memory", got)
 		}
 	}
@@ -271,11 +273,11 @@
 	all := engines(2)
 	all[0].Excluded, all[1].Excluded = AlreadyTried, OtherVersion
 
-	if d := DecideOpening(OpeningConfig{}, longPrompt(1), all); d.Found() {
+	if d := DecidePrefix(PrefixConfig{}, longPrompt(1), all); d.Found() {
 		t.Errorf("got %d, want none", d.Target())
 	}
 
-	if d := DecideOpening(OpeningConfig{}, longPrompt(1), nil); d.Found() {
+	if d := DecidePrefix(PrefixConfig{}, longPrompt(1), nil); d.Found() {
 		t.Errorf("got %d, want none for an empty list", d.Target())
 	}
 }
@@ -284,7 +286,7 @@
 	all := engines(1)
 
 	for i := range 10 {
-		if !DecideOpening(OpeningConfig{}, longPrompt(i), all).Found() || !DecideOpening(OpeningConfig{}, shortPrompt(i), all).Found() {
+		if !DecidePrefix(PrefixConfig{}, longPrompt(i), all).Found() || !DecidePrefix(PrefixConfig{}, shortPrompt(i), all).Found() {
 			t.Fatal("got none, want the only engine")
 		}
 	}
@@ -297,7 +299,7 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		DecideOpening(OpeningConfig{}, r, all)
+		DecidePrefix(PrefixConfig{}, r, all)
 	}
 }
 
@@ -305,7 +307,7 @@
 // engines would recompute all contexts at the same time, and short prompts would wait for
 // that while engines with old weights, which are still allowed and hold the contexts, idle.
 func TestQuestionsStayOnOldWeightsWhileTheNewEnginesRead(t *testing.T) {
-	cfg := OpeningConfig{TokensPerMs: 51, PromptTokens: 1000}
+	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 1000}
 	tests := []struct {
 		name    string
 		reading int // prompts in prefill on each engine with new weights
@@ -318,14 +320,14 @@
 	for _, tt := range tests {
 		all := engines(60)
 		for i := range all {
-			all[i].Has, all[i].Old = true, i >= 12
-			if !all[i].Old {
-				all[i].Reading, all[i].Running = tt.reading, tt.reading
+			all[i].HasPrefix, all[i].OldWeights = true, i >= 12
+			if !all[i].OldWeights {
+				all[i].Prefilling, all[i].Running = tt.reading, tt.reading
 			}
 		}
 
 		for i := range 100 {
-			if got := all[DecideOpening(cfg, shortPrompt(i), all).Target()].Old; got != tt.old {
+			if got := all[DecidePrefix(cfg, shortPrompt(i), all).Target()].OldWeights; got != tt.old {
 				t.Fatalf("%s: got an engine with old weights %v, want %v", tt.name, got, tt.old)
 			}
 		}
--- a/route/pace.go
+++ b/route/pace.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Pace is the admission decision for a prompt.
-type Pace uint8
+// Admission is the admission decision for a prompt.
+type Admission uint8
 
 // The admission decisions.
 const (
 	// SendNow means that the prompt is sent now.
-	SendNow Pace = iota
+	SendNow Admission = iota
 	// Hold means that the prompt waits at the entry until engines have less to prefill.
 	Hold
 	// TooLate means that the first event can't be on time; the prompt is refused.
@@ -16,7 +16,7 @@
 )
 
 // String returns the snake-case name of p.
-func (p Pace) String() string { return [...]string{"send_now", "hold", "too_late"}[p] }
+func (p Admission) String() string { return [...]string{"send_now", "hold", "too_late"}[p] }
 
 // longPromptQueueShare is the part of QuickAim that the prefill queue of an engine may
 // take for a long prompt to be sent there.
@@ -37,13 +37,13 @@
 //
 // Until the speed of the engines is measured, prompts are admitted without a check: the
 // default speed is that of the slowest engines and would refuse too many.
-func (c OpeningConfig) admit(r OpeningRequest, wait time.Duration, shortPrefill bool) Pace {
+func (c PrefixConfig) admit(r PrefixRequest, wait time.Duration, shortPrefill bool) Admission {
 	switch {
 	case c.TokensPerMs <= 0 || r.Aim <= 0:
 		return SendNow
 	case wait > r.Aim:
 		return TooLate
-	case !shortPrefill && c.QuickAim > 0 && wait > time.Duration(longPromptQueueShare*float64(c.QuickAim)):
+	case !shortPrefill && c.ShortPromptAim > 0 && wait > time.Duration(longPromptQueueShare*float64(c.ShortPromptAim)):
 		return Hold
 	default:
 		return SendNow
--- a/route/route.go
+++ b/route/route.go
@@ -37,14 +37,14 @@
 // ones are ignored.
 const MaxCandidates = 64
 
-// How is the strategy by which an engine gets a prompt's context. The zero How is
+// Strategy is the strategy by which an engine gets a prompt's context. The zero Strategy is
 // Recompute.
-type How uint8
+type Strategy uint8
 
 // The strategies.
 const (
 	// Recompute means that the engine computes the whole prompt.
-	Recompute How = iota
+	Recompute Strategy = iota
 	// Warm means that the engine uses blocks that it is believed to hold.
 	Warm
 	// Import means that blocks are copied from a store or another engine.
@@ -52,7 +52,7 @@
 )
 
 // String returns the snake-case name of h.
-func (h How) String() string {
+func (h Strategy) String() string {
 	switch h {
 	case Warm:
 		return "warm"
@@ -93,8 +93,8 @@
 	// Store says that the holder is a store and the copy sealed; otherwise the holder
 	// is an engine, which may have evicted the copy from its cache.
 	Store bool
-	// Learned is the time at which the copy was last known to exist.
-	Learned time.Time
+	// LastSeen is the time at which the copy was last known to exist.
+	LastSeen time.Time
 }
 
 // Candidate is an engine, with the state known to the entry.
@@ -111,8 +111,8 @@
 	Suspected bool
 	// Tried says that this request was sent to the engine before.
 	Tried bool
-	// Delay is the round-trip time between the entry and the engine.
-	Delay time.Duration
+	// RoundTrip is the round-trip time between the entry and the engine.
+	RoundTrip time.Duration
 	// LoadAt is the time at which the load report was measured.
 	LoadAt time.Time
 	// Running and Waiting are the numbers of requests in the load report.
@@ -120,20 +120,20 @@
 	// WaitingPrefillTokens is the number of tokens in the load report that are to be
 	// computed before a new request of the same priority.
 	WaitingPrefillTokens int
-	// BusyTokens is the number of tokens of lower-priority prefill that are expected to
+	// LowerPriorityTokens is the number of tokens of lower-priority prefill that are expected to
 	// run first, to the end of their chunk: half a chunk if there is any such prefill.
-	BusyTokens int
+	LowerPriorityTokens int
 	// SentTokens and SentRequests are the tokens to be computed and the number of the
 	// requests that this entry has sent there since the load report.
 	SentTokens, SentRequests int
 	// MaxRunning is the number of requests that run concurrently; no limit when zero.
 	MaxRunning int
-	// PlaceTime is the mean time for which a request occupies its batch slot.
-	PlaceTime time.Duration
+	// SlotTime is the mean time for which a request occupies its batch slot.
+	SlotTime time.Duration
 	// PrefillTokensPerSecond is the prefill speed with an empty batch; the engine is excluded when zero.
 	PrefillTokensPerSecond float64
-	// Warm is the number of leading tokens of the prompt that the engine is believed to hold.
-	Warm int
+	// WarmTokens is the number of leading tokens of the prompt that the engine is believed to hold.
+	WarmTokens int
 	// WarmAt is the time at which that was last known.
 	WarmAt time.Time
 }
@@ -171,8 +171,8 @@
 type Cost struct {
 	// Excluded is the reason why the candidate was not evaluated.
 	Excluded Exclusion
-	// How is the cheapest strategy for the candidate.
-	How How
+	// Strategy is the cheapest strategy for the candidate.
+	Strategy Strategy
 	// Source is the index of the source to import from, -1 for none.
 	Source int8
 	// Wait is the estimated queue wait in seconds, without the penalty for a stale load report.
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,27 +20,27 @@
 func engine(name string) Candidate {
 	return Candidate{
 		Name: name, Version: "v1", LoadAt: epoch, MaxRunning: 16,
-		PlaceTime: 2 * time.Second, PrefillTokensPerSecond: 8000,
+		SlotTime: 2 * time.Second, PrefillTokensPerSecond: 8000,
 	}
 }
 
 func TestDecide(t *testing.T) {
 	warm := func(c Candidate, tokens int) Candidate {
-		c.Warm, c.WarmAt = tokens, epoch
+		c.WarmTokens, c.WarmAt = tokens, epoch
 		return c
 	}
 	busy := func(c Candidate, tokens int) Candidate {
 		c.WaitingPrefillTokens = tokens
 		return c
 	}
-	store := []Source{{Name: "store-1", Tokens: 7900, Store: true, Learned: epoch}}
+	store := []Source{{Name: "store-1", Tokens: 7900, Store: true, LastSeen: epoch}}
 	cases := []struct {
 		name       string
 		cfg        Config
 		q          Request
 		candidates []Candidate
 		target     int
-		how        How
+		how        Strategy
 	}{
 		{"no candidates", Config{}, Request{Tokens: 8000}, nil, -1, Recompute},
 		{"new prompt goes to the idle engine", Config{}, Request{Tokens: 8000}, []Candidate{busy(engine("a"), 4000), engine("b")}, 1, Recompute},
@@ -52,7 +52,7 @@
 		{"other version", Config{}, Request{Tokens: 8000, Version: "v2"}, []Candidate{engine("a")}, -1, Recompute},
 		{"draining", Config{}, Request{Tokens: 80}, []Candidate{{Draining: true, PrefillTokensPerSecond: 1}}, -1, Recompute},
 		{"suspected is used when all are", Config{}, Request{Tokens: 80}, []Candidate{{Suspected: true, PrefillTokensPerSecond: 1}}, 0, Recompute},
-		{"full batch waits for a slot", Config{}, Request{Tokens: 80}, []Candidate{{Running: 16, MaxRunning: 16, PlaceTime: time.Minute, PrefillTokensPerSecond: 8000}, busy(engine("b"), 4000)}, 1, Recompute},
+		{"full batch waits for a slot", Config{}, Request{Tokens: 80}, []Candidate{{Running: 16, MaxRunning: 16, SlotTime: time.Minute, PrefillTokensPerSecond: 8000}, busy(engine("b"), 4000)}, 1, Recompute},
 	}
 
 	for _, c := range cases {
@@ -62,7 +62,7 @@
 				t.Fatalf("target: got %d, want %d", got, want)
 			}
 
-			if got, want := d.How(), c.how; got != want {
+			if got, want := d.Strategy(), c.how; got != want {
 				t.Errorf("how: got %v, want %v", got, want)
 			}
 		})
@@ -82,7 +82,7 @@
 			c.Tried = rapid.Bool().Draw(t, "tried")
 			c.Suspected = rapid.Bool().Draw(t, "suspected")
 			c.Version = rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
-			c.Warm = rapid.IntRange(0, 8000).Draw(t, "warm")
+			c.WarmTokens = rapid.IntRange(0, 8000).Draw(t, "warm")
 			candidates[i] = c
 
 			if i < MaxCandidates && !c.Draining && !c.Tried && c.Version == "v1" {
@@ -206,15 +206,15 @@
 			candidates := make([]Candidate, n)
 			for i := range candidates {
 				candidates[i] = engine("e")
-				candidates[i].Warm, candidates[i].WarmAt = 100*i, epoch
+				candidates[i].WarmTokens, candidates[i].WarmAt = 100*i, epoch
 				candidates[i].WaitingPrefillTokens = 97 * i % 1000
 			}
 
 			q := Request{Tokens: 8000, Computed: 8000, Version: "v1", Links: fixedLink(time.Second)}
 			q.Sources = []Source{
-				{Name: "store-1", Tokens: 7900, Store: true, Learned: epoch},
-				{Name: "store-2", Tokens: 7000, Store: true, Learned: epoch},
-				{Name: "engine-9", Tokens: 8000, Learned: epoch},
+				{Name: "store-1", Tokens: 7900, Store: true, LastSeen: epoch},
+				{Name: "store-2", Tokens: 7000, Store: true, LastSeen: epoch},
+				{Name: "engine-9", Tokens: 8000, LastSeen: epoch},
 			}
 			now := epoch.Add(time.Second)
 
--- a/target/attempts_test.go
+++ b/target/attempts_test.go
@@ -25,7 +25,7 @@
 // targets, four of which fail every request, and retries as the rules allow.
 func simulate(seed uint64, eject bool) result {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	cfg := target.TableConfig{Self: "entry-1", DataCentre: "yvr-east", Subset: 12}
+	cfg := target.TableConfig{Self: "entry-1", DataCentre: "yvr-east", SubsetSize: 12}
 
 	if !eject {
 		cfg.EjectAfterFailures = 1 << 30
@@ -45,7 +45,7 @@
 
 	for i := range 3000 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
-		b.First(now)
+		b.CountFirstAttempt(now)
 
 		n, ok := sendWithRetries(now, t, b, rng)
 		r.requests++
@@ -81,8 +81,8 @@
 
 		t.Done(now, s, target.Failed)
 
-		a := retry.Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: n, Most: 3}
-		if !retry.May(a) || !b.Allow(now) {
+		a := retry.Attempt{Idempotent: true, Sent: true, Kind: failure.TargetLost, Number: n, MaxAttempts: 3}
+		if !retry.MayRetry(a) || !b.Allow(now) {
 			return n, false
 		}
 	}
--- a/target/bench_test.go
+++ b/target/bench_test.go
@@ -35,7 +35,7 @@
 	t.ObserveList(epoch, all)
 
 	for _, l := range all {
-		t.ObserveHello(epoch, Hello{VM: l.VM, BootID: l.VM + "-boot-0123456789abcdef", Sequence: 1, State: Ready, Model: l.Service, WeightVersion: "v1"})
+		t.ObserveState(epoch, StateReport{VM: l.VM, BootID: l.VM + "-boot-0123456789abcdef", Sequence: 1, State: Ready, Model: l.Service, WeightVersion: "v1"})
 	}
 
 	return t
@@ -80,7 +80,7 @@
 
 		for b.Loop() {
 			now = now.Add(time.Second)
-			t.NextToAsk(now, time.Second)
+			t.NextToPoll(now, time.Second)
 		}
 	})
 }
@@ -88,11 +88,11 @@
 func BenchmarkHello(b *testing.B) {
 	forEachSize(b, func(b *testing.B, targets, services int) {
 		t := filledTable(targets, services)
-		h := Hello{VM: "engine-0007", BootID: "engine-0007-boot-0123456789abcdef", Sequence: 1, State: Ready, WeightVersion: "v1"}
+		h := StateReport{VM: "engine-0007", BootID: "engine-0007-boot-0123456789abcdef", Sequence: 1, State: Ready, WeightVersion: "v1"}
 
 		for b.Loop() {
 			h.Sequence++
-			t.ObserveHello(epoch, h)
+			t.ObserveState(epoch, h)
 		}
 	})
 }
--- a/target/candidate.go
+++ b/target/candidate.go
@@ -16,7 +16,7 @@
 // with a few hundred targets a round takes longer than SilentAfter, and all targets
 // would be suspected although all are up.
 func (t *Table) unresponsiveAfter() time.Duration {
-	return max(t.cfg.SilentAfter, maxMissedRounds*time.Duration(t.subsetSize)*t.cfg.PollInterval)
+	return max(t.cfg.UnresponsiveAfter, maxMissedRounds*time.Duration(t.subsetSize)*t.cfg.PollInterval)
 }
 
 // maxMissedRounds is the number of polling rounds that a target may miss.
@@ -24,7 +24,7 @@
 
 // suspected reports whether r gets work only when too few other targets are left.
 func (t *Table) suspected(now time.Time, r *row) bool {
-	if r.outlier.probation && !r.outlier.probeOpen(now, t.cfg.ProbePatience) {
+	if r.outlier.probation && !r.outlier.probeOpen(now, t.cfg.ProbeTimeout) {
 		return true
 	}
 
@@ -83,7 +83,7 @@
 	for _, r := range p.rows {
 		if !t.excluded(now, r) && t.suspected(now, r) {
 			c := r.target(now)
-			c.Doubted = true
+			c.Suspected = true
 			dst = append(dst, c)
 		}
 	}
--- a/target/hello.go
+++ b/target/hello.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ObserveHello applies a state report of a side process. Stale state reports are ignored.
-func (t *Table) ObserveHello(now time.Time, h Hello) []Change {
+// ObserveState applies a state report of a side process. Stale state reports are ignored.
+func (t *Table) ObserveState(now time.Time, h StateReport) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -45,7 +45,7 @@
 // leaving target to the pool. Boot ids have no order, and the clock of a VM that was
 // replaced under the same name may be behind; so an earlier start time only counts as
 // stale for as long as a message can be in flight.
-func (t *Table) stale(now time.Time, r *row, h Hello) bool {
+func (t *Table) stale(now time.Time, r *row, h StateReport) bool {
 	if h.BootID == r.bootID {
 		return h.Sequence != 0 && h.Sequence <= r.sequence
 	}
@@ -56,15 +56,15 @@
 
 	// A refusal carries no boot id. It may have come from a boot whose first state report,
 	// sent before it drained, is still in flight.
-	if !r.refusedAt.IsZero() && now.Sub(r.refusedAt) <= t.cfg.SilentAfter {
+	if !r.refusedAt.IsZero() && now.Sub(r.refusedAt) <= t.cfg.UnresponsiveAfter {
 		return true
 	}
 
-	return h.Started.Before(r.started) && !h.Started.IsZero() && now.Sub(r.lastSeen) <= t.cfg.SilentAfter
+	return h.Started.Before(r.started) && !h.Started.IsZero() && now.Sub(r.lastSeen) <= t.cfg.UnresponsiveAfter
 }
 
 // restart resets the state of a target that has a new boot id.
-func (r *row) restart(h Hello) Change {
+func (r *row) restart(h StateReport) Change {
 	first := r.bootID == ""
 	if !first {
 		copy(r.oldBoots[1:], r.oldBoots[:])
--- a/target/leaving_test.go
+++ b/target/leaving_test.go
@@ -28,7 +28,7 @@
 		leaving := at >= time.Second
 
 		if d.reported > 0 && at == d.reported {
-			tab.ObserveHello(now, Hello{VM: "a", BootID: "1", Sequence: 2, State: Draining})
+			tab.ObserveState(now, StateReport{VM: "a", BootID: "1", Sequence: 2, State: Draining})
 		}
 
 		if d.listed > 0 && at == d.listed {
--- a/target/outcome.go
+++ b/target/outcome.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Sent records that a request with the given number of prompt tokens is sent to a target.
-func (t *Table) Sent(now time.Time, vm string, tokens int) Sending {
+func (t *Table) Sent(now time.Time, vm string, tokens int) Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	s := Sending{vm: vm, at: now, tokens: tokens}
+	s := Attempt{vm: vm, at: now, tokens: tokens}
 
 	r, ok := t.rows[vm]
 	if !ok {
@@ -26,7 +26,7 @@
 }
 
 // Done records the outcome of a request.
-func (t *Table) Done(now time.Time, s Sending, o Outcome) []Change {
+func (t *Table) Done(now time.Time, s Attempt, o Outcome) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -43,7 +43,7 @@
 
 	switch o {
 	case Succeeded:
-		if r.outlier.recordSuccess(now, t.cfg.EjectMost) {
+		if r.outlier.recordSuccess(now, t.cfg.MaxEjection) {
 			return []Change{{VM: r.vm, Reason: Restored}}
 		}
 	case Failed:
@@ -61,7 +61,7 @@
 }
 
 // recordFailure counts a failure and ejects the target after EjectAfterFailures in a row.
-func (t *Table) recordFailure(now time.Time, r *row, s Sending) []Change {
+func (t *Table) recordFailure(now time.Time, r *row, s Attempt) []Change {
 	o := &r.outlier
 	o.failures++
 
@@ -74,7 +74,7 @@
 		return nil
 	}
 
-	o.eject(now, t.cfg.EjectFor, t.cfg.EjectMost)
+	o.eject(now, t.cfg.BaseEjection, t.cfg.MaxEjection)
 
 	return []Change{{VM: r.vm, Reason: Ejected, Until: o.until}}
 }
--- a/target/subset.go
+++ b/target/subset.go
@@ -36,9 +36,9 @@
 // connection and polling, so the total over all services is bounded: eight targets for
 // each of 35 models would exceed the budget of an entry.
 func (t *Table) subsetLimit() int {
-	share := t.cfg.Known / max(len(t.pools), 1)
+	share := t.cfg.MaxSubsetTotal / max(len(t.pools), 1)
 
-	return min(t.cfg.Subset, max(share, minSubset))
+	return min(t.cfg.SubsetSize, max(share, minSubset))
 }
 
 // selectSubset sorts a pool by distance and score and marks its subset.
--- a/target/table.go
+++ b/target/table.go
@@ -14,26 +14,26 @@
 	DataCentre string
 	// Regions maps data centres to regions.
 	Regions map[string]string
-	// Subset is the maximum number of targets of a service in the subset. 8 when zero.
-	Subset int
-	// Known is the maximum number of targets of all services in the subset; with many
+	// SubsetSize is the maximum number of targets of a service in the subset. 8 when zero.
+	SubsetSize int
+	// MaxSubsetTotal is the maximum number of targets of all services in the subset; with many
 	// services each has fewer, but no fewer than two. 128 when zero.
-	Known int
-	// SilentAfter is the time without a report after which a target in the subset is
+	MaxSubsetTotal int
+	// UnresponsiveAfter is the time without a report after which a target in the subset is
 	// suspected, or two polling rounds if those take longer. 30 s when zero.
-	SilentAfter time.Duration
+	UnresponsiveAfter time.Duration
 	// PollInterval is the time between two polls of side processes (NextToAsk). 500 ms when zero.
 	PollInterval time.Duration
 	// EjectAfterFailures is the number of consecutive failures that eject a target. 3 when zero.
 	EjectAfterFailures int
-	// EjectFor is the duration of the first ejection; each further one takes twice as long. 2 s when zero.
-	EjectFor time.Duration
-	// EjectMost is the maximum duration of an ejection. 2 min when zero.
-	EjectMost time.Duration
+	// BaseEjection is the duration of the first ejection; each further one takes twice as long. 2 s when zero.
+	BaseEjection time.Duration
+	// MaxEjection is the maximum duration of an ejection. 2 min when zero.
+	MaxEjection time.Duration
 	// MaxSuspectedShare is the largest part of a pool that suspicions remove. 0.5 when zero.
 	MaxSuspectedShare float64
-	// ProbePatience is how long an unfinished probe blocks the next one. 30 s when zero.
-	ProbePatience time.Duration
+	// ProbeTimeout is how long an unfinished probe blocks the next one. 30 s when zero.
+	ProbeTimeout time.Duration
 	// ForgetAfter is how long a target that is gone is remembered, so that a VM that
 	// resumes after a pause isn't taken for a new one. 24 h when zero.
 	ForgetAfter time.Duration
@@ -45,15 +45,15 @@
 }
 
 func (c TableConfig) withDefaults() TableConfig {
-	c.Subset = or(c.Subset, 8)
-	c.Known = or(c.Known, 128)
-	c.SilentAfter = or(c.SilentAfter, 30*time.Second)
+	c.SubsetSize = or(c.SubsetSize, 8)
+	c.MaxSubsetTotal = or(c.MaxSubsetTotal, 128)
+	c.UnresponsiveAfter = or(c.UnresponsiveAfter, 30*time.Second)
 	c.PollInterval = or(c.PollInterval, 500*time.Millisecond)
 	c.EjectAfterFailures = or(c.EjectAfterFailures, 3)
-	c.EjectFor = or(c.EjectFor, 2*time.Second)
-	c.EjectMost = or(c.EjectMost, 2*time.Minute)
+	c.BaseEjection = or(c.BaseEjection, 2*time.Second)
+	c.MaxEjection = or(c.MaxEjection, 2*time.Minute)
 	c.MaxSuspectedShare = or(c.MaxSuspectedShare, 0.5)
-	c.ProbePatience = or(c.ProbePatience, 30*time.Second)
+	c.ProbeTimeout = or(c.ProbeTimeout, 30*time.Second)
 	c.ForgetAfter = or(c.ForgetAfter, 24*time.Hour)
 	c.MaxCandidates = or(c.MaxCandidates, 64)
 	c.MaxTargets = or(c.MaxTargets, 8192)
@@ -260,11 +260,11 @@
 	return subset
 }
 
-// NextToAsk returns the target in the subset that was seen or polled least recently, if
+// NextToPoll returns the target in the subset that was seen or polled least recently, if
 // that was at least after ago, and records it as polled. Polling in a fixed order instead
 // would spend most polls on targets that have just reported their load on an answer, and
 // with a few hundred targets a round would take longer than SilentAfter.
-func (t *Table) NextToAsk(now time.Time, after time.Duration) (Target, bool) {
+func (t *Table) NextToPoll(now time.Time, after time.Duration) (Target, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -331,7 +331,7 @@
 	}
 
 	c := r.target(now)
-	c.Doubted = t.suspected(now, r)
+	c.Suspected = t.suspected(now, r)
 
 	return c, true
 }
@@ -360,7 +360,7 @@
 		VM: r.vm, DataCentre: r.dataCentre, Service: r.service, Address: r.address, SideAddress: r.sideAddress,
 		BootID: r.bootID, Model: r.model, WeightVersion: r.version, Role: r.role, State: r.state,
 		Load: r.load, LoadKnown: r.loadKnown, InSubset: r.inSubset,
-		Probe: r.outlier.probation, Failures: r.outlier.failures, Heard: -1,
+		Probe: r.outlier.probation, Failures: r.outlier.failures, SinceLastSeen: -1,
 	}
 
 	if r.reportedDraining || r.listLeaving || r.operatorDrained {
@@ -372,10 +372,10 @@
 	}
 
 	if !r.lastSeen.IsZero() {
-		c.Heard = now.Sub(r.lastSeen)
+		c.SinceLastSeen = now.Sub(r.lastSeen)
 	}
 
-	c.Ahead, c.AheadTokens = r.sent.total()
+	c.SentRequests, c.SentTokens = r.sent.total()
 
 	return c
 }
--- a/target/table_test.go
+++ b/target/table_test.go
@@ -24,7 +24,7 @@
 	t.ObserveList(epoch, list(vms...))
 
 	for _, vm := range vms {
-		t.ObserveHello(epoch, Hello{VM: vm, BootID: "1", Sequence: 1, State: Ready})
+		t.ObserveState(epoch, StateReport{VM: vm, BootID: "1", Sequence: 1, State: Ready})
 	}
 
 	return t
@@ -44,16 +44,16 @@
 // draining at once, while the list shows the VM as live for a while longer.
 func TestLaggingListDoesNotBringBackALeavingTarget(t *testing.T) {
 	tab := newTable("a", "b")
-	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Sequence: 5, State: Draining})
-	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Sequence: 4, State: Ready})
+	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "1", Sequence: 5, State: Draining})
+	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "1", Sequence: 4, State: Ready})
 	tab.ObserveList(epoch.Add(time.Second), list("a", "b"))
 
 	if isCandidate(tab, epoch.Add(time.Second), "a") {
 		t.Error("a: got offered after it reported draining")
 	}
 
-	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "2", Sequence: 1, State: Ready})
-	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "1", Sequence: 9, State: Draining})
+	tab.ObserveState(epoch.Add(time.Minute), StateReport{VM: "a", BootID: "2", Sequence: 1, State: Ready})
+	tab.ObserveState(epoch.Add(time.Minute), StateReport{VM: "a", BootID: "1", Sequence: 9, State: Draining})
 
 	if !isCandidate(tab, epoch.Add(time.Minute), "a") {
 		t.Error("a: got no offer after a report of a new boot that it is ready")
@@ -64,8 +64,8 @@
 // arrives late. Found by TestWordsAgainstTruth with seed 12414.
 func TestLateHelloOfAnEarlierBootDoesNotBringBackALeavingTarget(t *testing.T) {
 	tab := newTable("b")
-	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "2", Started: epoch, Sequence: 1, State: Draining, Service: service})
-	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Started: epoch.Add(-time.Hour), Sequence: 7, State: Ready, Service: service})
+	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "2", Started: epoch, Sequence: 1, State: Draining, Service: service})
+	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "1", Started: epoch.Add(-time.Hour), Sequence: 7, State: Ready, Service: service})
 
 	if isCandidate(tab, epoch, "a") {
 		t.Error("a: got offered after its newest boot reported draining")
@@ -76,10 +76,10 @@
 // behind. It must get work once no report of the old VM can be in flight.
 func TestReplacedTargetWithASlowClockGetsWork(t *testing.T) {
 	tab := newTable("b")
-	tab.ObserveHello(epoch, Hello{VM: "a", BootID: "1", Started: epoch, Sequence: 1, State: Draining, Service: service})
+	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "1", Started: epoch, Sequence: 1, State: Draining, Service: service})
 
 	later := epoch.Add(time.Minute)
-	tab.ObserveHello(later, Hello{VM: "a", BootID: "2", Started: epoch.Add(-time.Hour), Sequence: 1, State: Ready, Service: service})
+	tab.ObserveState(later, StateReport{VM: "a", BootID: "2", Started: epoch.Add(-time.Hour), Sequence: 1, State: Ready, Service: service})
 
 	if !isCandidate(tab, later, "a") {
 		t.Error("a: got no offer, want one for the new boot")
@@ -114,7 +114,7 @@
 	tab := newTable("a", "b", "c")
 	tab.ObserveList(epoch.Add(time.Minute), list("b", "c"))
 	tab.ObserveList(epoch.Add(time.Hour), list("b", "c"))
-	tab.ObserveHello(epoch.Add(time.Hour), Hello{VM: "a", BootID: "1", Sequence: 2, State: Ready, Service: service})
+	tab.ObserveState(epoch.Add(time.Hour), StateReport{VM: "a", BootID: "1", Sequence: 2, State: Ready, Service: service})
 
 	if isCandidate(tab, epoch.Add(time.Hour), "a") {
 		t.Error("a: got offered though the list dropped it")
@@ -177,13 +177,13 @@
 func TestRefusalOutlivesTheFirstHelloOfItsBoot(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.Done(epoch, tab.Sent(epoch, "a", 1), RefusedDraining)
-	tab.ObserveHello(epoch.Add(time.Second), Hello{VM: "a", BootID: "2", Sequence: 1, State: Ready})
+	tab.ObserveState(epoch.Add(time.Second), StateReport{VM: "a", BootID: "2", Sequence: 1, State: Ready})
 
 	if isCandidate(tab, epoch.Add(time.Second), "a") {
 		t.Error("a: got offered after its refusal")
 	}
 
-	tab.ObserveHello(epoch.Add(time.Minute), Hello{VM: "a", BootID: "2", Sequence: 2, State: Ready})
+	tab.ObserveState(epoch.Add(time.Minute), StateReport{VM: "a", BootID: "2", Sequence: 2, State: Ready})
 
 	if !isCandidate(tab, epoch.Add(time.Minute), "a") {
 		t.Error("a: got no offer a minute after its refusal, want one")
@@ -226,7 +226,7 @@
 
 func TestSubsetPrefersTheOwnDataCentreThenTheRegion(t *testing.T) {
 	tab := NewTable(TableConfig{
-		Self: "entry-1", DataCentre: "yvr-east", Subset: 4,
+		Self: "entry-1", DataCentre: "yvr-east", SubsetSize: 4,
 		Regions: map[string]string{"yvr-east": "bc", "yvr-west": "bc", "medeu-hall": "almaty"},
 	})
 
@@ -254,7 +254,7 @@
 	later := epoch.Add(time.Minute)
 
 	for _, vm := range []string{"b", "c"} {
-		tab.ObserveHello(later, Hello{VM: vm, BootID: "1", Sequence: 2, State: Ready})
+		tab.ObserveState(later, StateReport{VM: vm, BootID: "1", Sequence: 2, State: Ready})
 	}
 
 	if isCandidate(tab, later, "a") {
@@ -262,7 +262,7 @@
 	}
 
 	for _, c := range tab.Candidates(later.Add(time.Minute), service) {
-		if !c.Doubted {
+		if !c.Suspected {
 			t.Errorf("%s: got offered without suspicion, want doubted: none reports", c.VM)
 		}
 	}
@@ -281,11 +281,11 @@
 		vms = append(vms, fmt.Sprintf("engine-%03d", i))
 	}
 
-	tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", Subset: 200, Known: 200})
+	tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", SubsetSize: 200, MaxSubsetTotal: 200})
 	tab.ObserveList(epoch, list(vms...))
 
 	for _, vm := range vms {
-		tab.ObserveHello(epoch, Hello{VM: vm, BootID: "1", Sequence: 1, State: Ready})
+		tab.ObserveState(epoch, StateReport{VM: vm, BootID: "1", Sequence: 1, State: Ready})
 	}
 
 	for _, c := range []struct {
@@ -293,8 +293,8 @@
 		want  bool
 	}{{2 * time.Minute, false}, {4 * time.Minute, true}} {
 		got, _ := tab.Target(epoch.Add(c.after), "engine-000")
-		if got.Doubted != c.want {
-			t.Errorf("after %v: got doubted %v, want %v", c.after, got.Doubted, c.want)
+		if got.Suspected != c.want {
+			t.Errorf("after %v: got doubted %v, want %v", c.after, got.Suspected, c.want)
 		}
 	}
 }
@@ -303,7 +303,7 @@
 // take so long that responsive targets are suspected.
 func TestNextToAskIsTheOneHeardLongestAgo(t *testing.T) {
 	tab := newTable("a", "b", "c")
-	tab.ObserveHello(epoch.Add(time.Second), Hello{VM: "a", BootID: "1", Sequence: 2, State: Ready})
+	tab.ObserveState(epoch.Add(time.Second), StateReport{VM: "a", BootID: "1", Sequence: 2, State: Ready})
 	tab.ObserveLoad(epoch.Add(2*time.Second), "b", Load{Running: 1})
 
 	steps := []struct {
@@ -315,7 +315,7 @@
 	}
 
 	for _, s := range steps {
-		got, _ := tab.NextToAsk(epoch.Add(s.at), 5*time.Second)
+		got, _ := tab.NextToPoll(epoch.Add(s.at), 5*time.Second)
 		if got.VM != s.want {
 			t.Errorf("after %v: got %q, want %q", s.at, got.VM, s.want)
 		}
--- a/target/target.go
+++ b/target/target.go
@@ -136,8 +136,8 @@
 	Age time.Duration
 }
 
-// Hello is a state report: the state of a target, reported directly by its side process.
-type Hello struct {
+// StateReport is a state report: the state of a target, reported directly by its side process.
+type StateReport struct {
 	// VM is the target's VM name.
 	VM string
 	// BootID is new for each start of the target.
@@ -174,24 +174,24 @@
 	Load Load
 	// LoadKnown says that a load was reported.
 	LoadKnown bool
-	// Ahead is the number of requests that this entry sent after Load was measured and that
-	// have not ended, AheadTokens the sum of their prompt tokens.
-	Ahead, AheadTokens int
+	// SentRequests is the number of requests that this entry sent after Load was measured and that
+	// have not ended, SentTokens the sum of their prompt tokens.
+	SentRequests, SentTokens int
 	// InSubset says that the target is in this entry's subset, with a connection kept open.
 	InSubset bool
 	// Probe says that the target was ejected and is being probed with one request at a time.
 	Probe bool
-	// Doubted says that the target is suspected; it is then a candidate only because too
+	// Suspected says that the target is suspected; it is then a candidate only because too
 	// few others are left.
-	Doubted bool
+	Suspected bool
 	// Failures is the number of consecutive failures.
 	Failures int
-	// Heard is the time since its side process was last seen; negative when it never was.
-	Heard time.Duration
+	// SinceLastSeen is the time since its side process was last seen; negative when it never was.
+	SinceLastSeen time.Duration
 }
 
-// Sending is a request in flight to a target, from Table.Sent to Table.Done.
-type Sending struct {
+// Attempt is a request in flight to a target, from Table.Sent to Table.Done.
+type Attempt struct {
 	vm     string
 	at     time.Time
 	tokens int
@@ -199,7 +199,7 @@
 }
 
 // VM returns the target's VM name.
-func (s Sending) VM() string { return s.vm }
+func (s Attempt) VM() string { return s.vm }
 
 // Reason is the reason for a change of a target's state.
 type Reason uint8
--- a/target/truth_test.go
+++ b/target/truth_test.go
@@ -27,14 +27,14 @@
 	sequence        map[string]uint64    // of the current boot
 	newestSeq       map[string]uint64    // newest that reached the entry, of reportedBoot
 	listRejected    map[string]bool      // the last list lacked too many that report ready
-	inFlight        map[string][]Sending // requests in flight
+	inFlight        map[string][]Attempt // requests in flight
 	refusal         map[string]refusal   // the last refusal
 }
 
 // pendingReport is a state report in flight. Streams have deadlines, so it arrives within
 // 20 s or never.
 type pendingReport struct {
-	Hello
+	StateReport
 	at time.Time
 }
 
@@ -43,7 +43,7 @@
 		boot: map[string]int{}, draining: map[string]bool{}, listState: map[string]string{}, reportedBoot: map[string]int{},
 		reportedDrain: map[string]bool{}, reportedLoading: map[string]time.Time{}, listed: map[string]string{}, everSeen: map[string]bool{},
 		lastSeen: map[string]time.Time{}, sequence: map[string]uint64{}, newestSeq: map[string]uint64{}, listRejected: map[string]bool{},
-		inFlight: map[string][]Sending{}, refusal: map[string]refusal{},
+		inFlight: map[string][]Attempt{}, refusal: map[string]refusal{},
 	}
 
 	for i := range n {
@@ -85,7 +85,7 @@
 	at   time.Time
 }
 
-func (w *oracle) applyHello(now time.Time, h Hello) {
+func (w *oracle) applyHello(now time.Time, h StateReport) {
 	var boot int
 	_, _ = fmt.Sscan(h.BootID, &boot)
 
@@ -125,7 +125,7 @@
 func TestWordsAgainstTruth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newOracle(rapid.IntRange(1, 8).Draw(rt, "targets"))
-		tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", Subset: 4})
+		tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", SubsetSize: 4})
 		now := epoch
 		vm := func() string { return rapid.SampledFrom(w.vms).Draw(rt, "vm") }
 
@@ -149,7 +149,7 @@
 			"hello": func(rt *rapid.T) {
 				v := vm()
 				w.sequence[v]++
-				h := Hello{VM: v, BootID: fmt.Sprint(w.boot[v]), Sequence: w.sequence[v], State: Ready, Service: service, DataCentre: "yvr-east"}
+				h := StateReport{VM: v, BootID: fmt.Sprint(w.boot[v]), Sequence: w.sequence[v], State: Ready, Service: service, DataCentre: "yvr-east"}
 
 				switch {
 				case w.draining[v]:
@@ -177,8 +177,8 @@
 					return
 				}
 
-				w.applyHello(now, h.Hello)
-				tab.ObserveHello(now, h.Hello)
+				w.applyHello(now, h.StateReport)
+				tab.ObserveState(now, h.StateReport)
 			},
 			"snapshot": func(*rapid.T) {
 				s := map[string]string{}
