--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -84,8 +84,8 @@
 	})
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
-		Holder: cfg.VM, Turn: loader.TurnConfig{Within: cfg.Bounds.Version}, Engine: platformClient, Entries: e, Fleet: e.roster,
-		Ring: members, News: operators.Fresh, Log: log,
+		Holder: cfg.VM, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.Version}, Engine: platformClient, Entries: e, Fleet: e.roster,
+		Ring: members, VersionsSyncedAt: operators.Fresh, Log: log,
 	})
 
 	meter := metrics.New(e.registry, metrics.Gauges{
@@ -126,7 +126,7 @@
 		Named: func(now time.Time, v platform.WeightVersion) {
 			before := operators.Before()
 			e.gateway.VersionNamed(now, v.Model, v.Version, before)
-			e.standby.Name(loader.Named{Model: v.Model, Version: v.Version, Before: before.IsZero()})
+			e.standby.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: before.IsZero()})
 			e.watcher.SetNewestVersion(now, v.Model, v.Version, v.Offset)
 		},
 		Evacuated:  e.roster.Evacuate,
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -39,7 +39,7 @@
 	client := exchange.NewClient(exchange.NewMembers("", cfg.Seeds))
 
 	l := loader.New(loader.Config{
-		Address: cfg.Engine, Holder: cfg.VM, Engine: platformClient, Turn: loader.TurnConfig{Within: cfg.Bounds.Version},
+		Address: cfg.Engine, Holder: cfg.VM, Engine: platformClient, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.Version},
 		Register: platform.Siblings{Log: source, Service: cfg.Service}, Entries: client, Log: log,
 	})
 
@@ -62,7 +62,7 @@
 			guard.AssumeCold(now)
 		},
 		Named: func(_ time.Time, v platform.WeightVersion) {
-			l.Name(loader.Named{Model: v.Model, Version: v.Version, Before: operators.Before().IsZero()})
+			l.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: operators.Before().IsZero()})
 		},
 		Log: log,
 	}
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -294,7 +294,7 @@
 		return
 	}
 
-	l.inventory.Hear(time.Now(), weights.Report{
+	l.inventory.RecordReport(time.Now(), weights.Report{
 		VM:            m.Name,
 		DataCentre:    m.DataCentre,
 		Model:         s.Model,
@@ -342,7 +342,7 @@
 
 	event.Log(l.cfg.Log, event.WeightsOrdered, "vm", o.VM, "kind", string(o.Kind), "model", o.Model, "weight_version", o.Version,
 		"adapter", o.Adapter, "role", o.Role, "fence", o.Fence, "number", o.Number)
-	l.inventory.Ordered(now, o)
+	l.inventory.RecordOrder(now, o)
 
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -359,7 +359,7 @@
 		_, err = message.Expect[message.Ack](response)
 	}
 
-	l.inventory.Answered(time.Now(), o, err)
+	l.inventory.RecordReply(time.Now(), o, err)
 
 	if err != nil {
 		event.Fail(l.cfg.Log, err, event.WeightsRefused, "vm", o.VM, "kind", string(o.Kind))
@@ -369,7 +369,7 @@
 func (l *Leader) planConfig(t *setting.Tree) weights.Config {
 	d, _ := t.DataCentre(l.cfg.DataCentre)
 
-	return weights.Config{Loads: d.ConcurrentLoads}
+	return weights.Config{MaxLoads: d.ConcurrentLoads}
 }
 
 // unavailableDivisor limits how many engines of a service a rollout may take out of
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -260,7 +260,7 @@
 // failedExchange returns the outcome of an exchange that failed before its response was complete.
 func (t *task) failedExchange(ctx context.Context, c choice, err error) outcome {
 	o := outcome{kind: failure.TargetLost, cause: err, targetOutcome: target.Failed}
-	o.mayHaveRun = upstream.ReachedOf(err) == upstream.MaybeSent
+	o.mayHaveRun = upstream.DeliveryOf(err) == upstream.MaybeSent
 
 	why := context.Cause(ctx)
 
--- a/loader/bringer.go
+++ b/loader/bringer.go
@@ -40,7 +40,7 @@
 
 // reload announces the load to the entries, so that they send their requests to other
 // engines, and then orders it.
-func (r *reloader) reload(ctx context.Context, self string, n Named) {
+func (r *reloader) reload(ctx context.Context, self string, n DesiredVersion) {
 	r.entries.Tell(ctx, r.address, n.Model, n.Version, false)
 
 	if pause.For(ctx, announceLead) {
@@ -57,7 +57,7 @@
 }
 
 // orderAndWait orders the version and waits until the engine has it, at most loadTimeout.
-func (r *reloader) orderAndWait(ctx context.Context, self string, n Named) {
+func (r *reloader) orderAndWait(ctx context.Context, self string, n DesiredVersion) {
 	started := time.Now()
 
 	var (
@@ -69,9 +69,9 @@
 		s, ok := r.queryState(ctx)
 		now := time.Now()
 
-		if ok && s.Born > startTime {
+		if ok && s.StartTime > startTime {
 			// The engine restarted and no longer knows the orders given before.
-			startTime, orderedAt = s.Born, time.Time{}
+			startTime, orderedAt = s.StartTime, time.Time{}
 		}
 
 		switch {
@@ -115,17 +115,17 @@
 	return r.orderUntil.IsZero() || now.Before(r.orderUntil)
 }
 
-func (r *reloader) order(ctx context.Context, self string, n Named, s State) Reply {
+func (r *reloader) order(ctx context.Context, self string, n DesiredVersion, s State) Reply {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	fence := r.fence(n.Version)
 
 	reply, err := r.engine.Order(c, r.address, Order{
-		Target: self, Model: n.Model, Version: n.Version, Holder: r.holder, Fence: fence, Expected: s.Orders,
+		Target: self, Model: n.Model, Version: n.Version, Holder: r.holder, Fence: fence, ExpectedOrders: s.AcceptedOrders,
 	})
 
-	fields := []any{"model", n.Model, "version", n.Version, "fence", fence, "expected", s.Orders, "status", reply.String(), "running", s.Running, "waiting", s.Waiting}
+	fields := []any{"model", n.Model, "version", n.Version, "fence", fence, "expected", s.AcceptedOrders, "status", reply.String(), "running", s.Running, "waiting", s.Waiting}
 	if err != nil {
 		event.Fail(r.log, err, event.VersionOrdered, fields...)
 
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -33,13 +33,13 @@
 	Versions map[string]int64
 	// Busy is set while the engine carries out an order.
 	Busy bool
-	// Orders is the number of orders accepted since the engine's start.
-	Orders int64
+	// AcceptedOrders is the number of orders accepted since the engine's start.
+	AcceptedOrders int64
 	// Running and Waiting are the numbers of running and queued requests.
 	Running, Waiting int
-	// Born is the start time in milliseconds of the engine's clock; zero when the
+	// StartTime is the start time in milliseconds of the engine's clock; zero when the
 	// engine doesn't report it.
-	Born int64
+	StartTime int64
 }
 
 // Order is an order to load a weight version.
@@ -55,8 +55,8 @@
 	// Fence is the fencing number; an engine that checks it rejects an order below
 	// the highest number seen.
 	Fence int64
-	// Expected is the number of orders that the engine must have accepted before.
-	Expected int64
+	// ExpectedOrders is the number of orders that the engine must have accepted before.
+	ExpectedOrders int64
 }
 
 // Reply is an engine's reply to an order.
@@ -69,8 +69,8 @@
 	NoReply Reply = iota
 	// Accepted means that the order is being carried out.
 	Accepted
-	// Holds means that the version is already loaded.
-	Holds
+	// AlreadyLoaded means that the version is already loaded.
+	AlreadyLoaded
 	// Busy means that another order is being carried out, or that the number of
 	// accepted orders isn't the expected one.
 	Busy
@@ -114,8 +114,8 @@
 	Address string
 	// Holder is the VM of this process.
 	Holder string
-	// Turn configures the rollout slots.
-	Turn TurnConfig
+	// Rollout configures the rollout slots.
+	Rollout RolloutConfig
 	// Engine, Register and Entries are the interfaces to the other processes.
 	Engine   Engine
 	Register Register
@@ -139,29 +139,29 @@
 // under way; beyond it Name blocks.
 const updateQueueSize = 64
 
-// Named is a weight version that operators published.
-type Named struct {
+// DesiredVersion is a weight version that operators published.
+type DesiredVersion struct {
 	// Model is the name of the model.
 	Model string
 	// Version is the weight version; versions of a model only rise.
 	Version int64
-	// Before is set if the version was published before this process started, at
+	// PublishedBeforeStart is set if the version was published before this process started, at
 	// an unknown time.
-	Before bool
+	PublishedBeforeStart bool
 }
 
 // Loader loads published versions into one engine. Use New.
 type Loader struct {
 	cfg          Config
-	desired      map[string]Named
-	updates      chan Named
+	desired      map[string]DesiredVersion
+	updates      chan DesiredVersion
 	unresponsive bool
 	slotStart    atomic.Pointer[time.Time] // start of the engine's rollout slot; nil for none
 }
 
 // New returns a Loader; Run starts it.
 func New(cfg Config) *Loader {
-	return &Loader{cfg: cfg, desired: make(map[string]Named), updates: make(chan Named, updateQueueSize)}
+	return &Loader{cfg: cfg, desired: make(map[string]DesiredVersion), updates: make(chan DesiredVersion, updateQueueSize)}
 }
 
 // LoadIn returns the time until the engine is ordered to load a version, zero while it
@@ -175,8 +175,8 @@
 	return max(at.Sub(now), 0), true
 }
 
-// Name queues a version that operators published for loading.
-func (l *Loader) Name(n Named) { l.updates <- n }
+// SetDesired queues a version that operators published for loading.
+func (l *Loader) SetDesired(n DesiredVersion) { l.updates <- n }
 
 // Run loads queued versions until ctx ends.
 func (l *Loader) Run(ctx context.Context) {
@@ -218,7 +218,7 @@
 	}
 }
 
-func (l *Loader) raiseDesired(n Named) {
+func (l *Loader) raiseDesired(n DesiredVersion) {
 	if n.Version > l.desired[n.Model].Version {
 		l.desired[n.Model] = n
 	}
@@ -244,7 +244,7 @@
 }
 
 // reload waits for the engine's rollout slot and loads the newest published version.
-func (l *Loader) reload(ctx context.Context, n Named) {
+func (l *Loader) reload(ctx context.Context, n DesiredVersion) {
 	c, cancel := context.WithTimeout(ctx, registerTimeout)
 	self, siblings, err := l.cfg.Register.Siblings(c, l.cfg.Address, n.Model)
 
@@ -254,8 +254,8 @@
 		event.Fail(l.cfg.Log, err, event.TurnPlanned, "model", n.Model, "version", n.Version, "rank", 0, "of", 0, "wait_ms", 0)
 	}
 
-	cfg := l.cfg.Turn
-	if n.Before {
+	cfg := l.cfg.Rollout
+	if n.PublishedBeforeStart {
 		cfg = cfg.expedited()
 	}
 
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -37,7 +37,7 @@
 		last := time.Duration(0)
 
 		for _, s := range all {
-			slot := AssignSlot(TurnConfig{}, s.ID, 2, all)
+			slot := AssignSlot(RolloutConfig{}, s.ID, 2, all)
 			loadsAt[slot.Wait]++
 			last = max(last, slot.Wait)
 		}
@@ -58,8 +58,8 @@
 	all := siblings(12, 2)
 	all[3].Version, all[7].Version = 1, 1
 
-	slot := AssignSlot(TurnConfig{}, all[3].ID, 2, all)
-	if slot.Of != 2 || slot.Wait != AssignSlot(TurnConfig{}, all[7].ID, 2, all).Wait {
+	slot := AssignSlot(RolloutConfig{}, all[3].ID, 2, all)
+	if slot.Of != 2 || slot.Wait != AssignSlot(RolloutConfig{}, all[7].ID, 2, all).Wait {
 		t.Errorf("got %+v, want both engines in the same slot", slot)
 	}
 }
@@ -86,7 +86,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return State{Versions: map[string]int64{"m": e.version}, Busy: e.busy, Orders: e.orders, Born: e.startTime}, nil
+	return State{Versions: map[string]int64{"m": e.version}, Busy: e.busy, AcceptedOrders: e.orders, StartTime: e.startTime}, nil
 }
 
 func (e *fakeEngine) Order(ctx context.Context, _ string, o Order) (Reply, error) {
@@ -125,7 +125,7 @@
 // accept carries out an order if the engine is idle and the number of accepted orders is
 // the expected one. The caller holds mu.
 func (e *fakeEngine) accept(o Order) Reply {
-	if e.busy || o.Expected != e.orders {
+	if e.busy || o.ExpectedOrders != e.orders {
 		return Busy
 	}
 
@@ -193,7 +193,7 @@
 		wg.Go(func() { l.Run(ctx) })
 
 		for at, v := range versions {
-			time.AfterFunc(at, func() { l.Name(Named{Model: "m", Version: v}) })
+			time.AfterFunc(at, func() { l.SetDesired(DesiredVersion{Model: "m", Version: v}) })
 		}
 
 		for _, f := range crash {
@@ -217,7 +217,7 @@
 		t.Fatalf("got version %d after %d orders, want 2 after 1", engine.version, len(engine.accepted))
 	}
 
-	if o := engine.accepted[0]; o.Holder != "vm-1" || o.Fence != 2*fenceWindows*fenceRanks || o.Expected != 0 || o.Target != "engine-0" {
+	if o := engine.accepted[0]; o.Holder != "vm-1" || o.Fence != 2*fenceWindows*fenceRanks || o.ExpectedOrders != 0 || o.Target != "engine-0" {
 		t.Errorf("got order %+v, want holder vm-1, target engine-0, no orders expected and the fence of version 2", o)
 	}
 
@@ -260,7 +260,7 @@
 
 	runLoader(t, engine, 3900*time.Millisecond, map[time.Duration]int64{time.Second: 2}, crash)
 
-	if engine.version != 2 || len(engine.accepted) != 2 || engine.accepted[1].Expected != 0 {
+	if engine.version != 2 || len(engine.accepted) != 2 || engine.accepted[1].ExpectedOrders != 0 {
 		t.Errorf("got version %d after %+v, want 2 after a second order that expects no earlier ones", engine.version, engine.accepted)
 	}
 }
@@ -283,7 +283,7 @@
 	last := time.Duration(0)
 
 	for _, s := range all {
-		last = max(last, AssignSlot(TurnConfig{Within: 10 * time.Second}.expedited(), s.ID, 2, all).Wait)
+		last = max(last, AssignSlot(RolloutConfig{MaxDuration: 10 * time.Second}.expedited(), s.ID, 2, all).Wait)
 	}
 
 	if want := expeditedDuration - expectedLoadTime + time.Millisecond; last > want {
--- a/loader/standby.go
+++ b/loader/standby.go
@@ -40,16 +40,16 @@
 type StandbyConfig struct {
 	// Holder is the VM of this process.
 	Holder string
-	// Turn configures the rollout slots; it must equal that of the loaders.
-	Turn TurnConfig
+	// Rollout configures the rollout slots; it must equal that of the loaders.
+	Rollout RolloutConfig
 	// Engine, Entries, Fleet and Ring are the interfaces to the other processes.
 	Engine  Engine
 	Entries Entries
 	Fleet   Fleet
 	Ring    Ring
-	// News returns the latest time at which this process certainly knew the newest
+	// VersionsSyncedAt returns the latest time at which this process certainly knew the newest
 	// version.
-	News func() time.Time
+	VersionsSyncedAt func() time.Time
 	// Log receives an event for each step.
 	Log logr.Logger
 }
@@ -76,7 +76,7 @@
 // Standby orders engines that have no loader. Use NewStandby.
 type Standby struct {
 	cfg     StandbyConfig
-	updates chan Named
+	updates chan DesiredVersion
 
 	mu         sync.Mutex
 	rollouts   map[string]*rollout // by model
@@ -85,7 +85,7 @@
 
 // rollout is the schedule by which the engines load a version of a model.
 type rollout struct {
-	desired    Named
+	desired    DesiredVersion
 	learnedAt  time.Time            // when this process learnt of the version
 	slotStarts map[string]time.Time // by engine
 }
@@ -93,12 +93,12 @@
 // NewStandby returns a Standby; Run starts it.
 func NewStandby(cfg StandbyConfig) *Standby {
 	return &Standby{
-		cfg: cfg, updates: make(chan Named, updateQueueSize), rollouts: make(map[string]*rollout), inProgress: make(map[string]struct{}),
+		cfg: cfg, updates: make(chan DesiredVersion, updateQueueSize), rollouts: make(map[string]*rollout), inProgress: make(map[string]struct{}),
 	}
 }
 
-// Name queues a version that operators published.
-func (s *Standby) Name(n Named) { s.updates <- n }
+// SetDesired queues a version that operators published.
+func (s *Standby) SetDesired(n DesiredVersion) { s.updates <- n }
 
 // Run orders due engines until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
@@ -128,7 +128,7 @@
 
 // planRollout starts the rollout of a version, unless one of it or of a newer version
 // has started.
-func (s *Standby) planRollout(now time.Time, n Named) {
+func (s *Standby) planRollout(now time.Time, n DesiredVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -157,7 +157,7 @@
 // job is an engine that is due to load a version.
 type job struct {
 	engine     roster.Holding
-	desired    Named
+	desired    DesiredVersion
 	window     int
 	rank       int       // of this process among the entries, for this engine
 	orderUntil time.Time // end of the window
@@ -167,7 +167,7 @@
 // progress.
 func (s *Standby) due(now time.Time) []job {
 	// With stale versions this process might order an older version after a newer one.
-	if now.Sub(s.cfg.News()) > maxVersionsAge {
+	if now.Sub(s.cfg.VersionsSyncedAt()) > maxVersionsAge {
 		return nil
 	}
 
@@ -178,7 +178,7 @@
 
 	for model, r := range s.rollouts {
 		engines := s.cfg.Fleet.Holdings(now, model)
-		r.schedule(now, s.cfg.Turn, engines)
+		r.schedule(now, s.cfg.Rollout, engines)
 
 		for _, e := range engines {
 			if _, busy := s.inProgress[e.ID]; busy || !e.NoSideProcess || e.Loading || e.Version >= r.desired.Version {
@@ -203,10 +203,10 @@
 // schedule assigns slots to engines without a loader that have none yet. The engines that
 // are known when the version is published get the slots that loaders compute for theirs;
 // those seen later get expedited slots.
-func (r *rollout) schedule(now time.Time, cfg TurnConfig, engines []roster.Holding) {
+func (r *rollout) schedule(now time.Time, cfg RolloutConfig, engines []roster.Holding) {
 	from := r.learnedAt
 
-	if r.desired.Before || len(r.slotStarts) > 0 {
+	if r.desired.PublishedBeforeStart || len(r.slotStarts) > 0 {
 		cfg, from = cfg.expedited(), now
 	}
 
--- a/loader/standby_test.go
+++ b/loader/standby_test.go
@@ -133,7 +133,7 @@
 // startStandby starts the Standby of an entry; it runs until ctx ends.
 func (f *fakeFleet) startStandby(ctx context.Context, p fixedRank) *Standby {
 	s := NewStandby(StandbyConfig{
-		Holder: fmt.Sprintf("entry-%d", p), Engine: f, Entries: &fakeEntries{}, Fleet: f, Ring: p, News: func() time.Time { return f.versionsSyncedAt(p) }, Log: logr.Discard(),
+		Holder: fmt.Sprintf("entry-%d", p), Engine: f, Entries: &fakeEntries{}, Fleet: f, Ring: p, VersionsSyncedAt: func() time.Time { return f.versionsSyncedAt(p) }, Log: logr.Discard(),
 	})
 
 	go s.Run(ctx)
@@ -149,7 +149,7 @@
 
 	runFleet(t, engines, func(ctx context.Context, f *fakeFleet) {
 		for p := range 3 {
-			f.startStandby(ctx, fixedRank(p)).Name(Named{Model: "m", Version: 2})
+			f.startStandby(ctx, fixedRank(p)).SetDesired(DesiredVersion{Model: "m", Version: 2})
 		}
 
 		time.Sleep(8 * time.Second)
@@ -175,8 +175,8 @@
 
 		s := f.startStandby(ctx, 0)
 
-		l.Name(Named{Model: "m", Version: 2})
-		s.Name(Named{Model: "m", Version: 2})
+		l.SetDesired(DesiredVersion{Model: "m", Version: 2})
+		s.SetDesired(DesiredVersion{Model: "m", Version: 2})
 		time.Sleep(10 * time.Second)
 
 		if accepted := f.engines["engine-0"].acceptedHolders(); len(accepted) != 1 || accepted[0] != "vm" {
@@ -189,7 +189,7 @@
 // entry must order the engine in its own window.
 func TestNextEntryFollows(t *testing.T) {
 	runFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
-		f.startStandby(ctx, 1).Name(Named{Model: "m", Version: 2})
+		f.startStandby(ctx, 1).SetDesired(DesiredVersion{Model: "m", Version: 2})
 		time.Sleep(windowInterval + 3*time.Second)
 
 		if got := f.engines["engine-0"].loadedVersion(); got != 2 {
@@ -204,7 +204,7 @@
 	runFleet(t, 2, func(ctx context.Context, f *fakeFleet) {
 		f.unlisted["engine-1"] = true
 
-		f.startStandby(ctx, 0).Name(Named{Model: "m", Version: 2, Before: true})
+		f.startStandby(ctx, 0).SetDesired(DesiredVersion{Model: "m", Version: 2, PublishedBeforeStart: true})
 		time.Sleep(3 * time.Second)
 
 		f.mu.Lock()
--- a/loader/stateful_test.go
+++ b/loader/stateful_test.go
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	f := newFakeFleet(len(s.engines))
 
-	var receivers []func(Named)
+	var receivers []func(DesiredVersion)
 
 	for i, x := range s.engines {
 		id := fmt.Sprintf("engine-%d", i)
@@ -97,14 +97,14 @@
 			l := New(Config{Address: id, Holder: "vm " + id, Engine: f, Register: engineRegister{f, id}, Entries: &fakeEntries{}, Log: logr.Discard()})
 			go l.Run(ctx)
 
-			receivers = append(receivers, l.Name)
+			receivers = append(receivers, l.SetDesired)
 		}
 	}
 
 	loaders := len(receivers)
 
 	for p := range s.entries {
-		receivers = append(receivers, f.startStandby(ctx, fixedRank(s.entries-1-p)).Name)
+		receivers = append(receivers, f.startStandby(ctx, fixedRank(s.entries-1-p)).SetDesired)
 	}
 
 	for v, n := range s.publications {
@@ -115,7 +115,7 @@
 			}
 
 			if receives {
-				publish(Named{Model: "m", Version: int64(v + 2), Before: n.beforeStart})
+				publish(DesiredVersion{Model: "m", Version: int64(v + 2), PublishedBeforeStart: n.beforeStart})
 			}
 		}
 
--- a/loader/turn.go
+++ b/loader/turn.go
@@ -15,8 +15,8 @@
 	Version int64
 }
 
-// TurnConfig configures the rollout slots. Zero values get a default.
-type TurnConfig struct {
+// RolloutConfig configures the rollout slots. Zero values get a default.
+type RolloutConfig struct {
 	// MaxLoadingShare is the share of the engines that load at once: 0.2 when zero.
 	// More concurrent loads would slow each other down and leave too few engines
 	// serving.
@@ -29,15 +29,15 @@
 	// when zero. Every context has to be prefilled again for new weights; at shorter
 	// intervals the engines can't keep up with that work.
 	MaxInterval time.Duration
-	// Within is the time within which all engines must have the version: 8 s when zero.
-	Within time.Duration
+	// MaxDuration is the time within which all engines must have the version: 8 s when zero.
+	MaxDuration time.Duration
 }
 
 // expectedLoadTime is the usual upper bound of a load's duration, including the requests
 // that run to their end before it.
 const expectedLoadTime = 1500 * time.Millisecond
 
-func (c TurnConfig) withDefaults() TurnConfig {
+func (c RolloutConfig) withDefaults() RolloutConfig {
 	if c.MaxLoadingShare <= 0 {
 		c.MaxLoadingShare = 0.2
 	}
@@ -50,8 +50,8 @@
 		c.MaxInterval = 1100 * time.Millisecond
 	}
 
-	if c.Within <= 0 {
-		c.Within = 8 * time.Second
+	if c.MaxDuration <= 0 {
+		c.MaxDuration = 8 * time.Second
 	}
 
 	return c
@@ -63,20 +63,20 @@
 
 // expedited returns the configuration for a version that was published at an unknown
 // time: the slots start at once and follow each other quickly.
-func (c TurnConfig) expedited() TurnConfig {
+func (c RolloutConfig) expedited() RolloutConfig {
 	c.InitialDelay = time.Millisecond
-	c.Within = expeditedDuration
+	c.MaxDuration = expeditedDuration
 
 	return c
 }
 
 // interval returns the time from the start of one slot to the next.
-func (c TurnConfig) interval(slots int) time.Duration {
+func (c RolloutConfig) interval(slots int) time.Duration {
 	if slots < 2 {
 		return c.MaxInterval
 	}
 
-	return max(min(c.MaxInterval, (c.Within-c.InitialDelay-expectedLoadTime)/time.Duration(slots-1)), 0)
+	return max(min(c.MaxInterval, (c.MaxDuration-c.InitialDelay-expectedLoadTime)/time.Duration(slots-1)), 0)
 }
 
 // RolloutSlot is the time at which an engine loads a version. Several engines share a slot.
@@ -92,7 +92,7 @@
 // isn't among the siblings gets the first slot. Each side process computes it for its
 // own engine from the same list, in an order by hash that mixes data centres, so no
 // leader is needed.
-func AssignSlot(cfg TurnConfig, self string, version int64, siblings []Sibling) RolloutSlot {
+func AssignSlot(cfg RolloutConfig, self string, version int64, siblings []Sibling) RolloutSlot {
 	cfg = cfg.withDefaults()
 
 	var pending []string
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -80,8 +80,8 @@
 	stepBody  = "body"
 )
 
-// ReachedOf returns the Delivery of an Error in err's chain, MaybeSent if there is none.
-func ReachedOf(err error) Delivery {
+// DeliveryOf returns the Delivery of an Error in err's chain, MaybeSent if there is none.
+func DeliveryOf(err error) Delivery {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.delivery
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -154,7 +154,7 @@
 		t.Errorf("got %v, want %v", err, errMismatched)
 	}
 
-	if got := ReachedOf(err); got != MaybeSent {
+	if got := DeliveryOf(err); got != MaybeSent {
 		t.Errorf("got %v, want %v", got, MaybeSent)
 	}
 }
@@ -223,7 +223,7 @@
 	cancel()
 
 	_, err := p.Send(ctx, getRequest(a, "1"))
-	if got := ReachedOf(err); err == nil || got != NotSent {
+	if got := DeliveryOf(err); err == nil || got != NotSent {
 		t.Errorf("got %v %v, want %v", got, err, NotSent)
 	}
 }
--- a/weights/bench_test.go
+++ b/weights/bench_test.go
@@ -19,7 +19,7 @@
 	}
 
 	for i := range engines {
-		inventory.Hear(epoch, Report{
+		inventory.RecordReport(epoch, Report{
 			VM: fmt.Sprintf("engine-%04d", i), DataCentre: fmt.Sprintf("dc-%02d", i%11), Model: fmt.Sprint(i % models),
 			Boot: "1", Sequence: 1, Version: "v1", Fence: 1, StateAge: time.Hour,
 		})
--- a/weights/inventory.go
+++ b/weights/inventory.go
@@ -81,8 +81,8 @@
 	return &Inventory{cfg: cfg, engines: map[string]*engineRecord{}}
 }
 
-// Hear records a report, unless it is stale.
-func (i *Inventory) Hear(now time.Time, r Report) {
+// RecordReport records a report, unless it is stale.
+func (i *Inventory) RecordReport(now time.Time, r Report) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 
@@ -166,10 +166,10 @@
 	}
 }
 
-// Ordered records that an order is being sent. It is unknown whether the order arrives
+// RecordOrder records that an order is being sent. It is unknown whether the order arrives
 // until a report confirms it, so it counts as a load from now on; an announcement of a
 // fence never does.
-func (i *Inventory) Ordered(now time.Time, o Order) {
+func (i *Inventory) RecordOrder(now time.Time, o Order) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 
@@ -181,10 +181,10 @@
 	}
 }
 
-// Answered records the result of sending an order. Only an error which says that the
+// RecordReply records the result of sending an order. Only an error which says that the
 // order has certainly not run releases it; after a lost reply it still counts as a load.
 // An acceptance (nil) changes nothing: the load shows in the next report.
-func (i *Inventory) Answered(_ time.Time, o Order, err error) {
+func (i *Inventory) RecordReply(_ time.Time, o Order, err error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -117,7 +117,7 @@
 func (p *planner) hasCapacity(dataCentre string) bool {
 	limit, ok := p.cfg.MaxLoadsByDataCentre[dataCentre]
 	if !ok {
-		limit = p.cfg.Loads
+		limit = p.cfg.MaxLoads
 	}
 
 	return p.loads[dataCentre] < limit
--- a/weights/plan_test.go
+++ b/weights/plan_test.go
@@ -194,7 +194,7 @@
 	inventory := NewInventory(InventoryConfig{})
 	for _, r := range engines {
 		r.DataCentre, r.Model, r.Version, r.Boot = "yvr-east", "m", "v1", "1"
-		inventory.Hear(epoch, r)
+		inventory.RecordReport(epoch, r)
 	}
 
 	return inventory
@@ -216,7 +216,7 @@
 		t.Errorf("halt: got %v, want %v", got, want)
 	}
 
-	inventory.Hear(epoch, Report{VM: "b", DataCentre: "yvr-east", Model: "m", Version: "v1", Boot: "1", Sequence: 2, Fence: 2})
+	inventory.RecordReport(epoch, Report{VM: "b", DataCentre: "yvr-east", Model: "m", Version: "v1", Boot: "1", Sequence: 2, Fence: 2})
 
 	r = Plan(epoch, Config{}, inventory.View(epoch, wanted, 2, epoch))
 	if len(r.Orders) != 1 || r.Orders[0].Kind != LoadWeights {
@@ -233,8 +233,8 @@
 		t.Errorf("state: got %v, want %v", got, want)
 	}
 
-	inventory.Hear(epoch, Report{VM: "a", Boot: "2", Sequence: 1, State: Loading})
-	inventory.Hear(epoch, Report{VM: "a", Boot: "1", Sequence: 9})
+	inventory.RecordReport(epoch, Report{VM: "a", Boot: "2", Sequence: 1, State: Loading})
+	inventory.RecordReport(epoch, Report{VM: "a", Boot: "1", Sequence: 9})
 
 	if got, want := inventory.View(epoch, nil, 1, epoch).Engines[0].State, Loading; got != want {
 		t.Errorf("state after a report of the previous boot: got %v, want %v", got, want)
@@ -258,8 +258,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			inventory := inventoryWith(Report{VM: "a", Sequence: 1, Fence: 1})
 			o := Order{VM: "a", Kind: LoadWeights, Fence: 1, Number: 1}
-			inventory.Ordered(epoch, o)
-			inventory.Answered(epoch, o, c.err)
+			inventory.RecordOrder(epoch, o)
+			inventory.RecordReply(epoch, o, c.err)
 
 			if got := !inventory.View(epoch, nil, 1, epoch).Engines[0].Ordered.IsZero(); got != c.want {
 				t.Errorf("order counts: got %v, want %v", got, c.want)
--- a/weights/simulation_test.go
+++ b/weights/simulation_test.go
@@ -177,11 +177,11 @@
 
 // plan calls Plan for a leader and keeps the orders as unsent; sendOrders sends them.
 func (s *simulation) plan(l *leader) Result {
-	r := Plan(s.now, Config{Loads: maxLoads}, l.inventory.View(s.now, s.wanted, l.fence, l.since))
+	r := Plan(s.now, Config{MaxLoads: maxLoads}, l.inventory.View(s.now, s.wanted, l.fence, l.since))
 	l.unsent = nil
 
 	for _, o := range r.Orders {
-		l.inventory.Ordered(s.now, o)
+		l.inventory.RecordOrder(s.now, o)
 		l.unsent = append(l.unsent, o)
 	}
 
@@ -208,12 +208,12 @@
 			e.Sequence++
 			report := e.Report
 			report.StateAge = s.now.Sub(e.stateSince)
-			l.inventory.Hear(s.now, report)
+			l.inventory.RecordReport(s.now, report)
 		}
 
 		r = s.plan(l)
 		for _, o := range l.unsent {
-			l.inventory.Answered(s.now, o, s.deliver(sentOrder{o, s.now, l}))
+			l.inventory.RecordReply(s.now, o, s.deliver(sentOrder{o, s.now, l}))
 		}
 	}
 
@@ -306,7 +306,7 @@
 // deliverReport gives a report to a leader unless it is older than maxDeliveryTime.
 func (s *simulation) deliverReport(l *leader, r sentReport) {
 	if s.now.Sub(r.at) <= maxDeliveryTime {
-		l.inventory.Hear(s.now, r.Report)
+		l.inventory.RecordReport(s.now, r.Report)
 	}
 }
 
@@ -325,6 +325,6 @@
 	}
 
 	if err := s.deliver(o); rapid.Bool().Draw(rt, "answered") {
-		o.from.inventory.Answered(s.now, o.order, err)
+		o.from.inventory.RecordReply(s.now, o.order, err)
 	}
 }
--- a/weights/view.go
+++ b/weights/view.go
@@ -4,8 +4,8 @@
 
 // Config configures Plan. Zero values get a default.
 type Config struct {
-	// Loads is the maximum number of concurrent loads in one data centre. 2 when zero.
-	Loads int
+	// MaxLoads is the maximum number of concurrent loads in one data centre. 2 when zero.
+	MaxLoads int
 	// MaxLoadsByDataCentre overrides Loads for single data centres.
 	MaxLoadsByDataCentre map[string]int
 	// SettleTimeout is how long a new leader waits for lost engines to confirm its fence
@@ -27,7 +27,7 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.Loads = orDefault(c.Loads, 2)
+	c.MaxLoads = orDefault(c.MaxLoads, 2)
 	c.SettleTimeout = orDefault(c.SettleTimeout, 10*time.Second)
 	c.OrderTimeout = orDefault(c.OrderTimeout, 30*time.Second)
 	c.CanaryPeriod = orDefault(c.CanaryPeriod, 10*time.Second)
