--- a/claim/candidate.go
+++ b/claim/candidate.go
@@ -20,7 +20,7 @@
 // than its equal share of the shards, rounded up: with few shards on few VMs,
 // hashing alone may give one VM none and another a third of all runs.
 // (go-rendezvous returns only the first node and supports no bound.)
-func RankCandidates(service string, shards int, f Fleet) [][]string {
+func RankCandidates(service string, shards int, f VMList) [][]string {
 	var vms []string
 
 	for _, vm := range f.VMs {
--- a/claim/candidate_test.go
+++ b/claim/candidate_test.go
@@ -10,7 +10,7 @@
 	cases := []struct{ shards, vms int }{{16, 1}, {16, 4}, {16, 3}, {64, 400}, {64, 7}}
 
 	for _, c := range cases {
-		var f Fleet
+		var f VMList
 		for i := range c.vms {
 			f.VMs = append(f.VMs, fmt.Sprintf("vm%d", i))
 		}
--- a/claim/coordinator_test.go
+++ b/claim/coordinator_test.go
@@ -16,7 +16,7 @@
 }
 
 // step lets the coordinator do at time now what is due, write and read.
-func (s *testShard) step(t *testing.T, now time.Time, f Fleet) {
+func (s *testShard) step(t *testing.T, now time.Time, f VMList) {
 	t.Helper()
 	s.coordinator.SetVMList(f)
 	s.coordinator.Tick(now)
@@ -50,7 +50,7 @@
 // TestClaimsUnderFailure with seed 537167.)
 func TestPausedProcessDoesNotBecomeHome(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	f := Fleet{Version: 1, VMs: []string{"a", "b"}}
+	f := VMList{Version: 1, VMs: []string{"a", "b"}}
 	s := newTestShard(now)
 	s.coordinator.Tick(now)
 
@@ -79,19 +79,19 @@
 // answer that the key did not run.
 func TestHomeThatMayBeSucceededPromisesNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	listed := Fleet{Version: 1, VMs: []string{"a"}}
+	listed := VMList{Version: 1, VMs: []string{"a"}}
 
 	cases := []struct {
 		name        string
 		secondsDown int // seconds without the log
 		pause       time.Duration
-		fleet       Fleet
+		fleet       VMList
 		want        failure.Kind
 	}{
 		{"listed, not paused", 5, time.Second, listed, failure.Internal},
 		{"listed, not paused, long outage", 3000, time.Second, listed, failure.Internal},
 		{"paused", 5, DefaultMaxPause + time.Second, listed, failure.NotReady},
-		{"no longer listed", 5, time.Second, Fleet{Version: 2, VMs: []string{"b"}}, failure.NotReady},
+		{"no longer listed", 5, time.Second, VMList{Version: 2, VMs: []string{"b"}}, failure.NotReady},
 		{"records deleted by the log", 3600, time.Second, listed, failure.NotReady},
 	}
 
@@ -155,7 +155,7 @@
 }
 
 // newOwner returns a Coordinator that owns its shard, and the time.
-func newOwner(t *testing.T, f Fleet) (*testShard, time.Time) {
+func newOwner(t *testing.T, f VMList) (*testShard, time.Time) {
 	t.Helper()
 
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -177,7 +177,7 @@
 // owner restores is older than what it ran, so before it has read the remaining
 // records it would run a key again.
 func TestHomeServesOnlyWithAllRecords(t *testing.T) {
-	s, now := newOwner(t, Fleet{Version: 1, VMs: []string{"a"}})
+	s, now := newOwner(t, VMList{Version: 1, VMs: []string{"a"}})
 
 	if err := s.coordinator.Restore(s.coordinator.state.Encode()); err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 // longer counts and the new owner may run the key, so this process must not run
 // it.
 func TestWaitingRunEndsWithTheHome(t *testing.T) {
-	s, now := newOwner(t, Fleet{Version: 1, VMs: []string{"a"}})
+	s, now := newOwner(t, VMList{Version: 1, VMs: []string{"a"}})
 
 	r, err := s.coordinator.Claim(now, Request{Organisation: "o", Key: keyAt(now, 1)})
 	if err != nil {
@@ -224,7 +224,7 @@
 // leave no uncertain window, and the next owner would run the key again if its
 // claim was not written.
 func TestReleaseWaitsForRuns(t *testing.T) {
-	f := Fleet{Version: 1, VMs: []string{"a"}}
+	f := VMList{Version: 1, VMs: []string{"a"}}
 	s, now := newOwner(t, f)
 
 	// The log is unresponsive, so the claim is not written.
@@ -270,7 +270,7 @@
 // for good.
 func TestEndedHomeIsSucceededByACandidate(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	f := Fleet{Version: 1, VMs: []string{"a", "b"}}
+	f := VMList{Version: 1, VMs: []string{"a", "b"}}
 	s := newTestShard(now)
 
 	apply := func(r record) {
--- a/claim/home.go
+++ b/claim/home.go
@@ -38,8 +38,8 @@
 	maxRecordsPerRun = 2
 )
 
-// HomeConfig configures a Home.
-type HomeConfig struct {
+// DeduplicatorConfig configures a Home.
+type DeduplicatorConfig struct {
 	// Log is the log service.
 	Log journal.Log
 	// Service is the plain service whose requests are deduplicated.
@@ -52,8 +52,8 @@
 	// Incarnation rises with each start of a process on VM; zero takes the time
 	// from Clock, in Unix milliseconds.
 	Incarnation uint64
-	// Fleet returns the newest known list of the service's VMs.
-	Fleet func() Fleet
+	// VMList returns the newest known list of the service's VMs.
+	VMList func() VMList
 	// State must be the same in all processes.
 	State StateConfig
 	// RefuseInOutage refuses requests while the log is unresponsive, instead of
@@ -92,11 +92,11 @@
 	Logger logr.Logger
 }
 
-// Home deduplicates the requests of the shards that this process owns, and is a
+// Deduplicator deduplicates the requests of the shards that this process owns, and is a
 // standby for others. Run must run in the background. It is safe for concurrent
 // use.
-type Home struct {
-	cfg HomeConfig
+type Deduplicator struct {
+	cfg DeduplicatorConfig
 
 	mu       sync.Mutex
 	shards   map[int]*shard // the shards that this process follows, by number
@@ -106,8 +106,8 @@
 	ranksVersion uint64 // the version of the list; both are used only by Run's goroutine
 }
 
-// NewHome returns a Home for cfg. It reads nothing until Run is called.
-func NewHome(cfg HomeConfig) *Home {
+// NewDeduplicator returns a Home for cfg. It reads nothing until Run is called.
+func NewDeduplicator(cfg DeduplicatorConfig) *Deduplicator {
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
 	}
@@ -126,7 +126,7 @@
 	cfg.LogRetention = orDefault(cfg.LogRetention, DefaultLogRetention)
 	cfg.MaxPending = orDefault(cfg.MaxPending, DefaultMaxPending)
 
-	return &Home{cfg: cfg, shards: map[int]*shard{}}
+	return &Deduplicator{cfg: cfg, shards: map[int]*shard{}}
 }
 
 // Claim asks for permission to run q once. A Ticket without an Outcome permits
@@ -136,7 +136,7 @@
 // OutcomeUnknown, LogUnavailable and QueueFull, and Cancelled if ctx is
 // cancelled. They are about this call; LogUnavailable and QueueFull also mean
 // that no earlier call with the key has run.
-func (h *Home) Claim(ctx context.Context, now time.Time, q Request) (Ticket, error) {
+func (h *Deduplicator) Claim(ctx context.Context, now time.Time, q Request) (Ticket, error) {
 	n := Shard(q.Organisation, q.Key, h.cfg.Shards)
 
 	s := h.shard(n)
@@ -158,7 +158,7 @@
 }
 
 // logDecision logs the decision about a key.
-func (h *Home) logDecision(t Ticket, err error, shard int, organisation string) {
+func (h *Deduplicator) logDecision(t Ticket, err error, shard int, organisation string) {
 	l := h.cfg.Logger
 
 	switch kind := failure.KindOf(err); {
@@ -177,24 +177,24 @@
 
 // Settle records the outcome of a run. Retried requests get it from now on; it
 // is written to the log asynchronously.
-func (h *Home) Settle(_ context.Context, t Ticket, o Outcome) error {
+func (h *Deduplicator) Settle(_ context.Context, t Ticket, o Outcome) error {
 	return h.finish(t, func(c *Coordinator) { c.Complete(t.run, o) })
 }
 
 // Withdraw records that a run did not happen and won't happen, so that the key
 // may be claimed again. The caller must be certain of that.
-func (h *Home) Withdraw(_ context.Context, t Ticket) error {
+func (h *Deduplicator) Withdraw(_ context.Context, t Ticket) error {
 	return h.finish(t, func(c *Coordinator) { c.Withdraw(t.run) })
 }
 
 // Lose records that the outcome of a run will never be known, since its target
 // crashed or became unresponsive. Retried requests are answered as
 // OutcomeUnknown.
-func (h *Home) Lose(_ context.Context, t Ticket) error {
+func (h *Deduplicator) Lose(_ context.Context, t Ticket) error {
 	return h.finish(t, func(c *Coordinator) { c.MarkUnknown(t.run) })
 }
 
-func (h *Home) finish(t Ticket, do func(*Coordinator)) error {
+func (h *Deduplicator) finish(t Ticket, do func(*Coordinator)) error {
 	s := h.shard(t.shard)
 	if s == nil || t.run == nil {
 		return failure.New(failure.NotReady, "the ticket was not issued by this process")
@@ -210,7 +210,7 @@
 }
 
 // Owner returns the owner of a shard; false if this process doesn't know it.
-func (h *Home) Owner(shard int) (Owner, bool) {
+func (h *Deduplicator) Owner(shard int) (Owner, bool) {
 	s := h.shard(shard)
 	if s == nil {
 		return Owner{}, false
@@ -228,7 +228,7 @@
 // that are followed later. With a shorter time, keys claimed before are still
 // remembered for their own time; a longer one never makes a forgotten key
 // usable again.
-func (h *Home) SetKeyLifetime(lifetime time.Duration) {
+func (h *Deduplicator) SetKeyLifetime(lifetime time.Duration) {
 	h.mu.Lock()
 	h.cfg.State.KeyLifetime = lifetime
 	h.mu.Unlock()
@@ -241,7 +241,7 @@
 }
 
 // Homes returns the numbers of the shards that this process owns.
-func (h *Home) Homes() []int {
+func (h *Deduplicator) Homes() []int {
 	var owned []int
 
 	for _, s := range h.followedShards() {
@@ -259,7 +259,7 @@
 // complete in the log, and releases every shard, so that others take over
 // without an uncertain window. It returns when that is done, or with a Timeout
 // error when ctx ends.
-func (h *Home) Drain(ctx context.Context) error {
+func (h *Deduplicator) Drain(ctx context.Context) error {
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
@@ -281,7 +281,7 @@
 // Run follows the shards that this process owns or is a candidate for, until
 // ctx ends. The process must already hold its port, since Run writes into every
 // shard that earlier processes on this VM have ended.
-func (h *Home) Run(ctx context.Context) {
+func (h *Deduplicator) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 
@@ -303,14 +303,14 @@
 
 // announceStart writes into each shard that earlier processes on this VM have
 // ended. One of them may own a shard that this process doesn't follow.
-func (h *Home) announceStart(ctx context.Context) {
+func (h *Deduplicator) announceStart(ctx context.Context) {
 	for n := range h.cfg.Shards {
 		h.announceStartTo(ctx, n)
 	}
 }
 
 // announceStartTo retries until shard n has the record or ctx ends.
-func (h *Home) announceStartTo(ctx context.Context, n int) {
+func (h *Deduplicator) announceStartTo(ctx context.Context, n int) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := journal.NewWriter(journal.WriterConfig{
 		Log: h.cfg.Log, Stream: Stream(h.cfg.Service, n), Limit: h.cfg.AppendLimit, Logger: h.cfg.Logger,
@@ -327,8 +327,8 @@
 }
 
 // tick checks each shard once.
-func (h *Home) tick(ctx context.Context, wg *sync.WaitGroup, now time.Time) {
-	f := h.cfg.Fleet()
+func (h *Deduplicator) tick(ctx context.Context, wg *sync.WaitGroup, now time.Time) {
+	f := h.cfg.VMList()
 
 	h.mu.Lock()
 	stop := h.stopping
@@ -353,7 +353,7 @@
 }
 
 // updateRanks ranks the candidates again when the list of VMs has changed.
-func (h *Home) updateRanks(f Fleet) {
+func (h *Deduplicator) updateRanks(f VMList) {
 	if h.ranks != nil && h.ranksVersion == f.Version {
 		return
 	}
@@ -366,7 +366,7 @@
 	}
 }
 
-func (h *Home) follow(ctx context.Context, wg *sync.WaitGroup, n int) {
+func (h *Deduplicator) follow(ctx context.Context, wg *sync.WaitGroup, n int) {
 	ctx, cancel := context.WithCancel(ctx)
 
 	h.mu.Lock()
@@ -379,7 +379,7 @@
 	wg.Go(func() { s.runSnapshots(ctx) })
 }
 
-func (h *Home) unfollow(n int) {
+func (h *Deduplicator) unfollow(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -387,14 +387,14 @@
 	delete(h.shards, n)
 }
 
-func (h *Home) shard(n int) *shard {
+func (h *Deduplicator) shard(n int) *shard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	return h.shards[n]
 }
 
-func (h *Home) followedShards() []*shard {
+func (h *Deduplicator) followedShards() []*shard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -41,7 +41,7 @@
 // sideProcess is a side process with its Home.
 type sideProcess struct {
 	vm     string
-	dedup  *Home
+	dedup  *Deduplicator
 	cancel context.CancelFunc
 	dead   bool
 }
@@ -55,7 +55,7 @@
 	calls sync.WaitGroup
 
 	mu              sync.Mutex
-	vmList          Fleet
+	vmList          VMList
 	processes       []*sideProcess
 	lastIncarnation uint64
 	keys            []string
@@ -121,7 +121,7 @@
 	})
 }
 
-func (s *testService) currentVMList() Fleet {
+func (s *testService) currentVMList() VMList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -132,8 +132,8 @@
 func (s *testService) start(vm string) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.lastIncarnation++
-	p := &sideProcess{vm: vm, cancel: cancel, dedup: NewHome(HomeConfig{
-		Log: s.log, Service: "s", Shards: 2, VM: vm, Incarnation: s.lastIncarnation, Fleet: s.currentVMList,
+	p := &sideProcess{vm: vm, cancel: cancel, dedup: NewDeduplicator(DeduplicatorConfig{
+		Log: s.log, Service: "s", Shards: 2, VM: vm, Incarnation: s.lastIncarnation, VMList: s.currentVMList,
 		RebalanceDelay: 10 * time.Second, SnapshotRecords: 5,
 	})}
 	s.processes = append(s.processes, p)
@@ -255,7 +255,7 @@
 // replace removes a VM from the platform's list and starts another one.
 func (s *testService) replace(vm string) {
 	s.mu.Lock()
-	f := Fleet{Version: s.vmList.Version + 1}
+	f := VMList{Version: s.vmList.Version + 1}
 	newVM := fmt.Sprintf("vm%d", f.Version+1)
 
 	for _, v := range s.vmList.VMs {
@@ -301,7 +301,7 @@
 func runSteps(ctx context.Context, steps []step) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &testService{
-		ctx: ctx, log: memory.New(), vmList: Fleet{Version: 1, VMs: []string{"vm0", "vm1"}},
+		ctx: ctx, log: memory.New(), vmList: VMList{Version: 1, VMs: []string{"vm0", "vm1"}},
 		ran: map[string][]int{}, notRun: map[int]string{},
 	}
 
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -26,8 +26,8 @@
 }
 
 // start runs a Home until ctx ends.
-func start(ctx context.Context, wg *sync.WaitGroup, cfg HomeConfig) *Home {
-	h := NewHome(cfg)
+func start(ctx context.Context, wg *sync.WaitGroup, cfg DeduplicatorConfig) *Deduplicator {
+	h := NewDeduplicator(cfg)
 	wg.Go(func() { h.Run(ctx) })
 
 	return h
@@ -40,8 +40,8 @@
 
 		var wg sync.WaitGroup
 
-		fleet := func() Fleet { return Fleet{Version: 1, VMs: []string{"a"}} }
-		h := start(ctx, &wg, HomeConfig{Log: memory.New(), Service: "booking-api", Shards: 2, VM: "a", Fleet: fleet})
+		fleet := func() VMList { return VMList{Version: 1, VMs: []string{"a"}} }
+		h := start(ctx, &wg, DeduplicatorConfig{Log: memory.New(), Service: "booking-api", Shards: 2, VM: "a", VMList: fleet})
 
 		time.Sleep(5 * time.Second)
 
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -28,8 +28,8 @@
 		wg, calls sync.WaitGroup
 		mu        sync.Mutex
 		sum       time.Duration
-		all       []*Home
-		f         Fleet
+		all       []*Deduplicator
+		f         VMList
 	)
 
 	ctx, cancel := context.WithCancel(ctx)
@@ -41,8 +41,8 @@
 	}
 
 	for _, vm := range f.VMs {
-		h := NewHome(HomeConfig{
-			Log: log, Service: "s", Shards: shards, VM: vm, AppendInterval: interval, Fleet: func() Fleet { return f },
+		h := NewDeduplicator(DeduplicatorConfig{
+			Log: log, Service: "s", Shards: shards, VM: vm, AppendInterval: interval, VMList: func() VMList { return f },
 		})
 		all = append(all, h)
 		wg.Go(func() { h.Run(ctx) })
@@ -53,7 +53,7 @@
 	// A call to the log takes a few milliseconds.
 	log.Set(memory.Faults{Delay: 3 * time.Millisecond})
 
-	owner := map[int]*Home{}
+	owner := map[int]*Deduplicator{}
 
 	for _, h := range all {
 		for _, n := range h.Homes() {
@@ -188,8 +188,8 @@
 
 	ctx, cancel := context.WithCancel(ctx)
 	log := memory.New()
-	h := NewHome(HomeConfig{Log: log, Service: "s", Shards: 1, VM: "a", Fleet: func() Fleet {
-		return Fleet{Version: 1, VMs: []string{"a"}}
+	h := NewDeduplicator(DeduplicatorConfig{Log: log, Service: "s", Shards: 1, VM: "a", VMList: func() VMList {
+		return VMList{Version: 1, VMs: []string{"a"}}
 	}})
 
 	wg.Go(func() { h.Run(ctx) })
@@ -256,7 +256,7 @@
 // one Coordinator.
 func BenchmarkClaim(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	f := Fleet{Version: 1, VMs: []string{"a"}}
+	f := VMList{Version: 1, VMs: []string{"a"}}
 	c := NewCoordinator(CoordinatorConfig{VM: "a", Incarnation: 1})
 	offset := uint64(0)
 
--- a/claim/outage/outage.go
+++ b/claim/outage/outage.go
@@ -173,8 +173,8 @@
 
 func vmName(vm int) string { return "vm" + strconv.Itoa(vm) }
 
-func (m *simulation) vmList() claim.Fleet {
-	f := claim.Fleet{Version: 1}
+func (m *simulation) vmList() claim.VMList {
+	f := claim.VMList{Version: 1}
 	for vm := range m.cfg.VMs {
 		f.VMs = append(f.VMs, vmName(vm))
 	}
@@ -231,7 +231,7 @@
 }
 
 // stepProcess lets a process write, read and do what is due.
-func (m *simulation) stepProcess(s int, p *process, f claim.Fleet) {
+func (m *simulation) stepProcess(s int, p *process, f claim.VMList) {
 	if !m.logDown {
 		for _, b := range p.unsent {
 			m.streams[s] = append(m.streams[s], journal.Record{
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -19,7 +19,7 @@
 
 // shard connects the Coordinator of one shard to its stream.
 type shard struct {
-	cfg    HomeConfig
+	cfg    DeduplicatorConfig
 	number int
 	cancel context.CancelFunc
 	reader *journal.Reader
@@ -36,7 +36,7 @@
 	notFirstSince   time.Time // since when another process is the first candidate
 }
 
-func newShard(cfg HomeConfig, number int, cancel context.CancelFunc) *shard {
+func newShard(cfg DeduplicatorConfig, number int, cancel context.CancelFunc) *shard {
 	stream := Stream(cfg.Service, number)
 	s := &shard{cfg: cfg, number: number, cancel: cancel, uncertainUntil: time.UnixMilli(0)}
 	s.takeover.Stagger = cfg.Stagger
@@ -159,7 +159,7 @@
 }
 
 // tick does what is due and reports whether the shard is being yielded.
-func (s *shard) tick(now time.Time, f Fleet, rank int, stop, mayYield bool) bool {
+func (s *shard) tick(now time.Time, f VMList, rank int, stop, mayYield bool) bool {
 	atEnd, oldestOffset, synced := s.reader.AtEnd()
 
 	s.mu.Lock()
@@ -336,7 +336,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.coordinator.RenewOwnership(s.cfg.Fleet(), snap.Covers(), at)
+	s.coordinator.RenewOwnership(s.cfg.VMList(), snap.Covers(), at)
 	s.flush()
 
 	return true
--- a/claim/shard_test.go
+++ b/claim/shard_test.go
@@ -12,7 +12,7 @@
 // were written in another order, a withdrawal would precede its claim and the
 // key would stay claimed.
 func TestRecordsWaitInOrder(t *testing.T) {
-	s := newShard(HomeConfig{Log: memory.New(), Service: "s", MaxPending: 1, Clock: time.Now}, 0, nil)
+	s := newShard(DeduplicatorConfig{Log: memory.New(), Service: "s", MaxPending: 1, Clock: time.Now}, 0, nil)
 
 	var want [][]byte
 
--- a/claim/silence.go
+++ b/claim/silence.go
@@ -83,7 +83,7 @@
 }
 
 // SetVMList sets the newest list of the platform.
-func (c *Coordinator) SetVMList(f Fleet) { c.unlisted = !f.Has(c.cfg.VM) }
+func (c *Coordinator) SetVMList(f VMList) { c.unlisted = !f.Has(c.cfg.VM) }
 
 // mayRunUnlogged reports whether the process may run requests before their
 // claims are written.
--- a/claim/takeover.go
+++ b/claim/takeover.go
@@ -10,8 +10,8 @@
 	unknownOwnerDelay = time.Minute
 )
 
-// Fleet is the platform's list of a service's VMs.
-type Fleet struct {
+// VMList is the platform's list of a service's VMs.
+type VMList struct {
 	// Version rises with each change of the list.
 	Version uint64
 	// VMs are the listed VMs, live and leaving.
@@ -21,7 +21,7 @@
 }
 
 // Has reports whether the list has a VM.
-func (f Fleet) Has(vm string) bool {
+func (f VMList) Has(vm string) bool {
 	for _, v := range f.VMs {
 		if v == vm {
 			return true
@@ -51,7 +51,7 @@
 // VM may become the owner, so that the next owner can see in the same way that
 // it is gone. A process that was paused waits until its list would show that
 // its VM was removed.
-func (t *Takeover) Due(now time.Time, c *Coordinator, f Fleet, rank int) (Basis, bool) {
+func (t *Takeover) Due(now time.Time, c *Coordinator, f VMList, rank int) (Basis, bool) {
 	basis, ok := c.takeoverBasis(f)
 	if !ok || c.draining() || c.possiblyUnlisted(now) || !f.Has(c.cfg.VM) || f.Leaving[c.cfg.VM] {
 		t.basis = 0
@@ -87,7 +87,7 @@
 
 // takeoverBasis returns the basis on which this process may become the owner,
 // if any.
-func (c *Coordinator) takeoverBasis(f Fleet) (Basis, bool) {
+func (c *Coordinator) takeoverBasis(f VMList) (Basis, bool) {
 	o := c.state.Owner()
 
 	switch {
@@ -118,14 +118,14 @@
 }
 
 // RequestOwnership writes the record by which this process becomes the owner.
-func (c *Coordinator) RequestOwnership(b Basis, f Fleet) {
+func (c *Coordinator) RequestOwnership(b Basis, f VMList) {
 	c.enqueue(c.newOwnerRecord(kindOwner, b, f))
 }
 
 // RenewOwnership writes the record by which the owner repeats that it is the
 // owner. A snapshot must have been written that covers the records up to offset
 // covers, the newest of which was written at time at.
-func (c *Coordinator) RenewOwnership(f Fleet, covers uint64, at time.Time) {
+func (c *Coordinator) RenewOwnership(f VMList, covers uint64, at time.Time) {
 	if !c.IsOwner() || !f.Has(c.cfg.VM) {
 		return
 	}
@@ -135,7 +135,7 @@
 	c.enqueue(r)
 }
 
-func (c *Coordinator) newOwnerRecord(k kind, b Basis, f Fleet) record {
+func (c *Coordinator) newOwnerRecord(k kind, b Basis, f VMList) record {
 	return record{Kind: k, Term: c.state.Owner().Term, Owner: &ownerRecord{
 		VM: c.cfg.VM, Incarnation: c.cfg.Incarnation, Basis: b,
 		RunsUnlogged: !c.cfg.RefuseInOutage, ListVersion: f.Version, OldestOffset: c.oldestOffset,
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -148,7 +148,7 @@
 	stream         []storedRecord
 	snapshots      []storedSnapshot
 	delayedAppends [][]envelope // appends that have not reached the log yet
-	vmLists        []Fleet
+	vmLists        []VMList
 	listChangedAt  []time.Time // when each version of the list came
 	processes      []*process
 	lastProcessID  int
@@ -164,7 +164,7 @@
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), refuseInOutage: refuse,
 		oracle: oracle{calls: map[string][]*call{}, runs: map[string][]int{}},
 	}
-	w.setVMList(Fleet{VMs: []string{"vm0", "vm1"}})
+	w.setVMList(VMList{VMs: []string{"vm0", "vm1"}})
 
 	for i := range 2 {
 		w.startProcess(fmt.Sprintf("vm%d", i), 0)
@@ -190,9 +190,9 @@
 
 func (w *testEnv) clock(p *process) time.Time { return w.now.Add(p.clockSkew) }
 
-func (w *testEnv) vmList() Fleet { return w.vmLists[len(w.vmLists)-1] }
+func (w *testEnv) vmList() VMList { return w.vmLists[len(w.vmLists)-1] }
 
-func (w *testEnv) setVMList(f Fleet) {
+func (w *testEnv) setVMList(f VMList) {
 	f.Version = uint64(len(w.vmLists) + 1)
 	w.vmLists = append(w.vmLists, f)
 	w.listChangedAt = append(w.listChangedAt, w.now)
@@ -203,7 +203,7 @@
 func (w *testEnv) replaceVM(vm string) string {
 	newVM := fmt.Sprintf("vm%d", len(w.vmLists)+1)
 	vms := slices.DeleteFunc(slices.Clone(w.vmList().VMs), func(v string) bool { return v == vm })
-	w.setVMList(Fleet{VMs: append(vms, newVM)})
+	w.setVMList(VMList{VMs: append(vms, newVM)})
 
 	return newVM
 }
--- a/cmd/boragehub/process.go
+++ b/cmd/boragehub/process.go
@@ -81,7 +81,7 @@
 type sideProcess struct {
 	common
 	side         *side.Side
-	deduplicator *claim.Home
+	deduplicator *claim.Deduplicator
 	operators    *operator.Server
 }
 
--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -172,23 +172,23 @@
 
 // provideDeduplicator returns the owner of the target's idempotency keys; nil beside an
 // engine, whose runs may be repeated.
-func provideDeduplicator(cfg setting.Process, log logr.Logger, j *journal.Client, list *vm.Follower) *claim.Home {
+func provideDeduplicator(cfg setting.Process, log logr.Logger, j *journal.Client, list *vm.Follower) *claim.Deduplicator {
 	if cfg.Target.Kind != setting.PlainService {
 		return nil
 	}
 
-	return claim.NewHome(claim.HomeConfig{
+	return claim.NewDeduplicator(claim.DeduplicatorConfig{
 		Log:     j,
 		Service: cfg.Target.Service,
 		VM:      cfg.VM,
-		Fleet:   func() claim.Fleet { return serviceVMs(list.List(), cfg.Target.Service) },
+		VMList:  func() claim.VMList { return serviceVMs(list.List(), cfg.Target.Service) },
 		Logger:  log,
 	})
 }
 
 // serviceVMs returns the VMs of a service in the platform's list.
-func serviceVMs(l *vm.List, service string) claim.Fleet {
-	f := claim.Fleet{Version: l.Version(), Leaving: map[string]bool{}}
+func serviceVMs(l *vm.List, service string) claim.VMList {
+	f := claim.VMList{Version: l.Version(), Leaving: map[string]bool{}}
 
 	for _, m := range l.All() {
 		if m.Service != service {
@@ -215,7 +215,7 @@
 	}}}
 }
 
-func provideSide(cfg setting.Process, log logr.Logger, d *peer.Dialer, list *vm.Follower, settings *publication.Follower, feed *notice.Feed, deduplicator *claim.Home, views []operator.View) (*side.Side, error) {
+func provideSide(cfg setting.Process, log logr.Logger, d *peer.Dialer, list *vm.Follower, settings *publication.Follower, feed *notice.Feed, deduplicator *claim.Deduplicator, views []operator.View) (*side.Side, error) {
 	u, err := url.Parse(cfg.Target.URL)
 	if err != nil {
 		return nil, failure.Wrap(failure.BadSettings, err, "target URL %q is invalid", cfg.Target.URL)
--- a/wholepath/env_test.go
+++ b/wholepath/env_test.go
@@ -133,7 +133,7 @@
 	plain        *plain.Server
 	store        *vault.Server
 	side         *side.Side
-	deduplicator *claim.Home
+	deduplicator *claim.Deduplicator
 	process      *process
 	stop         func() // stops the stand-in after its open requests have ended
 }
@@ -512,11 +512,11 @@
 	var tasks []func(context.Context)
 
 	if plain {
-		t.deduplicator = claim.NewHome(claim.HomeConfig{
+		t.deduplicator = claim.NewDeduplicator(claim.DeduplicatorConfig{
 			Log: journal.NewClient(journal.ClientConfig{URL: "http://" + e.logAddr}), Service: service, VM: t.vm,
-			Fleet: func() claim.Fleet {
+			VMList: func() claim.VMList {
 				l := p.vms.List()
-				f := claim.Fleet{Version: l.Version(), Leaving: map[string]bool{}}
+				f := claim.VMList{Version: l.Version(), Leaving: map[string]bool{}}
 
 				for _, m := range l.All() {
 					if m.Service == service {
