--- a/cmd/boragehub/process.go
+++ b/cmd/boragehub/process.go
@@ -146,7 +146,7 @@
 
 	p.handlers.onList = p.entry.OnList
 	p.handlers.onSettings = p.entry.OnSettings
-	p.handlers.onCrash = p.entry.Crashed
+	p.handlers.onCrash = p.entry.AddCrash
 
 	l, err := net.Listen("tcp", p.cfg.Listen.Callers) //nolint:noctx // bound once, at start
 	if err != nil {
@@ -201,7 +201,7 @@
 // balancer grace.
 func (p *entryProcess) drain(callers *drain.Server) {
 	event.Log(p.log, event.ProcessStopping, "requests", p.entry.Active())
-	p.entry.Leave()
+	p.entry.StartDrain()
 
 	noticed := time.Now().Add(time.Duration(p.cfg.Limits.BalancerGrace))
 	end := noticed.Add(time.Duration(p.cfg.Limits.DrainTimeout))
--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -135,7 +135,7 @@
 
 // weightsView shows the progress of the rollouts that this entry leads.
 func weightsView(l *placement.Leader) operator.View {
-	return operator.View{Name: "weights", Get: func(string) any { return l.Rolls() }}
+	return operator.View{Name: "weights", Get: func(string) any { return l.Rollouts() }}
 }
 
 func provideEntry(cfg setting.Process, log logr.Logger, d *peer.Dialer, list *vm.Follower, settings *publication.Follower, feed *notice.Feed, l *placement.Leader, r *recorder.Recorder, registry *prometheus.Registry) *entry.Entry {
@@ -147,7 +147,7 @@
 		Settings:    settings,
 		Peers:       d,
 		VMs:         list,
-		Post:        feed.Post,
+		ReportCrash: feed.Post,
 		Views:       []operator.View{explainView(r), weightsView(l)},
 		Log:         log,
 	})
--- a/directory/holding.go
+++ b/directory/holding.go
@@ -66,13 +66,13 @@
 	Copy string
 	// Bytes is the size of the blocks held, in bytes.
 	Bytes int64
-	// Learned is when the holding was last confirmed.
-	Learned time.Time
+	// LastSeen is when the holding was last confirmed.
+	LastSeen time.Time
 	// Source is the kind of evidence.
 	Source Source
 }
 
 // Age returns the time since the holding was last confirmed; never less than zero.
 func (h Holding) Age(now time.Time) time.Duration {
-	return max(now.Sub(h.Learned), 0)
+	return max(now.Sub(h.LastSeen), 0)
 }
--- a/directory/table.go
+++ b/directory/table.go
@@ -140,12 +140,12 @@
 // MaxContexts or MaxBytes.
 func (t *Table) Evicted() uint64 { return t.evicted }
 
-// Learn records that a holder has the first h.Blocks blocks of chain at now. It
+// Record records that a holder has the first h.Blocks blocks of chain at now. It
 // replaces the earlier holding of the same holder, copy and conversation, even by a
 // shorter one. With h.Blocks below 1 it only removes the earlier holding.
-func (t *Table) Learn(now time.Time, anchor prompt.Hash, chain prompt.Chain, h Holding) {
+func (t *Table) Record(now time.Time, anchor prompt.Hash, chain prompt.Chain, h Holding) {
 	h.Blocks = min(h.Blocks, len(chain))
-	h.Learned = now
+	h.LastSeen = now
 
 	r, ok := t.contexts.Get(anchor)
 	if !ok {
@@ -161,9 +161,9 @@
 	t.updateSize(anchor, r)
 }
 
-// Forget removes one holder's holdings under anchor. id selects one sealed copy;
+// Remove removes one holder's holdings under anchor. id selects one sealed copy;
 // an empty id selects all.
-func (t *Table) Forget(anchor prompt.Hash, k Kind, name, id string) {
+func (t *Table) Remove(anchor prompt.Hash, k Kind, name, id string) {
 	r, ok := t.contexts.Peek(anchor)
 	if !ok {
 		return
@@ -175,9 +175,9 @@
 	t.updateSize(anchor, r)
 }
 
-// ForgetHolder removes all holdings of one holder, which failed or restarted, and
+// RemoveHolder removes all holdings of one holder, which failed or restarted, and
 // returns the number of contexts changed. It scans the whole table.
-func (t *Table) ForgetHolder(k Kind, name string) int {
+func (t *Table) RemoveHolder(k Kind, name string) int {
 	n := 0
 
 	for _, anchor := range t.contexts.Keys() {
@@ -239,7 +239,7 @@
 		return a.Blocks > b.Blocks
 	}
 
-	return a.Learned.After(b.Learned)
+	return a.LastSeen.After(b.LastSeen)
 }
 
 func (t *Table) add(anchor prompt.Hash, r *contextRecord) {
@@ -355,7 +355,7 @@
 	oldest := 0
 
 	for i := range r.holdings {
-		if r.holdings[i].Learned.Before(r.holdings[oldest].Learned) {
+		if r.holdings[i].LastSeen.Before(r.holdings[oldest].LastSeen) {
 			oldest = i
 		}
 	}
--- a/directory/table_test.go
+++ b/directory/table_test.go
@@ -62,7 +62,7 @@
 			"learn": func(t *rapid.T) {
 				name := names.Draw(t, "name")
 				content := contents.Draw(t, "content")
-				table.Learn(now, anchor, chainOf(content), Holding{Name: name, Blocks: len(content)})
+				table.Record(now, anchor, chainOf(content), Holding{Name: name, Blocks: len(content)})
 
 				kept := oracle[:0]
 				for _, b := range oracle {
@@ -80,12 +80,12 @@
 			},
 			"forget": func(t *rapid.T) {
 				name := names.Draw(t, "name")
-				table.Forget(anchor, Engine, name, "")
+				table.Remove(anchor, Engine, name, "")
 				oracle = withoutHolder(oracle, name)
 			},
 			"forget holder": func(t *rapid.T) {
 				name := names.Draw(t, "name")
-				table.ForgetHolder(Engine, name)
+				table.RemoveHolder(Engine, name)
 				oracle = withoutHolder(oracle, name)
 			},
 			"": func(t *rapid.T) {
@@ -156,7 +156,7 @@
 			chain := chainOf(make([]byte, 64))
 
 			for i := range 100 {
-				table.Learn(epoch, prompt.Hash{byte(i)}, chain, Holding{Name: "e", Blocks: 64})
+				table.Record(epoch, prompt.Hash{byte(i)}, chain, Holding{Name: "e", Blocks: 64})
 			}
 
 			if got := table.Evicted(); got == 0 {
@@ -177,8 +177,8 @@
 func TestOldBeliefsAboutEnginesAreLeftOut(t *testing.T) {
 	table := NewTable(Config{EngineTTL: time.Minute})
 	chain := chainOf(make([]byte, 8))
-	table.Learn(epoch, prompt.Hash{}, chain, Holding{Name: "e", Blocks: 8})
-	table.Learn(epoch, prompt.Hash{}, chain, Holding{Kind: Store, Name: "s", Copy: "c", Blocks: 8})
+	table.Record(epoch, prompt.Hash{}, chain, Holding{Name: "e", Blocks: 8})
+	table.Record(epoch, prompt.Hash{}, chain, Holding{Kind: Store, Name: "s", Copy: "c", Blocks: 8})
 
 	got := table.Lookup(epoch.Add(2*time.Minute), prompt.Hash{}, chain, nil)
 	if len(got) != 1 || got[0].Name != "s" {
@@ -212,9 +212,9 @@
 
 	for i := range anchors {
 		anchors[i] = prompt.Next(prompt.Hash{}, fmt.Append(nil, i))
-		table.Learn(epoch, anchors[i], chain, Holding{Name: "engine-1", Blocks: blocks / 2})
-		table.Learn(epoch, anchors[i], chain, Holding{Name: "engine-2", Blocks: blocks})
-		table.Learn(epoch, anchors[i], chain, Holding{Kind: Store, Name: "store-1", Copy: "id", Blocks: blocks})
+		table.Record(epoch, anchors[i], chain, Holding{Name: "engine-1", Blocks: blocks / 2})
+		table.Record(epoch, anchors[i], chain, Holding{Name: "engine-2", Blocks: blocks})
+		table.Record(epoch, anchors[i], chain, Holding{Kind: Store, Name: "store-1", Copy: "id", Blocks: blocks})
 	}
 
 	return table, anchors, chain
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -118,10 +118,10 @@
 
 	now := time.Now()
 	c := quarantine.Crash{Target: t.VM, Boot: t.BootID, At: now, Running: []quarantine.Fingerprint{f}}
-	e.Crashed(now, c)
+	e.AddCrash(now, c)
 
-	if e.cfg.Post != nil {
-		e.cfg.Post(c)
+	if e.cfg.ReportCrash != nil {
+		e.cfg.ReportCrash(c)
 	}
 }
 
@@ -186,7 +186,7 @@
 		case message.Imported:
 			j.releaseLink(m.Bytes)
 		case message.Crashed:
-			j.e.Crashed(time.Now(), m.Crash)
+			j.e.AddCrash(time.Now(), m.Crash)
 		case message.Done:
 			return m, j.checkTokenCount(m)
 		default:
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -79,8 +79,8 @@
 	Peers PeerClient
 	// VMs lists the targets, stores and entries.
 	VMs Lister
-	// Post writes a crash report to the shared log; nil drops it.
-	Post func(quarantine.Crash)
+	// ReportCrash writes a crash report to the shared log; nil drops it.
+	ReportCrash func(quarantine.Crash)
 	// Views are documents for operators in addition to the entry's own.
 	Views []operator.View
 	// Log receives an event for each decision.
@@ -170,10 +170,10 @@
 	return !e.draining.Load() && e.policy.Load() != nil && e.polledAll.Load()
 }
 
-// Leave starts the drain before a planned stop: /readyz fails from now on, so that
+// StartDrain starts the drain before a planned stop: /readyz fails from now on, so that
 // the platform's load balancer sends no new callers. Requests that still arrive are
 // served.
-func (e *Entry) Leave() { e.draining.Store(true) }
+func (e *Entry) StartDrain() { e.draining.Store(true) }
 
 // Active returns the number of requests in flight.
 func (e *Entry) Active() int64 { return e.active.Load() }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -83,7 +83,7 @@
 		}
 
 		if crashed, ok := m.(message.Crashed); ok {
-			c.e.Crashed(time.Now(), crashed.Crash)
+			c.e.AddCrash(time.Now(), crashed.Crash)
 
 			continue
 		}
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -41,12 +41,12 @@
 	}
 
 	if m.Gone {
-		o.table.Forget(m.Anchor, kind, m.Holding.Holder, m.Holding.Copy)
+		o.table.Remove(m.Anchor, kind, m.Holding.Holder, m.Holding.Copy)
 
 		return
 	}
 
-	o.table.Learn(now, m.Anchor, m.Chain, directory.Holding{
+	o.table.Record(now, m.Anchor, m.Chain, directory.Holding{
 		Kind:       kind,
 		Name:       m.Holding.Holder,
 		DataCentre: m.Holding.DataCentre,
@@ -93,7 +93,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.table.ForgetHolder(directory.Engine, name)
+	o.table.RemoveHolder(directory.Engine, name)
 }
 
 // owner returns the entry of this data centre that owns anchor. self reports whether it
@@ -200,7 +200,7 @@
 		e.owned.update(now, m)
 		err = t.Send(message.Ack{})
 	case message.Crashed:
-		e.Crashed(now, m.Crash)
+		e.AddCrash(now, m.Crash)
 		err = t.Send(message.Ack{})
 	default:
 		responder := operator.Responder{Settings: e.cfg.Settings, Views: e.cfg.Views}
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -123,8 +123,8 @@
 	Halt string `json:"halt"`
 }
 
-// Rolls returns the progress of all rollouts; empty while another process leads.
-func (l *Leader) Rolls() []Rollout {
+// Rollouts returns the progress of all rollouts; empty while another process leads.
+func (l *Leader) Rollouts() []Rollout {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// Crashed records a crash report: the requests that were running when a target crashed.
-func (e *Entry) Crashed(now time.Time, c quarantine.Crash) {
+// AddCrash records a crash report: the requests that were running when a target crashed.
+func (e *Entry) AddCrash(now time.Time, c quarantine.Crash) {
 	for _, f := range c.Running {
 		event.Log(e.cfg.Log, event.RequestSuspect, "fingerprint", fingerprintText(f), "vm", c.Target)
 	}
--- a/experiment/choose.go
+++ b/experiment/choose.go
@@ -271,7 +271,7 @@
 	if h.Kind == directory.Store {
 		if e.unreachableUntil[h.Name] <= s.clock.now {
 			s.sources = append(s.sources, route.Source{
-				Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Store: true, LastSeen: h.Learned,
+				Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, Store: true, LastSeen: h.LastSeen,
 			})
 		}
 
@@ -281,10 +281,10 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		if c.Name == h.Name {
-			c.WarmTokens, c.WarmAt = max(c.WarmTokens, tokens), h.Learned
+			c.WarmTokens, c.WarmAt = max(c.WarmTokens, tokens), h.LastSeen
 
 			if s.ablation != EngineImports && !c.Suspected {
-				s.sources = append(s.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, LastSeen: h.Learned})
+				s.sources = append(s.sources, route.Source{Name: h.Name, DataCentre: h.DataCentre, Tokens: tokens, LastSeen: h.LastSeen})
 			}
 
 			return
--- a/experiment/move.go
+++ b/experiment/move.go
@@ -373,7 +373,7 @@
 	}
 
 	s.clock.after(eventDelay, func() {
-		s.dir.Learn(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
+		s.dir.Record(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
 			Kind: directory.Store, Name: st.name, DataCentre: st.dataCentre, Blocks: tokens / blockTokens,
 			Source: directory.Sealed, Version: strconv.Itoa(version),
 		})
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -102,7 +102,7 @@
 func (s *simulation) loseStore() {
 	st := s.stores[0]
 	st.fail()
-	s.clock.after(storeFailureDelay, func() { s.dir.ForgetHolder(directory.Store, st.name) })
+	s.clock.after(storeFailureDelay, func() { s.dir.RemoveHolder(directory.Store, st.name) })
 }
 
 func (s *simulation) scaleLinkRates(factor float64) {
@@ -117,7 +117,7 @@
 	s.eventsLost = false
 
 	for _, e := range s.engines {
-		s.dir.ForgetHolder(directory.Engine, e.name)
+		s.dir.RemoveHolder(directory.Engine, e.name)
 
 		for x := e.cache.lru.Back(); x != nil; x = x.Prev() {
 			s.reportCached(e, x.Value.(*cached).c)
@@ -146,7 +146,7 @@
 		e.loading = false
 		e.version++
 		e.cache.clear()
-		s.dir.ForgetHolder(directory.Engine, e.name)
+		s.dir.RemoveHolder(directory.Engine, e.name)
 		e.admit()
 		e.startChunk()
 	})
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -200,7 +200,7 @@
 	}
 
 	st.onDrop = func(c *conversation) {
-		s.clock.after(eventDelay, func() { s.dir.Forget(c.anchor, directory.Store, st.name, "") })
+		s.clock.after(eventDelay, func() { s.dir.Remove(c.anchor, directory.Store, st.name, "") })
 	}
 	s.stores = append(s.stores, st)
 }
@@ -401,7 +401,7 @@
 	tokens := e.cache.tokens(c)
 
 	s.sendEvent(func() {
-		s.dir.Learn(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
+		s.dir.Record(s.now(), c.anchor, c.blockHashes(tokens), directory.Holding{
 			Kind: directory.Engine, Name: e.name, DataCentre: e.dataCentre, Blocks: tokens / blockTokens,
 			Source: directory.Reported, Version: strconv.Itoa(e.version),
 		})
@@ -418,7 +418,7 @@
 		return
 	}
 
-	s.sendEvent(func() { s.dir.Forget(c.anchor, directory.Engine, e.name, "") })
+	s.sendEvent(func() { s.dir.Remove(c.anchor, directory.Engine, e.name, "") })
 }
 
 // recordReports records load reports of all engines every reportInterval until end.
--- a/wholepath/env_test.go
+++ b/wholepath/env_test.go
@@ -552,9 +552,9 @@
 	p := e.newProcess(name, "entry")
 	n := &entryNode{process: p, Entry: entry.New(entry.Config{
 		VM: name, DataCentre: dataCentre, Site: site, Settings: p.settings, Peers: p.dialer, VMs: p.vms,
-		Post: p.notices.Post, Log: e.logs.logger(name), Seed: uint64(i + 1),
+		ReportCrash: p.notices.Post, Log: e.logs.logger(name), Seed: uint64(i + 1),
 	})}
-	p.callbacks = callbacks{onList: n.OnList, onSettings: n.OnSettings, onCrash: n.Crashed}
+	p.callbacks = callbacks{onList: n.OnList, onSettings: n.OnSettings, onCrash: n.AddCrash}
 	n.serve(e)
 	e.startTasks(p, n.Run, func(ctx context.Context) { _ = p.server.Serve(ctx, n.Handle) })
 	e.registerVM(vm.Entry, name, "", strings.TrimPrefix(n.url, "http://"), p.server.Addr())
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithTimeout(e.t.Context(), drainTimeout)
 	defer cancel()
 
-	n.Leave()
+	n.StartDrain()
 
 	remaining := n.httpServer.Drain(ctx, drain.Stop{Short: func(time.Time) bool { return n.Active() == 0 }})
 	if remaining.Busy+remaining.Pending != 0 {
