--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -85,14 +85,14 @@
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
 		Holder: cfg.VM, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.Version}, Engine: platformClient, Entries: e, Fleet: e.roster,
-		Ring: members, VersionsSyncedAt: operators.Fresh, Log: log,
+		Ring: members, VersionsSyncedAt: operators.SyncedAt, Log: log,
 	})
 
 	meter := metrics.New(e.registry, metrics.Gauges{
 		Active:        func() float64 { return float64(e.gateway.Active()) },
 		Targets:       func() float64 { return float64(e.roster.Len()) },
 		ConfigVersion: func() float64 { return float64(e.gateway.ConfigVersion()) },
-		LogAge:        func() float64 { return time.Since(operators.Fresh()).Seconds() },
+		LogAge:        func() float64 { return time.Since(operators.SyncedAt()).Seconds() },
 		Dials:         func() float64 { return float64(e.pool.Dials()) },
 		VaultTokens:   func() float64 { held, _, _ := directory.Usage(); return float64(held) },
 		VaultCapacity: func() float64 { _, room, _ := directory.Usage(); return float64(room) },
@@ -102,17 +102,17 @@
 
 	e.gateway = gateway.New(gateway.Config{
 		DataCentre: cfg.DataCentre, Dialect: platform.Dialect{}, Roster: e.roster, Pool: e.pool, Vaults: directory,
-		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), ReportCrash: e.client.TellCrash,
+		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), ReportCrash: e.client.ReportCrash,
 		RetryRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RetryWindow: cfg.Bounds.RepeatWindow,
 		RetrySlack: cfg.Bounds.RepeatSlack, VersionDeadline: cfg.Bounds.Version,
 		SlowStartOverage: cfg.Bounds.SlowStartOverage, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 		HoldUntil: time.Now().Add(startupWindow), Meter: meter, Log: log,
-	}, operators.Fresh, e.registration.Since)
+	}, operators.SyncedAt, e.registration.RegisteredAt)
 
 	e.balancer = drain.NewBalancer(e.gateway.Ready)
 	e.addFollowers(source, operators, register, meter)
 	e.peers = exchange.NewServer(exchange.ServerConfig{
-		Members: members, Vaults: directory, Notice: e.onAnnouncement, Crash: e.gateway.AddReportedCrash, Add: e.registration.Add,
+		Members: members, Vaults: directory, OnAnnouncement: e.onAnnouncement, OnCrash: e.gateway.AddReportedCrash, Register: e.registration.Add,
 		Topics: map[string]*mirror.Topic{platform.OperatorTopic: operators, platform.RegisterTopic: register},
 	})
 
@@ -124,7 +124,7 @@
 	publications := &platform.Publications{
 		Configured: e.applyConfiguration,
 		Named: func(now time.Time, v platform.WeightVersion) {
-			before := operators.Before()
+			before := operators.LatestUpdateAfter()
 			e.gateway.VersionNamed(now, v.Model, v.Version, before)
 			e.standby.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: before.IsZero()})
 			e.watcher.SetNewestVersion(now, v.Model, v.Version, v.Offset)
@@ -137,11 +137,11 @@
 	e.followers = []*mirror.Follower{
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Wait: operatorReadWait, OnNews: publications.Take, Log: e.log,
+			LoadWait: e.loadWait(), Wait: operatorReadWait, OnChanges: publications.Take, Log: e.log,
 		}),
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.RegisterTopic, Topic: register, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Every: registerReadPause(e.cfg.Bounds.Drain), OnNews: listings.Take, OnAway: e.roster.SetLogUnavailable, Log: e.log,
+			LoadWait: e.loadWait(), ReadPause: registerReadPause(e.cfg.Bounds.Drain), OnChanges: listings.Take, OnOutage: e.roster.SetLogUnavailable, Log: e.log,
 		}),
 	}
 }
@@ -161,7 +161,7 @@
 	if e.cfg.Bootstrap {
 		e.client.WaitConverged(ctx, bootstrapViewWait)
 	} else {
-		e.client.WaitAnswered(ctx, restartViewWait)
+		e.client.WaitFirstResponse(ctx, restartViewWait)
 	}
 }
 
@@ -221,7 +221,7 @@
 }
 
 // onAnnouncement handles the announcement that an engine is to load a version or has loaded it.
-func (e *gatewayProcess) onAnnouncement(now time.Time, n exchange.Notice) {
+func (e *gatewayProcess) onAnnouncement(now time.Time, n exchange.VersionAnnouncement) {
 	id, ok := e.roster.ByAddress(n.Address)
 	if !ok {
 		return
@@ -237,7 +237,7 @@
 // Tell announces to all entries, this one included, that a target which this entry orders to
 // load a version is about to load it or has loaded it.
 func (e *gatewayProcess) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
-	e.onAnnouncement(time.Now(), exchange.Notice{Address: address, Model: model, Version: version, Loaded: loaded})
+	e.onAnnouncement(time.Now(), exchange.VersionAnnouncement{Address: address, Model: model, Version: version, Loaded: loaded})
 	e.client.Tell(ctx, address, model, version, loaded)
 }
 
@@ -257,12 +257,12 @@
 
 // Registered reads from the log the addresses of all other registered entries.
 func (p storePeers) Registered(ctx context.Context) ([]string, error) {
-	return p.registration.All(ctx, p.self)
+	return p.registration.Addresses(ctx, p.self)
 }
 
 // Knows reports whether an entry has read the operators' topic up to an offset.
 func (p storePeers) Knows(ctx context.Context, peer string, offset int64) bool {
-	return p.Client.Knows(ctx, peer, platform.OperatorTopic, offset)
+	return p.Client.HasRead(ctx, peer, platform.OperatorTopic, offset)
 }
 
 // tick runs periodic work until ctx ends.
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -62,13 +62,13 @@
 			guard.AssumeCold(now)
 		},
 		Named: func(_ time.Time, v platform.WeightVersion) {
-			l.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: operators.Before().IsZero()})
+			l.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: operators.LatestUpdateAfter().IsZero()})
 		},
 		Log: log,
 	}
 	follower := mirror.NewFollower(mirror.FollowerConfig{
 		Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: client, Relay: exchange.NewSubscriber(client, cfg.VM), LoadWait: sideLoadWait,
-		Wait: sideOperatorReadWait, AskEvery: sidePeerInterval, OnNews: publications.Take, Log: log,
+		Wait: sideOperatorReadWait, PeerInterval: sidePeerInterval, OnChanges: publications.Take, Log: log,
 	})
 
 	partsFollower := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: platformClient})
--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -195,7 +195,7 @@
 		return mirror.Batch{}, err
 	}
 
-	b := mirror.Batch{Records: records, End: r.End, Whole: false}
+	b := mirror.Batch{Records: records, End: r.End, Snapshot: false}
 	if r.AgeMs >= 0 {
 		// The response was created at least HeldMs after the request was sent, and its records
 		// were AgeMs old then.
@@ -283,7 +283,7 @@
 	go func() {
 		defer close(done)
 
-		broadcast(ctx, c, noticePath, Notice{Address: address, Model: model, Version: version, Loaded: loaded})
+		broadcast(ctx, c, noticePath, VersionAnnouncement{Address: address, Model: model, Version: version, Loaded: loaded})
 	}()
 
 	select {
@@ -292,10 +292,10 @@
 	}
 }
 
-// TellCrash reports to all entries which requests were running on a target when it crashed. An
+// ReportCrash reports to all entries which requests were running on a target when it crashed. An
 // entry that doesn't receive the report learns of a request that crashes targets only when it sends
 // that request to a target itself.
-func (c *Client) TellCrash(crash quarantine.Crash) {
+func (c *Client) ReportCrash(crash quarantine.Crash) {
 	broadcast(context.Background(), c, crashPath, crash)
 }
 
@@ -362,9 +362,9 @@
 	return err
 }
 
-// Knows reports whether an entry has read a topic up to and including an offset. It returns false
+// HasRead reports whether an entry has read a topic up to and including an offset. It returns false
 // if the entry doesn't respond.
-func (c *Client) Knows(ctx context.Context, peer, topic string, offset int64) bool {
+func (c *Client) HasRead(ctx context.Context, peer, topic string, offset int64) bool {
 	b, err := c.fetchRecords(ctx, peer, topic, offset, 0)
 
 	return err == nil && b.End > offset
@@ -463,9 +463,9 @@
 	}
 }
 
-// WaitAnswered waits until Run has received the members of another entry, the timeout has passed
+// WaitFirstResponse waits until Run has received the members of another entry, the timeout has passed
 // or ctx ends.
-func (c *Client) WaitAnswered(ctx context.Context, timeout time.Duration) {
+func (c *Client) WaitFirstResponse(ctx context.Context, timeout time.Duration) {
 	waitForClose(ctx, c.responded, timeout)
 }
 
--- a/mirror/exchange/compress_test.go
+++ b/mirror/exchange/compress_test.go
@@ -68,7 +68,7 @@
 func TestLongRecordsArePassedOn(t *testing.T) {
 	e := newEntry(t)
 	value := routes(2200)
-	e.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: value, Offset: 0}}, End: 1, Whole: true, AsOf: time.Now()})
+	e.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: value, Offset: 0}}, End: 1, Snapshot: true, AsOf: time.Now()})
 
 	b, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 0, time.Second)
 	if err != nil || len(b.Records) != 1 || !bytes.Equal(b.Records[0].Value, value) {
--- a/mirror/exchange/exchange.go
+++ b/mirror/exchange/exchange.go
@@ -63,8 +63,8 @@
 	AgeMs int64
 }
 
-// Notice announces a change of an engine's weights.
-type Notice struct {
+// VersionAnnouncement announces a change of an engine's weights.
+type VersionAnnouncement struct {
 	// Address is the engine's address.
 	Address string `cbor:"1,keyasint"`
 	// Model and Version identify the weights.
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -24,16 +24,16 @@
 	address string
 
 	mu      sync.Mutex
-	notices []Notice
+	notices []VersionAnnouncement
 	crashes chan quarantine.Crash
 }
 
 // received returns the notices received so far.
-func (e *testEntry) received() []Notice {
+func (e *testEntry) received() []VersionAnnouncement {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return append([]Notice{}, e.notices...)
+	return append([]VersionAnnouncement{}, e.notices...)
 }
 
 func newEntry(t *testing.T, seeds ...string) *testEntry {
@@ -45,13 +45,13 @@
 	e.members = NewMembers(e.address, seeds)
 	s.Config.Handler = NewServer(ServerConfig{
 		Members: e.members, Topics: map[string]*mirror.Topic{"t": &e.topic}, Vaults: e.vaults,
-		Notice: func(_ time.Time, n Notice) {
+		OnAnnouncement: func(_ time.Time, n VersionAnnouncement) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 
 			e.notices = append(e.notices, n)
 		},
-		Crash: func(_ time.Time, c quarantine.Crash) { e.crashes <- c },
+		OnCrash: func(_ time.Time, c quarantine.Crash) { e.crashes <- c },
 	})
 	s.Start()
 	t.Cleanup(s.Close)
@@ -169,7 +169,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 
-	if got := e.received(); len(got) != 1 || got[0] != (Notice{Address: "10.0.0.1:80", Model: "m", Version: 2}) {
+	if got := e.received(); len(got) != 1 || got[0] != (VersionAnnouncement{Address: "10.0.0.1:80", Model: "m", Version: 2}) {
 		t.Errorf("got notices %v", got)
 	}
 }
@@ -240,7 +240,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := newEntry(t)
-			e.topic.Merge(mirror.Batch{End: 7, Whole: true, AsOf: time.Now().Add(-tt.age)})
+			e.topic.Merge(mirror.Batch{End: 7, Snapshot: true, AsOf: time.Now().Add(-tt.age)})
 			time.AfterFunc(20*time.Millisecond, func() { e.topic.Merge(tt.later) })
 
 			b, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 7, 200*time.Millisecond)
@@ -302,7 +302,7 @@
 	e := newEntry(t)
 	want := quarantine.Crash{Target: "t1", Boot: "t1", Running: []quarantine.Fingerprint{quarantine.Of("ferry", []byte("poison"))}}
 
-	NewClient(NewMembers("", []string{e.address})).TellCrash(want)
+	NewClient(NewMembers("", []string{e.address})).ReportCrash(want)
 
 	if got := <-e.crashes; got.Target != want.Target || len(got.Running) != 1 || got.Running[0] != want.Running[0] {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -324,7 +324,7 @@
 
 	for _, tt := range tests {
 		topic, now := &mirror.Topic{}, time.Now()
-		topic.Merge(mirror.Batch{End: 1, Whole: true, AsOf: now.Add(-tt.age)})
+		topic.Merge(mirror.Batch{End: 1, Snapshot: true, AsOf: now.Add(-tt.age)})
 
 		waitForRecords(context.Background(), now, topic, 1, wait)
 
--- a/mirror/exchange/registration.go
+++ b/mirror/exchange/registration.go
@@ -164,9 +164,9 @@
 	close(batch.done)
 }
 
-// Since returns when the log had accepted the entry's address; zero before that. Records read from
+// RegisteredAt returns when the log had accepted the entry's address; zero before that. Records read from
 // the log earlier may be older than the registration.
-func (r *Registration) Since() time.Time {
+func (r *Registration) RegisteredAt() time.Time {
 	if t := r.since.Load(); t != nil {
 		return *t
 	}
@@ -174,9 +174,9 @@
 	return time.Time{}
 }
 
-// All reads the addresses of all entries ever registered from the log, without self. For each name
+// Addresses reads the addresses of all entries ever registered from the log, without self. For each name
 // it returns the latest address.
-func (r *Registration) All(ctx context.Context, self string) ([]string, error) {
+func (r *Registration) Addresses(ctx context.Context, self string) ([]string, error) {
 	c, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
 
--- a/mirror/exchange/registration_test.go
+++ b/mirror/exchange/registration_test.go
@@ -154,7 +154,7 @@
 		wg.Go(func() { r.Run(ctx, "a", "a") })
 		time.Sleep(5 * time.Second)
 
-		if got := r.Since(); !got.IsZero() {
+		if got := r.RegisteredAt(); !got.IsZero() {
 			t.Errorf("entry registered at %v while the log is down", got)
 		}
 
@@ -164,7 +164,7 @@
 
 		time.Sleep(2 * registrationTimeout)
 
-		if r.Since().IsZero() || !log.keys["a"] {
+		if r.RegisteredAt().IsZero() || !log.keys["a"] {
 			t.Errorf("entry not registered after the log is available again")
 		}
 
--- a/mirror/exchange/relay_test.go
+++ b/mirror/exchange/relay_test.go
@@ -50,7 +50,7 @@
 	s.mu.Unlock()
 
 	b := s.since(0)
-	b.Whole = true
+	b.Snapshot = true
 
 	return b, nil
 }
@@ -182,7 +182,7 @@
 
 				go mirror.NewFollower(mirror.FollowerConfig{
 					Name: "op", Topic: &p.topic, Source: log, Relay: p, Wait: wait, LoadWait: 3 * time.Second,
-					OnNews: func(time.Time, []mirror.Record) {}, Log: logr.Discard(),
+					OnChanges: func(time.Time, []mirror.Record) {}, Log: logr.Discard(),
 				}).Run(ctx)
 			}
 
--- a/mirror/exchange/server.go
+++ b/mirror/exchange/server.go
@@ -20,7 +20,7 @@
 	mux        *http.ServeMux
 	members    *Members
 	topics     map[string]*mirror.Topic
-	notice     func(now time.Time, n Notice)
+	notice     func(now time.Time, n VersionAnnouncement)
 	crash      func(now time.Time, c quarantine.Crash)
 	add        func(ctx context.Context, entry Registrant) error
 	vaults     *vault.Directory
@@ -35,21 +35,21 @@
 	Topics map[string]*mirror.Topic
 	// Vaults holds the known contents of the stores.
 	Vaults *vault.Directory
-	// Notice is called with the announcements of changes of engines' weights.
-	Notice func(now time.Time, n Notice)
-	// Crash is called with the crash reports of other entries.
-	Crash func(now time.Time, c quarantine.Crash)
-	// Add registers another entry. If nil, requests to register entries are refused.
-	Add func(ctx context.Context, entry Registrant) error
+	// OnAnnouncement is called with the announcements of changes of engines' weights.
+	OnAnnouncement func(now time.Time, n VersionAnnouncement)
+	// OnCrash is called with the crash reports of other entries.
+	OnCrash func(now time.Time, c quarantine.Crash)
+	// Register registers another entry. If nil, requests to register entries are refused.
+	Register func(ctx context.Context, entry Registrant) error
 }
 
 // NewServer returns a Server with the given configuration.
 func NewServer(cfg ServerConfig) *Server {
-	s := &Server{mux: http.NewServeMux(), members: cfg.Members, topics: cfg.Topics, notice: cfg.Notice, crash: cfg.Crash, add: cfg.Add, vaults: cfg.Vaults}
+	s := &Server{mux: http.NewServeMux(), members: cfg.Members, topics: cfg.Topics, notice: cfg.OnAnnouncement, crash: cfg.OnCrash, add: cfg.Register, vaults: cfg.Vaults}
 	s.mux.HandleFunc("POST "+vaultsPath, s.storeUpdates)
 	s.mux.HandleFunc("GET "+recordsPath, s.records)
 	s.mux.HandleFunc("POST "+entriesPath, s.register)
-	s.mux.HandleFunc("POST "+noticePath, handleMessage(func(n Notice) { s.notice(time.Now(), n) }))
+	s.mux.HandleFunc("POST "+noticePath, handleMessage(func(n VersionAnnouncement) { s.notice(time.Now(), n) }))
 	s.mux.HandleFunc("POST "+crashPath, handleMessage(func(c quarantine.Crash) { s.crash(time.Now(), c) }))
 
 	return s
@@ -141,7 +141,7 @@
 // if they are older already. The records of a process that reads the log by long polls are up to
 // two of its own waits old.
 func waitForRecords(ctx context.Context, now time.Time, t *mirror.Topic, from int64, wait time.Duration) mirror.Batch {
-	wait = min(wait, 2*wait-now.Sub(t.Fresh()))
+	wait = min(wait, 2*wait-now.Sub(t.SyncedAt()))
 
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/mirror/exchange/start_test.go
+++ b/mirror/exchange/start_test.go
@@ -133,11 +133,11 @@
 		}
 	}()
 
-	c.WaitAnswered(ctx, viewWait)
+	c.WaitFirstResponse(ctx, viewWait)
 
 	mirror.NewFollower(mirror.FollowerConfig{
 		Name: "register", Topic: &p.topic, Source: source, Relay: p, Wait: 500 * time.Millisecond, LoadWait: loadWait,
-		OnNews: func(time.Time, []mirror.Record) {}, Log: logr.Discard(),
+		OnChanges: func(time.Time, []mirror.Record) {}, Log: logr.Discard(),
 	}).Run(ctx)
 }
 
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -82,18 +82,18 @@
 	// Wait is how long one read of the log waits for a record. It bounds the time until an
 	// unresponsive connection is detected.
 	Wait time.Duration
-	// Every is the pause between two reads of the log; zero continues at once.
-	Every time.Duration
-	// AskEvery is the interval at which the Peers are asked while the log responds, unless
+	// ReadPause is the pause between two reads of the log; zero continues at once.
+	ReadPause time.Duration
+	// PeerInterval is the interval at which the Peers are asked while the log responds, unless
 	// the topic is known to have been current within that interval. Zero asks them only
 	// when the log doesn't respond.
-	AskEvery time.Duration
-	// OnNews is called with the changed records in order of offset, one call at a time.
-	OnNews func(now time.Time, changes []Record)
-	// OnAway is called with true at the start of an outage, when a read of the log fails, and with
+	PeerInterval time.Duration
+	// OnChanges is called with the changed records in order of offset, one call at a time.
+	OnChanges func(now time.Time, changes []Record)
+	// OnOutage is called with true at the start of an outage, when a read of the log fails, and with
 	// false at its end, when the log or an assigned process returns current records. If nil, it
 	// isn't called.
-	OnAway func(now time.Time, unavailable bool)
+	OnOutage func(now time.Time, unavailable bool)
 	// Log receives an event at the start and at the end of an outage.
 	Log logr.Logger
 }
@@ -169,7 +169,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	go f.fetchFromPeers(ctx)
 
-	if f.cfg.AskEvery > 0 {
+	if f.cfg.PeerInterval > 0 {
 		go f.fetchPeriodically(ctx)
 	}
 
@@ -186,7 +186,7 @@
 		if err == nil {
 			f.markRecovered(now)
 			f.merge(now, b)
-			pause.For(ctx, f.cfg.Every)
+			pause.For(ctx, f.cfg.ReadPause)
 
 			continue
 		}
@@ -228,7 +228,7 @@
 			done()
 
 			if now := time.Now(); err == nil && now.Sub(b.AsOf) < a.staleAfter() {
-				b.Whole = true
+				b.Snapshot = true
 				f.merge(now, b)
 
 				return
@@ -335,8 +335,8 @@
 // fetchPeriodically asks the peers while reads of the log wait, since an unresponsive connection
 // is detected only after Wait. It skips intervals in which the topic was up to date.
 func (f *Follower) fetchPeriodically(ctx context.Context) {
-	for pause.For(ctx, f.cfg.AskEvery) {
-		if time.Since(f.cfg.Topic.Fresh()) >= f.cfg.AskEvery {
+	for pause.For(ctx, f.cfg.PeerInterval) {
+		if time.Since(f.cfg.Topic.SyncedAt()) >= f.cfg.PeerInterval {
 			f.fetchFromPeers(ctx)
 		}
 	}
@@ -348,7 +348,7 @@
 
 	changes := f.cfg.Topic.Merge(b)
 	if len(changes) > 0 {
-		f.cfg.OnNews(now, changes)
+		f.cfg.OnChanges(now, changes)
 	}
 }
 
@@ -360,8 +360,8 @@
 
 	f.lostSince = now
 
-	if f.cfg.OnAway != nil {
-		f.cfg.OnAway(now, true)
+	if f.cfg.OnOutage != nil {
+		f.cfg.OnOutage(now, true)
 	}
 
 	event.Fail(f.cfg.Log, err, event.TopicLost, "topic", f.cfg.Name, "offset", f.cfg.Topic.End())
@@ -376,7 +376,7 @@
 	event.Log(f.cfg.Log, event.TopicRegained, "topic", f.cfg.Name, "after_ms", now.Sub(f.lostSince).Milliseconds())
 	f.lostSince = time.Time{}
 
-	if f.cfg.OnAway != nil {
-		f.cfg.OnAway(now, false)
+	if f.cfg.OnOutage != nil {
+		f.cfg.OnOutage(now, false)
 	}
 }
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -50,7 +50,7 @@
 		return Batch{}, errDown
 	}
 
-	b := Batch{Whole: true, End: int64(len(l.records))}
+	b := Batch{Snapshot: true, End: int64(len(l.records))}
 	newest := map[string]Record{}
 
 	for _, r := range l.records {
@@ -58,7 +58,7 @@
 	}
 
 	for _, r := range newest {
-		if !r.Dropped() {
+		if !r.Deleted() {
 			b.Records = append(b.Records, r)
 		}
 	}
@@ -129,8 +129,8 @@
 
 		f := NewFollower(FollowerConfig{
 			Name: "t", Topic: &topic, Source: log, Peers: peers, Wait: time.Second,
-			OnNews: func(time.Time, []Record) {},
-			OnAway: func(_ time.Time, outage bool) {
+			OnChanges: func(time.Time, []Record) {},
+			OnOutage: func(_ time.Time, outage bool) {
 				mu.Lock()
 				defer mu.Unlock()
 
--- a/mirror/relay_test.go
+++ b/mirror/relay_test.go
@@ -32,7 +32,7 @@
 
 	s.calls++
 
-	return Batch{Whole: true, End: s.end}, nil
+	return Batch{Snapshot: true, End: s.end}, nil
 }
 
 func (s *countingSource) Read(ctx context.Context, _ string, from int64, wait time.Duration) (Batch, error) {
@@ -122,7 +122,7 @@
 				source, relay, topic := &countingSource{}, &fakeRelay{value: "1"}, &Topic{}
 				f := NewFollower(FollowerConfig{
 					Name: "op", Topic: topic, Source: source, Relay: relay, Wait: 500 * time.Millisecond,
-					OnNews: func(time.Time, []Record) {}, Log: logr.Discard(),
+					OnChanges: func(time.Time, []Record) {}, Log: logr.Discard(),
 				})
 
 				ctx, cancel := context.WithCancel(context.Background())
@@ -141,7 +141,7 @@
 					t.Errorf("got log reads %v, want %v", got, tt.reads)
 				}
 
-				if age := time.Since(topic.Fresh()); age > 1700*time.Millisecond {
+				if age := time.Since(topic.SyncedAt()); age > 1700*time.Millisecond {
 					t.Errorf("got records that are %v old, want at most 1.7s", age)
 				}
 
@@ -156,7 +156,7 @@
 // and they would be most of the traffic of an entry.
 func TestHeartbeatsAreNoNews(t *testing.T) {
 	topic := NewTopic(func(old, value []byte) bool { return old[0] == value[0] })
-	topic.Merge(Batch{Records: []Record{{Key: "a", Value: []byte("x1"), Offset: 0}}, End: 1, Whole: true})
+	topic.Merge(Batch{Records: []Record{{Key: "a", Value: []byte("x1"), Offset: 0}}, End: 1, Snapshot: true})
 
 	tests := []struct {
 		name    string
@@ -215,7 +215,7 @@
 		topic := &Topic{}
 		f := NewFollower(FollowerConfig{
 			Name: "op", Topic: topic, Source: &unresponsiveSource{}, Peers: &delayedPeers{from: time.Now().Add(time.Second)},
-			Wait: time.Hour, AskEvery: 3 * time.Second, OnNews: func(time.Time, []Record) {}, Log: logr.Discard(),
+			Wait: time.Hour, PeerInterval: 3 * time.Second, OnChanges: func(time.Time, []Record) {}, Log: logr.Discard(),
 		})
 
 		ctx, cancel := context.WithCancel(context.Background())
@@ -288,7 +288,7 @@
 				source, topic := &countingSource{}, &Topic{}
 				f := NewFollower(FollowerConfig{
 					Name: "op", Topic: topic, Source: source, Relay: &startupRelay{tt.failing, tt.loaded}, LoadWait: loadWait,
-					Wait: 15 * time.Second, OnNews: func(time.Time, []Record) {}, Log: logr.Discard(),
+					Wait: 15 * time.Second, OnChanges: func(time.Time, []Record) {}, Log: logr.Discard(),
 				})
 
 				ctx, cancel := context.WithCancel(t.Context())
--- a/mirror/slow_test.go
+++ b/mirror/slow_test.go
@@ -34,7 +34,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return Batch{Whole: true, End: l.end}, nil
+	return Batch{Snapshot: true, End: l.end}, nil
 }
 
 // awaitChange returns the newest value as soon as there is a record at or after an offset, or
@@ -93,7 +93,7 @@
 		topic := &Topic{}
 		f := NewFollower(FollowerConfig{
 			Name: "t", Topic: topic, Source: l, Wait: 500 * time.Millisecond,
-			OnNews: func(time.Time, []Record) {}, Log: logr.Discard(),
+			OnChanges: func(time.Time, []Record) {}, Log: logr.Discard(),
 		})
 
 		ctx, cancel := context.WithCancel(t.Context())
--- a/mirror/stateful_test.go
+++ b/mirror/stateful_test.go
@@ -72,10 +72,10 @@
 			},
 			"read snapshot": func(t *rapid.T) {
 				end := int64(len(log.records))
-				b := Batch{Whole: true, End: end}
+				b := Batch{Snapshot: true, End: end}
 
 				for _, r := range log.newest(end) {
-					if !r.Dropped() {
+					if !r.Deleted() {
 						b.Records = append(b.Records, r)
 					}
 				}
@@ -84,8 +84,8 @@
 
 				for k, want := range log.newest(end) {
 					got, ok := topic.Get(k)
-					if ok == want.Dropped() {
-						t.Fatalf("%s: got the key present %v, want %v", k, ok, !want.Dropped())
+					if ok == want.Deleted() {
+						t.Fatalf("%s: got the key present %v, want %v", k, ok, !want.Deleted())
 					}
 
 					if ok && string(got.Value) != string(want.Value) {
@@ -116,13 +116,13 @@
 	topic.Merge(Batch{AsOf: at.Add(time.Second)})
 	topic.Merge(Batch{AsOf: at})
 
-	if got, want := topic.Fresh(), at.Add(time.Second); !got.Equal(want) {
+	if got, want := topic.SyncedAt(), at.Add(time.Second); !got.Equal(want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 
 	topic.Merge(Batch{Records: []Record{{Key: "version/a", Value: []byte("2"), Offset: 4}}, End: 5, AsOf: at.Add(3 * time.Second)})
 
-	if got, want := topic.Before(), at.Add(time.Second); !got.Equal(want) {
+	if got, want := topic.LatestUpdateAfter(), at.Add(time.Second); !got.Equal(want) {
 		t.Errorf("before the change: got %v, want %v", got, want)
 	}
 }
--- a/mirror/topic.go
+++ b/mirror/topic.go
@@ -36,8 +36,8 @@
 	Offset int64 `cbor:"3,keyasint"`
 }
 
-// Dropped reports whether the record deletes its key.
-func (r Record) Dropped() bool { return len(r.Value) == 0 }
+// Deleted reports whether the record deletes its key.
+func (r Record) Deleted() bool { return len(r.Value) == 0 }
 
 // Batch is the result of one read of the log or one poll of another process.
 type Batch struct {
@@ -45,8 +45,8 @@
 	Records []Record
 	// End is the offset after the last record that the read covers.
 	End int64
-	// Whole is set if the batch is a snapshot: Records contains every key that exists at End.
-	Whole bool
+	// Snapshot is set if the batch is a snapshot: Records contains every key that exists at End.
+	Snapshot bool
 	// AsOf is a time at which the batch is known to have been up to date; zero if there is none.
 	AsOf time.Time
 }
@@ -80,7 +80,7 @@
 
 // unchanged reports whether the content of record r is equivalent to that of the old record.
 func (t *Topic) unchanged(old, r Record) bool {
-	return t.equivalent != nil && !old.Dropped() && !r.Dropped() && t.equivalent(old.Value, r.Value)
+	return t.equivalent != nil && !old.Deleted() && !r.Deleted() && t.equivalent(old.Value, r.Value)
 }
 
 // Merge adds a batch and returns the records that changed the content of a key, in order of
@@ -94,12 +94,12 @@
 	}
 
 	changes := t.apply(b.Records)
-	if b.Whole {
+	if b.Snapshot {
 		changes = append(changes, t.deleteMissing(b)...)
 	}
 
 	t.end = max(t.end, b.End)
-	t.loaded = t.loaded || b.Whole
+	t.loaded = t.loaded || b.Snapshot
 
 	if len(changes) > 0 {
 		t.latestUpdateAfter = t.syncedAt
@@ -137,11 +137,11 @@
 			continue
 		}
 
-		if known && old.Dropped() {
+		if known && old.Deleted() {
 			t.tombstones--
 		}
 
-		if r.Dropped() {
+		if r.Deleted() {
 			t.tombstones++
 		}
 
@@ -164,7 +164,7 @@
 	var deleted []Record
 
 	for key, r := range t.records {
-		if !present[key] && !r.Dropped() && r.Offset < b.End {
+		if !present[key] && !r.Deleted() && r.Offset < b.End {
 			deleted = append(deleted, Record{Key: key, Offset: b.End - 1})
 		}
 	}
@@ -182,7 +182,7 @@
 	var tombstones []Record
 
 	for _, r := range t.records {
-		if r.Dropped() {
+		if r.Deleted() {
 			tombstones = append(tombstones, r.Record)
 		}
 	}
@@ -220,7 +220,7 @@
 
 	r, ok := t.records[key]
 
-	return r.Record, ok && !r.Dropped()
+	return r.Record, ok && !r.Deleted()
 }
 
 // Changed returns a channel that is closed when the next change is merged.
@@ -252,19 +252,19 @@
 	return t.loaded
 }
 
-// Fresh returns the latest time at which the topic is known to have been up to date; zero if
+// SyncedAt returns the latest time at which the topic is known to have been up to date; zero if
 // there is none.
-func (t *Topic) Fresh() time.Time {
+func (t *Topic) SyncedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	return t.syncedAt
 }
 
-// Before returns a time at which the records of the latest merged change were not yet in the
+// LatestUpdateAfter returns a time at which the records of the latest merged change were not yet in the
 // log: the value of Fresh before they were merged. It is zero if the topic had never been up to
 // date before.
-func (t *Topic) Before() time.Time {
+func (t *Topic) LatestUpdateAfter() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
