--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -49,7 +49,7 @@
 	client       *exchange.Client
 	peers        *exchange.Server
 	registration *exchange.Registration
-	balancer     *drain.Balancer
+	balancer     *drain.HealthCheck
 	registry     *prometheus.Registry
 
 	followers []*mirror.Follower
@@ -102,14 +102,14 @@
 
 	e.gateway = gateway.New(gateway.Config{
 		DataCentre: cfg.DataCentre, Dialect: platform.Dialect{}, Roster: e.roster, Pool: e.pool, Vaults: directory,
-		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{Crashes: quarantineCrashes}), ReportCrash: e.client.ReportCrash,
+		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{CrashLimit: quarantineCrashes}), ReportCrash: e.client.ReportCrash,
 		RetryRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RetryWindow: cfg.Bounds.RepeatWindow,
 		RetrySlack: cfg.Bounds.RepeatSlack, VersionDeadline: cfg.Bounds.Version,
 		SlowStartOverage: cfg.Bounds.SlowStartOverage, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 		HoldUntil: time.Now().Add(startupWindow), Meter: meter, Log: log,
 	}, operators.SyncedAt, e.registration.RegisteredAt)
 
-	e.balancer = drain.NewBalancer(e.gateway.Ready)
+	e.balancer = drain.NewHealthCheck(e.gateway.Ready)
 	e.addFollowers(source, operators, register, meter)
 	e.peers = exchange.NewServer(exchange.ServerConfig{
 		Members: members, Vaults: directory, OnAnnouncement: e.onAnnouncement, OnCrash: e.gateway.AddReportedCrash, Register: e.registration.Add,
@@ -386,14 +386,14 @@
 	end := began.Add(e.cfg.Bounds.Grace - exitMargin)
 
 	event.Log(e.log, event.ProcessStopping, "requests", e.gateway.Active())
-	e.balancer.Leave(began)
+	e.balancer.StartDrain(began)
 	e.gateway.Stop()
 
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 
-	n := callers.Drain(ctx, drain.Stop{
-		Released: e.balancer.Released, Closing: func() { e.gateway.StartDrain(time.Now(), end.Add(-lastResponsesMargin)) }, Short: e.gateway.MayClosePort,
+	n := callers.Drain(ctx, drain.Options{
+		Deregistered: e.balancer.Deregistered, OnDeregistered: func() { e.gateway.StartDrain(time.Now(), end.Add(-lastResponsesMargin)) }, MayClosePort: e.gateway.MayClosePort,
 	})
 
 	event.Log(e.log, event.PortClosed, "opened", n.Opened, "busy", n.Busy, "idle", n.Idle, "pending", n.Pending)
--- a/cmd/boragehub/process.go
+++ b/cmd/boragehub/process.go
@@ -214,9 +214,9 @@
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 
-	n := callers.Drain(ctx, drain.Stop{
-		Released: func(now time.Time) bool { return !now.Before(noticed) },
-		Short:    func(now time.Time) bool { return p.entry.Active() == 0 || !now.Before(halfTime) },
+	n := callers.Drain(ctx, drain.Options{
+		Deregistered: func(now time.Time) bool { return !now.Before(noticed) },
+		MayClosePort: func(now time.Time) bool { return p.entry.Active() == 0 || !now.Before(halfTime) },
 	})
 	event.Log(p.log, event.PortClosed, "opened", n.Opened, "busy", n.Busy, "idle", n.Idle, "pending", n.Pending)
 
--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -107,7 +107,7 @@
 func provideCrashFeed(cfg setting.Process, log logr.Logger, j *journal.Client, h *updateHandlers) *notice.Feed {
 	c := notice.Config{Log: j, Logger: log}
 	if cfg.Role == setting.EntryRole {
-		c.Heard = func(k quarantine.Crash) { h.onCrash(time.Now(), k) }
+		c.OnCrash = func(k quarantine.Crash) { h.onCrash(time.Now(), k) }
 	}
 
 	return notice.New(c)
@@ -229,7 +229,7 @@
 		Address:      u.Host,
 		DrainTimeout: time.Duration(cfg.Limits.DrainTimeout),
 		Settings:     settings,
-		Post:         feed.Post,
+		PostCrash:    feed.Post,
 		Peers:        d,
 		VMs:          list,
 		Views:        views,
--- a/drain/balancer.go
+++ b/drain/balancer.go
@@ -18,13 +18,13 @@
 	maxHealthCheckWait = 3 * time.Second
 )
 
-// Balancer answers the health checks of a load balancer, and determines when the balancer
+// HealthCheck answers the health checks of a load balancer, and determines when the balancer
 // has seen enough failed checks to send no more callers. Waiting a fixed time instead would
 // nearly always take longer than needed; while many processes are restarted one after the
 // other, more of them would be out of service at once, and callers would find none.
 //
 // It is an http.Handler. Create it with NewBalancer.
-type Balancer struct {
+type HealthCheck struct {
 	ready func() bool
 
 	mu          sync.Mutex
@@ -33,21 +33,21 @@
 	lastRefusal time.Time // time of the last failed check
 }
 
-// NewBalancer returns a Balancer. Until Leave is called, ready reports whether callers may
+// NewHealthCheck returns a Balancer. Until Leave is called, ready reports whether callers may
 // be sent to this process.
-func NewBalancer(ready func() bool) *Balancer { return &Balancer{ready: ready} }
+func NewHealthCheck(ready func() bool) *HealthCheck { return &HealthCheck{ready: ready} }
 
-// Leave begins a drain: all health checks fail from now on.
-func (b *Balancer) Leave(now time.Time) {
+// StartDrain begins a drain: all health checks fail from now on.
+func (b *HealthCheck) StartDrain(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	b.drainStart = now
 }
 
-// Released reports whether a drain has begun and the balancer, if it acts on the checks as
+// Deregistered reports whether a drain has begun and the balancer, if it acts on the checks as
 // expected, sends no more callers.
-func (b *Balancer) Released(now time.Time) bool {
+func (b *HealthCheck) Deregistered(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -59,7 +59,7 @@
 }
 
 // ServeHTTP responds with status 200 if callers may be sent here, otherwise 503.
-func (b *Balancer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (b *HealthCheck) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if b.accepts(time.Now()) {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // accepts reports whether callers may be sent here, and counts a failed check.
-func (b *Balancer) accepts(now time.Time) bool {
+func (b *HealthCheck) accepts(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -103,38 +103,38 @@
 	return err
 }
 
-// Leave announces a drain: from now on each response closes its connection.
-func (s *Server) Leave() { s.draining.Store(true) }
-
-// Stop configures a drain. A nil function means that there is nothing to wait for or to do.
-type Stop struct {
-	// Released reports whether, as far as is known, no new callers are sent here any more.
-	Released func(now time.Time) bool
-	// Closing is called once Released is true and KeepAlive has passed, so that all callers
+// StartDrain announces a drain: from now on each response closes its connection.
+func (s *Server) StartDrain() { s.draining.Store(true) }
+
+// Options configures a drain. A nil function means that there is nothing to wait for or to do.
+type Options struct {
+	// Deregistered reports whether, as far as is known, no new callers are sent here any more.
+	Deregistered func(now time.Time) bool
+	// OnDeregistered is called once Released is true and KeepAlive has passed, so that all callers
 	// can know of the drain, or when ctx has ended: later requests may be refused.
-	Closing func()
-	// Short reports whether all requests in flight end soon, so that the port may be closed.
-	Short func(now time.Time) bool
+	OnDeregistered func()
+	// MayClosePort reports whether all requests in flight end soon, so that the port may be closed.
+	MayClosePort func(now time.Time) bool
 }
 
 // Drain shuts the server down gracefully: it serves requests until none would lose its
 // response, and then closes the port and all connections. If ctx ends earlier, all connections
 // are closed with the requests in flight. It returns the states of the connections just before
 // they were closed.
-func (s *Server) Drain(ctx context.Context, stop Stop) Count {
-	s.Leave()
+func (s *Server) Drain(ctx context.Context, stop Options) Count {
+	s.StartDrain()
 
 	keepAliveEnd := time.Now().Add(s.keepAlive())
-	s.waitUntil(ctx, 1, func(now time.Time) bool { return !now.Before(keepAliveEnd) && isMet(stop.Released, now) })
+	s.waitUntil(ctx, 1, func(now time.Time) bool { return !now.Before(keepAliveEnd) && isMet(stop.Deregistered, now) })
 
-	if stop.Closing != nil {
-		stop.Closing()
+	if stop.OnDeregistered != nil {
+		stop.OnDeregistered()
 	}
 
 	// A response whose header was sent before the drain has announced that its connection may
 	// be used again. The port stays open as long as there are such connections.
 	s.waitUntil(ctx, 1, func(now time.Time) bool {
-		return isMet(stop.Short, now) && !s.conns.mayReceive(now, s.keepAlive()) && s.refuseConns()
+		return isMet(stop.MayClosePort, now) && !s.conns.mayReceive(now, s.keepAlive()) && s.refuseConns()
 	})
 	s.closePort()
 
@@ -190,7 +190,7 @@
 
 // Close closes the port and all connections at once.
 func (s *Server) Close() {
-	s.Leave()
+	s.StartDrain()
 	//nolint:errcheck,gosec // fails only for what is closed already
 	s.http.Close()
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -142,7 +142,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := startServer(t, tt.handler, tt.keepAlive)
 			if tt.leaves {
-				s.Leave()
+				s.StartDrain()
 			}
 
 			c := s.connect(t)
@@ -168,7 +168,7 @@
 	c := s.connect(t)
 	c.send(t, request)
 	<-g.started
-	s.Leave()
+	s.StartDrain()
 
 	g.release <- struct{}{}
 
@@ -193,7 +193,7 @@
 
 	drained := make(chan Count, 1)
 
-	go func() { drained <- s.Drain(t.Context(), Stop{}) }()
+	go func() { drained <- s.Drain(t.Context(), Options{}) }()
 
 	// Sends a header line before each check of the port, so that the interval between parts
 	// doesn't grow to nextPartTimeout while the port is still open.
@@ -244,7 +244,7 @@
 	drained := make(chan Count, 1)
 
 	go func() {
-		drained <- s.Drain(t.Context(), Stop{Short: func(time.Time) bool {
+		drained <- s.Drain(t.Context(), Options{MayClosePort: func(time.Time) bool {
 			select {
 			case <-runs:
 				return true
@@ -304,7 +304,7 @@
 
 	drained := make(chan Count, 1)
 
-	go func() { drained <- s.Drain(t.Context(), Stop{}) }()
+	go func() { drained <- s.Drain(t.Context(), Options{}) }()
 
 	eventually(t, "the drain has begun", s.draining.Load)
 	close(rest)
@@ -340,7 +340,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 
-	if got, want := s.Drain(ctx, Stop{}), (Count{Busy: 1}); got != want {
+	if got, want := s.Drain(ctx, Options{}), (Count{Busy: 1}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 
@@ -416,9 +416,9 @@
 // one that doesn't wait for the load balancer refuses callers that it has already sent.
 func TestBalancerKnowsWhenItWasToldTwice(t *testing.T) {
 	t0 := time.Now()
-	b := NewBalancer(func() bool { return true })
+	b := NewHealthCheck(func() bool { return true })
 
-	if b.Released(t0.Add(time.Hour)) {
+	if b.Deregistered(t0.Add(time.Hour)) {
 		t.Error("without a drain: got released")
 	}
 
@@ -433,10 +433,10 @@
 		t.Errorf("before the drain: got %d, want 200", got)
 	}
 
-	b.Leave(t0)
+	b.StartDrain(t0)
 
 	for n := 1; n <= minRefusals; n++ {
-		if got, want := b.Released(t0.Add(time.Second)), false; got != want {
+		if got, want := b.Deregistered(t0.Add(time.Second)), false; got != want {
 			t.Errorf("after %d refusals: got released %v, want %v", n-1, got, want)
 		}
 
@@ -454,19 +454,19 @@
 	}
 
 	for _, s := range steps {
-		if got := b.Released(s.at); got != s.want {
+		if got := b.Deregistered(s.at); got != s.want {
 			t.Errorf("%v after the last refusal: got %v, want %v", s.at.Sub(b.lastRefusal), got, s.want)
 		}
 	}
 
-	unasked := NewBalancer(func() bool { return true })
-	unasked.Leave(t0)
+	unasked := NewHealthCheck(func() bool { return true })
+	unasked.StartDrain(t0)
 
 	for _, s := range []struct {
 		after time.Duration
 		want  bool
 	}{{maxHealthCheckWait - 1, false}, {maxHealthCheckWait, true}} {
-		if got := unasked.Released(t0.Add(s.after)); got != s.want {
+		if got := unasked.Deregistered(t0.Add(s.after)); got != s.want {
 			t.Errorf("no health check for %v: got %v, want %v", s.after, got, s.want)
 		}
 	}
@@ -475,6 +475,6 @@
 func ExampleServer_Drain() {
 	s := NewServer(Config{Handler: okHandler, KeepAlive: time.Second})
 
-	fmt.Println(s.Drain(context.Background(), Stop{}))
+	fmt.Println(s.Drain(context.Background(), Options{}))
 	// Output: {0 0 0 0}
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -34,7 +34,7 @@
 		kind = failure.KindOf(err).String()
 		j.checkTargetLost(ctx, r, sent, err)
 	} else {
-		j.e.crashes.Completed(now, j.fingerprint)
+		j.e.crashes.RecordCompletion(now, j.fingerprint)
 	}
 
 	event.Log(j.e.cfg.Log, event.AttemptEnded, "request_id", j.id, "attempt", j.attempt, "vm", r.target.VM, "outcome", kind,
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -221,7 +221,7 @@
 	// Crashes are counted for the entry as a whole, so the site's values apply and
 	// not those of a workload.
 	v := p.Tree().Effective(setting.Path{Site: e.cfg.Site})
-	e.crashes.Configure(quarantine.TrackerConfig{Crashes: v.QuarantineCrashes, Memory: v.QuarantineMemory})
+	e.crashes.Configure(quarantine.TrackerConfig{CrashLimit: v.QuarantineCrashes, Retention: v.QuarantineMemory})
 	e.policy.Store(&policy{version: p.Version(), tree: p.Tree(), register: organisation.NewRegister(p.Tree())})
 	event.Log(e.cfg.Log, event.PolicyChanged, "version", p.Version(), "author", p.Author())
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -30,7 +30,7 @@
 			c.e.reportIfCrashed(ctx, t, c.message.Fingerprint)
 		}
 	} else {
-		c.e.crashes.Completed(now, c.message.Fingerprint)
+		c.e.crashes.RecordCompletion(now, c.message.Fingerprint)
 		c.e.observeLoad(now, t, reply.Load)
 	}
 
--- a/entry/http.go
+++ b/entry/http.go
@@ -253,7 +253,7 @@
 		sharedPrefix: sharedPrefix,
 		maxTokens:    min(c.maxTokens(), v.MaxOutputTokens),
 		sampling:     c.Sampling,
-		fingerprint:  quarantine.Of(q.organisation, []byte(c.Model+"\x00"+rendered)),
+		fingerprint:  quarantine.FingerprintOf(q.organisation, []byte(c.Model+"\x00"+rendered)),
 		seed:         e.nextSeed(),
 		arrived:      q.arrived,
 		tried:        map[string]bool{},
--- a/entry/job.go
+++ b/entry/job.go
@@ -30,7 +30,7 @@
 	maxTokens    int
 	sampling     engine.Sampling
 	fingerprint  quarantine.Fingerprint
-	standing     quarantine.Standing
+	standing     quarantine.Status
 	seed         uint64
 	arrived      time.Time
 	sink         sink
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -106,7 +106,7 @@
 	c.message = message.Call{
 		RequestID:    q.id,
 		Organisation: q.organisation,
-		Fingerprint:  quarantine.Of(q.organisation, content),
+		Fingerprint:  quarantine.FingerprintOf(q.organisation, content),
 		Service:      name,
 		Method:       r.Method,
 		Path:         path,
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -167,7 +167,7 @@
 	}
 
 	if s.Ready && s.Boot == t.BootID {
-		e.crashes.Survived(now, t.VM, s.Boot)
+		e.crashes.WithdrawCrash(now, t.VM, s.Boot)
 	}
 
 	e.engines.set(t.VM, engineInfo{
@@ -217,7 +217,7 @@
 		event.Log(e.cfg.Log, event.RequestSuspect, "fingerprint", fingerprintText(f), "vm", c.Target)
 	}
 
-	for _, f := range e.crashes.Crashed(now, c) {
+	for _, f := range e.crashes.RecordCrash(now, c) {
 		event.Log(e.cfg.Log, event.RequestQuarantine, "fingerprint", fingerprintText(f), "vm", c.Target)
 	}
 }
--- a/entry/router.go
+++ b/entry/router.go
@@ -161,7 +161,7 @@
 // suspectTarget returns the one target that may run a suspect request. Targets that
 // crashed while they ran the request, and those already tried, are excluded.
 func (j *job) suspectTarget(usable []target.Target) []target.Target {
-	crashed := j.e.crashes.Places(j.fingerprint)
+	crashed := j.e.crashes.CrashedTargets(j.fingerprint)
 
 	var names []string
 
@@ -171,7 +171,7 @@
 		}
 	}
 
-	chosen := quarantine.Home(j.fingerprint, names)
+	chosen := quarantine.IsolationVM(j.fingerprint, names)
 
 	for _, t := range usable {
 		if t.VM == chosen {
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -284,7 +284,7 @@
 
 	env.gateway = New(Config{
 		DataCentre: "east", Dialect: testDialect{}, Roster: env.roster, Pool: upstream.NewPool(upstream.Config{}), Vaults: env.vaults,
-		Crashes:    quarantine.NewTracker(quarantine.TrackerConfig{Crashes: 3}),
+		Crashes:    quarantine.NewTracker(quarantine.TrackerConfig{CrashLimit: 3}),
 		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 800, VersionDeadline: 8 * time.Second, Log: logr.Discard(),
 	}, func() time.Time { return env.versionsKnownAt }, func() time.Time { return env.registeredSince })
 	env.gateway.Configure(site.New(published))
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -117,7 +117,7 @@
 	}
 
 	now := time.Now()
-	t.g.cfg.Crashes.Completed(now, t.fingerprint)
+	t.g.cfg.Crashes.RecordCompletion(now, t.fingerprint)
 
 	if t.arrival.Prompt != nil {
 		t.profile().ObserveAnswer(t.arrival.Prompt.Output, now.Sub(t.stream.first))
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -101,7 +101,7 @@
 // recordCrash counts a crash against the requests that ran there, and schedules the report to the
 // other entries. The caller holds mu.
 func (d *crashDetector) recordCrash(now time.Time, id string, running []quarantine.Fingerprint, basis string) {
-	d.tracker.Crashed(now, quarantine.Crash{Target: id, Boot: id, At: now, Running: running})
+	d.tracker.RecordCrash(now, quarantine.Crash{Target: id, Boot: id, At: now, Running: running})
 
 	if d.reportPending[id] || d.report == nil {
 		return
@@ -129,7 +129,7 @@
 // on the target as well.
 func (d *crashDetector) addReported(now time.Time, c quarantine.Crash) {
 	c.At = now // by this process's clock
-	d.tracker.Crashed(now, c)
+	d.tracker.RecordCrash(now, c)
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -22,7 +22,7 @@
 		trackers := make([]*quarantine.Tracker, entries)
 
 		for i := range all {
-			trackers[i] = quarantine.NewTracker(quarantine.TrackerConfig{Crashes: 3})
+			trackers[i] = quarantine.NewTracker(quarantine.TrackerConfig{CrashLimit: 3})
 			all[i] = newCrashDetector(trackers[i], func(c quarantine.Crash) {
 				for j, other := range all {
 					if j != i {
@@ -32,7 +32,7 @@
 			}, logr.Discard())
 		}
 
-		poison := quarantine.Of("ferry", []byte("poison"))
+		poison := quarantine.FingerprintOf("ferry", []byte("poison"))
 
 		for crash, target := range []string{"t1", "t2", "t3"} {
 			if _, err := trackers[3].Check(time.Now(), poison); err != nil {
@@ -42,8 +42,8 @@
 			all[crash].add(time.Now(), target, poison)
 
 			beside := all[(crash+1)%entries]
-			beside.add(time.Now(), target, quarantine.Of("ferry", []byte{1, byte(crash)}))
-			beside.add(time.Now(), target, quarantine.Of("ferry", []byte{2, byte(crash)}))
+			beside.add(time.Now(), target, quarantine.FingerprintOf("ferry", []byte{1, byte(crash)}))
+			beside.add(time.Now(), target, quarantine.FingerprintOf("ferry", []byte{2, byte(crash)}))
 
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
@@ -54,7 +54,7 @@
 				t.Errorf("entry %d: got request sent to a fourth engine, want it quarantined", i)
 			}
 
-			if _, err := tracker.Check(time.Now(), quarantine.Of("ferry", []byte{1, 0})); err != nil {
+			if _, err := tracker.Check(time.Now(), quarantine.FingerprintOf("ferry", []byte{1, 0})); err != nil {
 				t.Errorf("entry %d: got a request quarantined that ran beside it once", i)
 			}
 		}
@@ -68,7 +68,7 @@
 		d := newCrashDetector(quarantine.NewTracker(quarantine.TrackerConfig{}), func(quarantine.Crash) { reports++ }, logr.Discard())
 
 		for i := range 5 {
-			d.add(time.Now(), "t1", quarantine.Of("ferry", []byte{byte(i)}))
+			d.add(time.Now(), "t1", quarantine.FingerprintOf("ferry", []byte{byte(i)}))
 			time.Sleep(crashWindow)
 		}
 
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -185,7 +185,7 @@
 		name = t.organisation.Name
 	}
 
-	t.fingerprint = quarantine.Of(name, append([]byte(t.r.URL.Path+"\n"), t.body...))
+	t.fingerprint = quarantine.FingerprintOf(name, append([]byte(t.r.URL.Path+"\n"), t.body...))
 
 	_, err := t.g.cfg.Crashes.Check(now, t.fingerprint)
 
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -300,7 +300,7 @@
 
 func TestCrashesAreToldToOtherEntries(t *testing.T) {
 	e := newEntry(t)
-	want := quarantine.Crash{Target: "t1", Boot: "t1", Running: []quarantine.Fingerprint{quarantine.Of("ferry", []byte("poison"))}}
+	want := quarantine.Crash{Target: "t1", Boot: "t1", Running: []quarantine.Fingerprint{quarantine.FingerprintOf("ferry", []byte("poison"))}}
 
 	NewClient(NewMembers("", []string{e.address})).ReportCrash(want)
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -21,7 +21,7 @@
 			all = append(all, fingerprint(i*requestsPerCrash+j))
 		}
 
-		tr.Crashed(epoch, crashOf(i, epoch, all...))
+		tr.RecordCrash(epoch, crashOf(i, epoch, all...))
 	}
 
 	return tr
@@ -65,7 +65,7 @@
 	b.SetBytes(int64(len(content)))
 
 	for b.Loop() {
-		Of("bureau", content)
+		FingerprintOf("bureau", content)
 	}
 }
 
--- a/quarantine/configure.go
+++ b/quarantine/configure.go
@@ -7,11 +7,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	if cfg.Crashes > 0 {
-		t.cfg.Crashes = cfg.Crashes
+	if cfg.CrashLimit > 0 {
+		t.cfg.CrashLimit = cfg.CrashLimit
 	}
 
-	if cfg.Memory > 0 {
-		t.cfg.Memory = cfg.Memory
+	if cfg.Retention > 0 {
+		t.cfg.Retention = cfg.Retention
 	}
 }
--- a/quarantine/isolation.go
+++ b/quarantine/isolation.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// Home returns the one VM on which a suspect may run, chosen from vms by rendezvous
+// IsolationVM returns the one VM on which a suspect may run, chosen from vms by rendezvous
 // hashing; empty if vms is empty. Entries with the same list choose the same VM, so a
 // caller that sends the request to several entries at once can crash only one target.
-func Home(f Fingerprint, vms []string) string {
+func IsolationVM(f Fingerprint, vms []string) string {
 	seed := binary.LittleEndian.Uint64(f[:])
 	best, most := "", uint64(0)
 
--- a/quarantine/notice/feed.go
+++ b/quarantine/notice/feed.go
@@ -26,8 +26,8 @@
 type Config struct {
 	// Log is the log service.
 	Log journal.Log
-	// Heard is called with each crash in the log, in order; if nil, the log is not read.
-	Heard func(quarantine.Crash)
+	// OnCrash is called with each crash in the log, in order; if nil, the log is not read.
+	OnCrash func(quarantine.Crash)
 	// Logger receives the events.
 	Logger logr.Logger
 }
@@ -44,7 +44,7 @@
 func New(cfg Config) *Feed {
 	f := &Feed{cfg: cfg, writer: journal.NewWriter(journal.WriterConfig{Log: cfg.Log, Stream: Stream, Logger: cfg.Logger})}
 
-	if cfg.Heard != nil {
+	if cfg.OnCrash != nil {
 		f.reader = journal.NewReader(journal.ReaderConfig{Log: cfg.Log, Stream: Stream, Handle: f.handle, Logger: cfg.Logger})
 	}
 
@@ -86,5 +86,5 @@
 		return
 	}
 
-	f.cfg.Heard(c)
+	f.cfg.OnCrash(c)
 }
--- a/quarantine/place.go
+++ b/quarantine/place.go
@@ -1,9 +1,9 @@
 package quarantine
 
-// Places returns the VMs whose targets crashed while f ran there, in no order. A suspect
+// CrashedTargets returns the VMs whose targets crashed while f ran there, in no order. A suspect
 // is not sent to them: they may not have restarted, and without them all entries that
 // merged the same reports choose its Home from the same VMs.
-func (t *Tracker) Places(f Fingerprint) []string {
+func (t *Tracker) CrashedTargets(f Fingerprint) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -38,10 +38,10 @@
 // Fingerprint identifies a request by its organisation and content.
 type Fingerprint [16]byte
 
-// Of returns the fingerprint of an organisation's content. It is not a cryptographic
+// FingerprintOf returns the fingerprint of an organisation's content. It is not a cryptographic
 // hash: a caller that produces a collision harms only its own organisation, whose name is
 // part of the hashed data.
-func Of(organisation string, content []byte) Fingerprint {
+func FingerprintOf(organisation string, content []byte) Fingerprint {
 	h := xxh3.New()
 	_, _ = h.WriteString(organisation)
 	_, _ = h.Write([]byte{0})
@@ -63,13 +63,13 @@
 	Running []Fingerprint `cbor:"4,keyasint" json:"running"`
 }
 
-// Standing is the status of a fingerprint. The zero Standing is Clear.
-type Standing uint8
+// Status is the status of a fingerprint. The zero Status is Clear.
+type Status uint8
 
 // The values of Standing.
 const (
 	// Clear means that the request may run without restriction.
-	Clear Standing = iota
+	Clear Status = iota
 	// Suspect means that the request may not run beside another suspect.
 	Suspect
 	// Quarantined means that the request is refused.
@@ -77,7 +77,7 @@
 )
 
 // String returns the snake-case name of s.
-func (s Standing) String() string {
+func (s Status) String() string {
 	switch s {
 	case Suspect:
 		return "suspect"
@@ -92,10 +92,10 @@
 
 // TrackerConfig configures a Tracker. Zero fields have a default.
 type TrackerConfig struct {
-	// Crashes is the number of crashes at which a request is refused; zero means 2.
-	Crashes int
-	// Memory is how long a crash counts; zero means 24 h.
-	Memory time.Duration
+	// CrashLimit is the number of crashes at which a request is refused; zero means 2.
+	CrashLimit int
+	// Retention is how long a crash counts; zero means 24 h.
+	Retention time.Duration
 	// MaxCrashes is the maximum number of crashes kept; beyond it the oldest are dropped.
 	// Zero means 1024.
 	MaxCrashes int
@@ -129,12 +129,12 @@
 
 // NewTracker returns an empty Tracker.
 func NewTracker(cfg TrackerConfig) *Tracker {
-	if cfg.Crashes <= 0 {
-		cfg.Crashes = 2
+	if cfg.CrashLimit <= 0 {
+		cfg.CrashLimit = 2
 	}
 
-	if cfg.Memory <= 0 {
-		cfg.Memory = 24 * time.Hour
+	if cfg.Retention <= 0 {
+		cfg.Retention = 24 * time.Hour
 	}
 
 	if cfg.MaxCrashes <= 0 {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Crashed records a crash that was reported directly, by another entry or in a log
+// RecordCrash records a crash that was reported directly, by another entry or in a log
 // stream, and returns the fingerprints that are quarantined as a result.
-func (t *Tracker) Crashed(now time.Time, c Crash) []Fingerprint {
+func (t *Tracker) RecordCrash(now time.Time, c Crash) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -219,8 +219,8 @@
 	return added
 }
 
-// Survived withdraws the crash of a target that is running with the same boot id.
-func (t *Tracker) Survived(now time.Time, target, boot string) {
+// WithdrawCrash withdraws the crash of a target that is running with the same boot id.
+func (t *Tracker) WithdrawCrash(now time.Time, target, boot string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -231,9 +231,9 @@
 	}
 }
 
-// Completed clears a suspect that has completed, which a request that crashes every
+// RecordCompletion clears a suspect that has completed, which a request that crashes every
 // target would not have. Only crashes received after now count from then on.
-func (t *Tracker) Completed(now time.Time, f Fingerprint) {
+func (t *Tracker) RecordCompletion(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -244,7 +244,7 @@
 
 // Check returns the standing of f; for Quarantined also an error of kind
 // failure.Quarantined.
-func (t *Tracker) Check(now time.Time, f Fingerprint) (Standing, error) {
+func (t *Tracker) Check(now time.Time, f Fingerprint) (Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -252,14 +252,14 @@
 
 	s := t.status(f)
 	if s == Quarantined {
-		return s, failure.New(failure.Quarantined, "this request was running when %d targets crashed", t.cfg.Crashes)
+		return s, failure.New(failure.Quarantined, "this request was running when %d targets crashed", t.cfg.CrashLimit)
 	}
 
 	return s, nil
 }
 
 // status derives the standing of f from the reports. The caller holds mu.
-func (t *Tracker) status(f Fingerprint) Standing {
+func (t *Tracker) status(f Fingerprint) Status {
 	total := t.crashCount(f)
 	if total == 0 {
 		return Clear
@@ -267,7 +267,7 @@
 
 	for _, k := range t.suspects[f] {
 		if t.countsAgainst(f, k) && !t.explainedByOther(f, k) {
-			if total >= t.cfg.Crashes {
+			if total >= t.cfg.CrashLimit {
 				return Quarantined
 			}
 
@@ -277,7 +277,7 @@
 
 	// All its crashes are explained by other requests. With as many crashes as would
 	// quarantine it, it still has to run isolated until it completes.
-	if total >= t.cfg.Crashes {
+	if total >= t.cfg.CrashLimit {
 		return Suspect
 	}
 
@@ -315,7 +315,7 @@
 // that always ran together would clear each other.
 func (t *Tracker) explainedByOther(f Fingerprint, k *crash) bool {
 	for _, g := range k.running {
-		if g == f || !t.countsAgainst(g, k) || t.crashCount(g) < t.cfg.Crashes {
+		if g == f || !t.countsAgainst(g, k) || t.crashCount(g) < t.cfg.CrashLimit {
 			continue
 		}
 
@@ -356,7 +356,7 @@
 
 // expire drops the crashes that are older than cfg.Memory.
 func (t *Tracker) expire(now time.Time) {
-	for len(t.byTime) > 0 && now.Sub(t.byTime[0].at) > t.cfg.Memory {
+	for len(t.byTime) > 0 && now.Sub(t.byTime[0].at) > t.cfg.Retention {
 		t.dropOldest()
 	}
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -12,13 +12,15 @@
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-func fingerprint(n int) Fingerprint { return Of("bureau", fmt.Appendf(nil, "request %d", n)) }
+func fingerprint(n int) Fingerprint {
+	return FingerprintOf("bureau", fmt.Appendf(nil, "request %d", n))
+}
 
 func crashOf(n int, at time.Time, running ...Fingerprint) Crash {
 	return Crash{Target: fmt.Sprintf("engine-%d", n), Boot: fmt.Sprint(n), At: at, Running: running}
 }
 
-func checkStatus(t *testing.T, tr *Tracker, f Fingerprint) Standing {
+func checkStatus(t *testing.T, tr *Tracker, f Fingerprint) Status {
 	t.Helper()
 
 	s, err := tr.Check(epoch.Add(time.Hour), f)
@@ -39,20 +41,20 @@
 	tr := NewTracker(TrackerConfig{})
 	cause, bystander, later := fingerprint(0), fingerprint(1), fingerprint(2)
 
-	tr.Crashed(epoch, crashOf(1, epoch, cause, bystander))
+	tr.RecordCrash(epoch, crashOf(1, epoch, cause, bystander))
 
 	if got, want := checkStatus(t, tr, cause), Suspect; got != want {
 		t.Errorf("cause after one crash: got %v, want %v", got, want)
 	}
 
 	// Two reports of one crash, by the side process and by an entry, count once.
-	tr.Crashed(epoch, crashOf(1, epoch, cause))
+	tr.RecordCrash(epoch, crashOf(1, epoch, cause))
 
 	if got, want := checkStatus(t, tr, cause), Suspect; got != want {
 		t.Errorf("cause after a second report of one crash: got %v, want %v", got, want)
 	}
 
-	refused := tr.Crashed(epoch, crashOf(2, epoch, cause, later))
+	refused := tr.RecordCrash(epoch, crashOf(2, epoch, cause, later))
 	if len(refused) != 1 || refused[0] != cause {
 		t.Errorf("newly refused: got %v, want the cause alone", refused)
 	}
@@ -60,7 +62,7 @@
 	for _, c := range []struct {
 		name string
 		f    Fingerprint
-		want Standing
+		want Status
 	}{{"cause", cause, Quarantined}, {"beside the first crash", bystander, Clear}, {"beside the second", later, Clear}} {
 		if got := checkStatus(t, tr, c.f); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
@@ -72,8 +74,8 @@
 // withdrawn, all requests that ran there stay suspects and queue for isolated runs.
 func TestCutIsNoCrash(t *testing.T) {
 	tr := NewTracker(TrackerConfig{})
-	tr.Crashed(epoch, crashOf(1, epoch, fingerprint(0)))
-	tr.Survived(epoch, "engine-1", "1")
+	tr.RecordCrash(epoch, crashOf(1, epoch, fingerprint(0)))
+	tr.WithdrawCrash(epoch, "engine-1", "1")
 
 	if got, want := checkStatus(t, tr, fingerprint(0)), Clear; got != want {
 		t.Errorf("got %v, want %v", got, want)
@@ -85,8 +87,8 @@
 // crash a third engine.
 func TestTwoThatAlwaysRanTogetherAreBothRefused(t *testing.T) {
 	tr := NewTracker(TrackerConfig{})
-	tr.Crashed(epoch, crashOf(1, epoch, fingerprint(0), fingerprint(1)))
-	tr.Crashed(epoch, crashOf(2, epoch, fingerprint(0), fingerprint(1)))
+	tr.RecordCrash(epoch, crashOf(1, epoch, fingerprint(0), fingerprint(1)))
+	tr.RecordCrash(epoch, crashOf(2, epoch, fingerprint(0), fingerprint(1)))
 
 	for n := range 2 {
 		if got, want := checkStatus(t, tr, fingerprint(n)), Quarantined; got != want {
@@ -123,9 +125,9 @@
 // second crash counts, although its reporter's clock is behind, so it is not refused.
 func TestCompletionClears(t *testing.T) {
 	tr := NewTracker(TrackerConfig{})
-	tr.Crashed(epoch, crashOf(1, epoch, fingerprint(0)))
-	tr.Completed(epoch.Add(time.Second), fingerprint(0))
-	tr.Crashed(epoch.Add(time.Minute), crashOf(2, epoch.Add(-time.Hour), fingerprint(0)))
+	tr.RecordCrash(epoch, crashOf(1, epoch, fingerprint(0)))
+	tr.RecordCompletion(epoch.Add(time.Second), fingerprint(0))
+	tr.RecordCrash(epoch.Add(time.Minute), crashOf(2, epoch.Add(-time.Hour), fingerprint(0)))
 
 	if got, want := checkStatus(t, tr, fingerprint(0)), Suspect; got != want {
 		t.Errorf("got %v, want %v", got, want)
@@ -143,7 +145,7 @@
 			running = append(running, fingerprint(i*100+j))
 		}
 
-		tr.Crashed(epoch, crashOf(i, epoch, running...))
+		tr.RecordCrash(epoch, crashOf(i, epoch, running...))
 	}
 
 	crashes, fingerprints := tr.Len()
@@ -197,7 +199,7 @@
 			continue
 		}
 
-		e.entries[r.entry].Crashed(e.now, r.crash)
+		e.entries[r.entry].RecordCrash(e.now, r.crash)
 	}
 
 	e.pending = left
@@ -238,7 +240,7 @@
 	}
 
 	for _, entry := range e.entries {
-		entry.Completed(e.now, fingerprint(n))
+		entry.RecordCompletion(e.now, fingerprint(n))
 	}
 }
 
@@ -362,12 +364,12 @@
 
 		one, other := NewTracker(TrackerConfig{}), NewTracker(TrackerConfig{})
 		for _, c := range crashes {
-			one.Crashed(epoch, c)
+			one.RecordCrash(epoch, c)
 		}
 
 		for _, c := range rapid.Permutation(crashes).Draw(rt, "order") {
-			other.Crashed(epoch, c)
-			other.Crashed(epoch, c)
+			other.RecordCrash(epoch, c)
+			other.RecordCrash(epoch, c)
 		}
 
 		for n := range 6 {
@@ -389,7 +391,7 @@
 	homes := map[string]int{}
 
 	for n := range 400 {
-		got, want := Home(fingerprint(n), vms), Home(fingerprint(n), permuted)
+		got, want := IsolationVM(fingerprint(n), vms), IsolationVM(fingerprint(n), permuted)
 		if got != want {
 			t.Errorf("request %d: got VMs %s and %s, want the same", n, got, want)
 		}
@@ -407,18 +409,18 @@
 // Operators publish another number of crashes while requests are suspects.
 func TestConfigureIsInForceAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tr := NewTracker(TrackerConfig{Crashes: 3})
-	f := Of("transit", []byte("poison"))
+	tr := NewTracker(TrackerConfig{CrashLimit: 3})
+	f := FingerprintOf("transit", []byte("poison"))
 
 	for _, target := range []string{"a", "b"} {
-		tr.Crashed(now, Crash{Target: target, Boot: "1", At: now, Running: []Fingerprint{f}})
+		tr.RecordCrash(now, Crash{Target: target, Boot: "1", At: now, Running: []Fingerprint{f}})
 	}
 
 	if got, _ := tr.Check(now, f); got != Suspect {
 		t.Errorf("two crashes of three: got %v, want %v", got, Suspect)
 	}
 
-	tr.Configure(TrackerConfig{Crashes: 2})
+	tr.Configure(TrackerConfig{CrashLimit: 2})
 
 	if got, _ := tr.Check(now, f); got != Quarantined {
 		t.Errorf("two crashes of two: got %v, want %v", got, Quarantined)
--- a/side/poll.go
+++ b/side/poll.go
@@ -101,8 +101,8 @@
 		event.Log(s.cfg.Log, event.TargetCrashed, "boot", result.boot, "requests", len(result.running))
 		s.reportToEntries(m)
 
-		if s.cfg.Post != nil {
-			s.cfg.Post(m.Crash)
+		if s.cfg.PostCrash != nil {
+			s.cfg.PostCrash(m.Crash)
 		}
 	}
 }
--- a/side/side.go
+++ b/side/side.go
@@ -98,8 +98,8 @@
 	Settings exchange.Keeper
 	// Claims records non-idempotent calls; if nil, such calls are refused.
 	Claims Claims
-	// Post appends a crash to the log; nil means that crashes are not logged.
-	Post func(quarantine.Crash)
+	// PostCrash appends a crash to the log; nil means that crashes are not logged.
+	PostCrash func(quarantine.Crash)
 	// Peers sends reports to entries.
 	Peers Opener
 	// VMs lists the entries and stores.
--- a/side/verdict_test.go
+++ b/side/verdict_test.go
@@ -41,7 +41,7 @@
 // other runs continue there, and the lost run must not be quarantined.
 func TestLostRunIsJudgedByTheOthers(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	lost, other := quarantine.Of("desk", []byte("lost")), quarantine.Of("desk", []byte("other"))
+	lost, other := quarantine.FingerprintOf("desk", []byte("lost")), quarantine.FingerprintOf("desk", []byte("other"))
 	tests := []struct {
 		name    string
 		sent    bool               // whether the lost run had a connection
@@ -135,7 +135,7 @@
 		s := newTargetState(10)
 		s.observe(t0, engine.Info{State: "ready", BootID: "b"}, engine.Load{})
 
-		id, err := s.admit(quarantine.Of("desk", nil), "")
+		id, err := s.admit(quarantine.FingerprintOf("desk", nil), "")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -63,7 +63,7 @@
 	const maxPolls = 300
 
 	env := start(t, envConfig{engines: 1, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 50 }})
-	crashing, waiting := quarantine.Of("desk-agents", []byte("guilty")), quarantine.Of("desk-agents", []byte("waiting"))
+	crashing, waiting := quarantine.FingerprintOf("desk-agents", []byte("guilty")), quarantine.FingerprintOf("desk-agents", []byte("waiting"))
 	crashingRun := env.startSuspectRun(env.engines[0], crashing, "guilty")
 
 	env.eventually("the first run never started", func() bool { return env.engines[0].engine.Running() == 1 })
--- a/wholepath/env_test.go
+++ b/wholepath/env_test.go
@@ -430,7 +430,7 @@
 		Logger:  log,
 		Changed: func(q *publication.Published) { p.callbacks.onSettings(time.Now(), q) },
 	})
-	p.notices = notice.New(notice.Config{Log: client, Logger: log, Heard: func(c quarantine.Crash) { p.callbacks.onCrash(time.Now(), c) }})
+	p.notices = notice.New(notice.Config{Log: client, Logger: log, OnCrash: func(c quarantine.Crash) { p.callbacks.onCrash(time.Now(), c) }})
 	p.tasks = []func(context.Context){p.vms.Run, p.settings.Run, p.notices.Run}
 
 	return p
@@ -506,7 +506,7 @@
 	log := e.logs.logger(t.vm)
 	cfg := side.Config{
 		VM: t.vm, DataCentre: dataCentre, Service: service, Plain: plain, Address: addr,
-		DrainTimeout: drainTimeout, Settings: p.settings, Post: p.notices.Post, Peers: p.dialer, VMs: p.vms, Log: log,
+		DrainTimeout: drainTimeout, Settings: p.settings, PostCrash: p.notices.Post, Peers: p.dialer, VMs: p.vms, Log: log,
 	}
 
 	var tasks []func(context.Context)
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -24,7 +24,7 @@
 
 	n.StartDrain()
 
-	remaining := n.httpServer.Drain(ctx, drain.Stop{Short: func(time.Time) bool { return n.Active() == 0 }})
+	remaining := n.httpServer.Drain(ctx, drain.Options{MayClosePort: func(time.Time) bool { return n.Active() == 0 }})
 	if remaining.Busy+remaining.Pending != 0 {
 		e.t.Errorf("requests were cut off when the entry stopped: got %+v", remaining)
 	}
