--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -93,12 +93,12 @@
 
 func provideSettingsFollower(cfg setting.Process, log logr.Logger, j *journal.Client, d *peer.Dialer, list *vm.Follower, h *updateHandlers) *publication.Follower {
 	return publication.NewFollower(publication.FollowerConfig{
-		Log:     j,
-		Self:    publication.Member{VM: cfg.VM, DataCentre: cfg.DataCentre},
-		Members: func() []publication.Member { return exchange.Members(list.List()) },
-		Peers:   exchange.Peers{Asker: d, VMs: list},
-		Logger:  log,
-		Changed: func(p *publication.Published) { h.onSettings(time.Now(), p) },
+		Log:      j,
+		Self:     publication.Member{VM: cfg.VM, DataCentre: cfg.DataCentre},
+		Members:  func() []publication.Member { return exchange.Members(list.List()) },
+		Peers:    exchange.Peers{Requester: d, VMs: list},
+		Logger:   log,
+		OnChange: func(p *publication.Published) { h.onSettings(time.Now(), p) },
 	})
 }
 
--- a/ctl/config.go
+++ b/ctl/config.go
@@ -182,7 +182,7 @@
 
 // inForce returns the tree in force; nil when nothing was published yet.
 func (c *ConfigCommands) inForce(ctx context.Context) (*setting.Tree, error) {
-	p, _, err := publication.Read(ctx, c.cfg.Log, 1)
+	p, _, err := publication.ReadHistory(ctx, c.cfg.Log, 1)
 	if err != nil || p == nil {
 		return nil, err
 	}
--- a/ctl/edit.go
+++ b/ctl/edit.go
@@ -32,7 +32,7 @@
 // already.
 func (w EditCommands) Drain(ctx context.Context, target, reason string) error {
 	return w.publish(ctx, "drain "+target, func(t *setting.Tree) ([]byte, error) {
-		if _, ok := t.Drained(target); ok {
+		if _, ok := t.Drain(target); ok {
 			return nil, failure.New(failure.Conflict, "%s is already drained", target)
 		}
 
@@ -51,7 +51,7 @@
 // Conflict if it is evacuated already.
 func (w EditCommands) Evacuate(ctx context.Context, dataCentre, reason string) error {
 	return w.publish(ctx, "evacuate "+dataCentre, func(t *setting.Tree) ([]byte, error) {
-		if _, ok := t.Evacuated(dataCentre); ok {
+		if _, ok := t.Evacuation(dataCentre); ok {
 			return nil, failure.New(failure.Conflict, "%s is already evacuated", dataCentre)
 		}
 
@@ -68,7 +68,7 @@
 
 // Evacuations writes the evacuated data centres with the reasons.
 func (w EditCommands) Evacuations(ctx context.Context) error {
-	inForce, _, err := publication.Read(ctx, w.Log, 1)
+	inForce, _, err := publication.ReadHistory(ctx, w.Log, 1)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return w.publish(ctx, "roll "+service+" to "+version, func(t *setting.Tree) ([]byte, error) {
 		text := t.Text()
 
-		for _, r := range t.WeightRolls() {
+		for _, r := range t.WeightRollouts() {
 			if r.Service != service {
 				continue
 			}
@@ -121,7 +121,7 @@
 	var conflict error
 
 	for range maxEditAttempts {
-		inForce, _, err := publication.Read(ctx, w.Log, 1)
+		inForce, _, err := publication.ReadHistory(ctx, w.Log, 1)
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		}
 
 		version, err := publication.Publish(ctx, publication.PublishConfig{Log: w.Log}, publication.Change{
-			ID: uuid.NewString(), Based: inForce.Version(), Author: w.Author, Note: note, Name: "settings", Text: text,
+			ID: uuid.NewString(), BaseVersion: inForce.Version(), Author: w.Author, Note: note, Name: "settings", Text: text,
 		})
 		if err == nil {
 			return w.writeChange(version, note)
--- a/ctl/edit_test.go
+++ b/ctl/edit_test.go
@@ -44,7 +44,7 @@
 func settingsInForce(t *testing.T, w EditCommands) *publication.Published {
 	t.Helper()
 
-	p, _, err := publication.Read(context.Background(), w.Log, 1)
+	p, _, err := publication.ReadHistory(context.Background(), w.Log, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,11 +71,11 @@
 	}
 
 	p := settingsInForce(t, w)
-	if _, ok := p.Tree().Drained("engine-1"); ok {
+	if _, ok := p.Tree().Drain("engine-1"); ok {
 		t.Error("engine-1: got drained, want not drained")
 	}
 
-	if d, ok := p.Tree().Drained("engine-2"); !ok || d.Reason != "new host" {
+	if d, ok := p.Tree().Drain("engine-2"); !ok || d.Reason != "new host" {
 		t.Errorf("engine-2: got %+v %v, want drained for the new host", d, ok)
 	}
 
@@ -98,7 +98,7 @@
 		}
 	}
 
-	rollouts := settingsInForce(t, w).Tree().WeightRolls()
+	rollouts := settingsInForce(t, w).Tree().WeightRollouts()
 	if len(rollouts) != 1 || rollouts[0].WeightVersion != "v3" {
 		t.Errorf("got %+v, want one rollout to v3", rollouts)
 	}
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 
-	if got := settingsInForce(t, w).Tree().WeightRolls(); len(got) != 0 {
+	if got := settingsInForce(t, w).Tree().WeightRollouts(); len(got) != 0 {
 		t.Errorf("after unroll: got %+v, want none", got)
 	}
 
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 
-	if _, ok := settingsInForce(t, w).Tree().Evacuated("yvr-east"); ok {
+	if _, ok := settingsInForce(t, w).Tree().Evacuation("yvr-east"); ok {
 		t.Error("yvr-east: got evacuated, want not evacuated")
 	}
 }
--- a/ctl/publish.go
+++ b/ctl/publish.go
@@ -62,7 +62,7 @@
 	}
 
 	change := publication.Change{
-		ID: uuid.NewString(), Based: based, Author: c.cfg.Author, Note: o.Note, Name: o.File,
+		ID: uuid.NewString(), BaseVersion: based, Author: c.cfg.Author, Note: o.Note, Name: o.File,
 		Text: text, Recover: o.Recover,
 	}
 
@@ -91,17 +91,17 @@
 		version, err := publication.Publish(ctx, publication.PublishConfig{Log: c.cfg.Log}, change)
 
 		var conflict *publication.ConflictError
-		if !rebase || !errors.As(err, &conflict) || conflict.BasedText == nil {
+		if !rebase || !errors.As(err, &conflict) || conflict.BaseText == nil {
 			return version, rebased, err
 		}
 
-		text, rebaseErr := publication.Rebase(conflict.BasedText, change.Text, conflict.Text)
+		text, rebaseErr := publication.Rebase(conflict.BaseText, change.Text, conflict.Text)
 		if rebaseErr != nil {
 			return 0, false, err // the conflict has more details than the failed rebase
 		}
 
 		change.Text = text
-		change.Based = conflict.InForce
+		change.BaseVersion = conflict.InForce
 		change.ID = uuid.NewString()
 		rebased = true
 	}
@@ -133,14 +133,14 @@
 
 	t := c.cfg.Terminal
 	t.writeMessage("not published: version %d by %s (%s) was published first; the file is based on %d.",
-		conflict.InForce, conflict.Author, conflict.At.UTC().Format(time.RFC3339), conflict.Based)
+		conflict.InForce, conflict.Author, conflict.At.UTC().Format(time.RFC3339), conflict.BaseVersion)
 
 	if conflict.Note != "" {
 		t.writeMessage("note of that version: %s", conflict.Note)
 	}
 
-	if conflict.BasedText == nil && conflict.Based > 0 {
-		t.writeMessage("the log no longer keeps version %d, so the changes since then are unknown.", conflict.Based)
+	if conflict.BaseText == nil && conflict.BaseVersion > 0 {
+		t.writeMessage("the log no longer keeps version %d, so the changes since then are unknown.", conflict.BaseVersion)
 	}
 
 	t.writeMessage("To resolve: boragehub ctl config publish --rebase %s, or, if both change the same lines,\n"+
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -67,7 +67,7 @@
 		return version, text, err
 	}
 
-	version, text, err := publication.Text(ctx, c.cfg.Log)
+	version, text, err := publication.CurrentText(ctx, c.cfg.Log)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -110,7 +110,7 @@
 
 // History writes the newest changes, at most limit, including those that were refused.
 func (c *ConfigCommands) History(ctx context.Context, limit int) error {
-	_, entries, err := publication.Read(ctx, c.cfg.Log, limit)
+	_, entries, err := publication.ReadHistory(ctx, c.cfg.Log, limit)
 	if err != nil && failure.KindOf(err) != failure.BadSettings { // BadSettings: the newest version may be from another release
 		return err
 	}
@@ -122,7 +122,7 @@
 	rows := make([][]string, 0, len(entries))
 	for _, e := range entries {
 		rows = append(rows, []string{
-			strconv.FormatUint(e.Offset, 10), e.Reason, strconv.FormatUint(e.Based, 10),
+			strconv.FormatUint(e.Offset, 10), e.Reason, strconv.FormatUint(e.BaseVersion, 10),
 			e.At.UTC().Format(time.RFC3339), dashIfEmpty(e.Author), dashIfEmpty(e.Note),
 		})
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,7 +49,7 @@
 // Settings returns the published settings in force; Current returns nil before the
 // first publication. *publication.Follower implements it.
 type Settings interface {
-	exchange.Keeper
+	exchange.SettingsReplica
 	Current() *publication.Published
 }
 
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -400,7 +400,7 @@
 
 		version, fallback, paused := s.WeightVersion, "", false
 
-		for _, r := range t.WeightRolls() {
+		for _, r := range t.WeightRollouts() {
 			if r.Service == s.Name {
 				version, fallback, paused = r.WeightVersion, s.WeightVersion, r.Paused
 			}
--- a/incident/system_test.go
+++ b/incident/system_test.go
@@ -449,14 +449,14 @@
 
 	if s.key == "" {
 		s.key, _ = organisation.NewKey()
-	} else if now, _, err := publication.Read(context.Background(), log, 1); err != nil {
+	} else if now, _, err := publication.ReadHistory(context.Background(), log, 1); err != nil {
 		s.t.Fatal(err)
 	} else {
 		basedOn = now.Version()
 	}
 
 	v, err := publication.Publish(context.Background(), publication.PublishConfig{Log: log}, publication.Change{
-		ID: uuid.NewString(), Based: basedOn, Author: "test", Name: "settings.toml",
+		ID: uuid.NewString(), BaseVersion: basedOn, Author: "test", Name: "settings.toml",
 		Text: []byte(fmt.Sprintf(settings, organisation.HashKey(s.key), extra)),
 	})
 	if err != nil {
--- a/operator/responder.go
+++ b/operator/responder.go
@@ -14,7 +14,7 @@
 // the settings, from peers, and for views, from operators.
 type Responder struct {
 	// Settings provides the settings and takes those that peers pass on.
-	Settings exchange.Keeper
+	Settings exchange.SettingsReplica
 	// Views are the documents that may be requested.
 	Views []View
 }
@@ -22,7 +22,7 @@
 // Answer returns the response to m from a peer. A message of any other type gets a
 // refusal with failure.BadMessage.
 func (r Responder) Answer(now time.Time, from peer.Identity, m message.Message) message.Message {
-	if response, ok := exchange.Answer(now, r.Settings, from, m); ok {
+	if response, ok := exchange.Respond(now, r.Settings, from, m); ok {
 		return response
 	}
 
--- a/setting/chunk.go
+++ b/setting/chunk.go
@@ -154,7 +154,7 @@
 	d.DataCentres = append(d.DataCentres, later.DataCentres...)
 	d.Links = append(d.Links, later.Links...)
 	d.Services = append(d.Services, later.Services...)
-	d.WeightRolls = append(d.WeightRolls, later.WeightRolls...)
+	d.WeightRollouts = append(d.WeightRollouts, later.WeightRollouts...)
 	d.Drains = append(d.Drains, later.Drains...)
 	d.Evacuations = append(d.Evacuations, later.Evacuations...)
 	d.Organisations = append(d.Organisations, later.Organisations...)
--- a/setting/exchange/exchange.go
+++ b/setting/exchange/exchange.go
@@ -28,8 +28,8 @@
 
 // Peers sends the requests of a publication.Follower to other processes.
 type Peers struct {
-	// Asker sends the requests.
-	Asker Requester
+	// Requester sends the requests.
+	Requester Requester
 	// VMs resolves VM names to addresses.
 	VMs VMLister
 }
@@ -43,7 +43,7 @@
 		return publication.Update{}, err
 	}
 
-	m, err := p.Asker.Ask(ctx, to, message.Fetch{After: after})
+	m, err := p.Requester.Ask(ctx, to, message.Fetch{After: after})
 	if err != nil {
 		return publication.Update{}, err
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 
-	m, err := p.Asker.Ask(ctx, to, message.Settings{Version: u.Version(), Body: u.Encode()})
+	m, err := p.Requester.Ask(ctx, to, message.Settings{Version: u.Version(), Body: u.Encode()})
 	if err != nil {
 		return err
 	}
@@ -96,15 +96,15 @@
 	return all
 }
 
-// Keeper holds the settings of this process; *publication.Follower implements it.
-type Keeper interface {
+// SettingsReplica holds the settings of this process; *publication.Follower implements it.
+type SettingsReplica interface {
 	UpdateFor(now time.Time, vm string, after uint64) publication.Update
 	ApplyUpdate(u publication.Update) error
 }
 
-// Answer handles a message about settings and returns the response. It returns
+// Respond handles a message about settings and returns the response. It returns
 // false for other messages.
-func Answer(now time.Time, k Keeper, from peer.Identity, m message.Message) (message.Message, bool) {
+func Respond(now time.Time, k SettingsReplica, from peer.Identity, m message.Message) (message.Message, bool) {
 	switch m := m.(type) {
 	case message.Fetch:
 		u := k.UpdateFor(now, from.VM, m.After)
@@ -117,7 +117,7 @@
 	}
 }
 
-func respondToUpdate(k Keeper, m message.Settings) message.Message {
+func respondToUpdate(k SettingsReplica, m message.Settings) message.Message {
 	u, err := publication.DecodeUpdate(m.Body)
 	if err == nil {
 		err = k.ApplyUpdate(u)
--- a/setting/publication/follower.go
+++ b/setting/publication/follower.go
@@ -55,9 +55,9 @@
 	Timeout time.Duration
 	// Logger receives the events.
 	Logger logr.Logger
-	// Changed is called with each version that comes into force, in order. It must
+	// OnChange is called with each version that comes into force, in order. It must
 	// not block for long. May be nil.
-	Changed func(*Published)
+	OnChange func(*Published)
 }
 
 func (c FollowerConfig) withDefaults() FollowerConfig {
@@ -313,8 +313,8 @@
 	event.Log(f.cfg.Logger, event.SettingsInForce, "version", h.version, "based", h.based,
 		"author", h.author, "note", h.note, "hash", h.hash.String()[:shownHashDigits])
 
-	if f.cfg.Changed != nil {
-		f.cfg.Changed(p)
+	if f.cfg.OnChange != nil {
+		f.cfg.OnChange(p)
 	}
 }
 
--- a/setting/publication/history.go
+++ b/setting/publication/history.go
@@ -89,8 +89,8 @@
 	Accepted bool `json:"accepted"`
 	// Reason is "accepted", "conflict", "damaged" or "interrupted".
 	Reason string `json:"reason"`
-	// Based is the version that the change is based on.
-	Based uint64 `json:"based"`
+	// BaseVersion is the version that the change is based on.
+	BaseVersion uint64 `json:"based"`
 	// Author is the operator, and Note the description of the change.
 	Author string `json:"author"`
 	Note   string `json:"note,omitempty"`
@@ -100,10 +100,10 @@
 	ID string `json:"id"`
 }
 
-// Read returns the version in force according to the log, and the newest changes,
+// ReadHistory returns the version in force according to the log, and the newest changes,
 // at most limit of them, oldest first. The version is nil if nothing was published
 // yet, and also if this release can't parse it, with an error.
-func Read(ctx context.Context, log Log, maxEntries int) (*Published, []Entry, error) {
+func ReadHistory(ctx context.Context, log Log, maxEntries int) (*Published, []Entry, error) {
 	var entries []Entry
 
 	s := newStreamReader(log)
@@ -131,9 +131,9 @@
 	return &Published{head: newest, tree: tree}, entries, nil
 }
 
-// Text returns the version and text in force according to the log, even if this
+// CurrentText returns the version and text in force according to the log, even if this
 // release can't parse the text; zero values if nothing was published yet.
-func Text(ctx context.Context, log Log) (uint64, []byte, error) {
+func CurrentText(ctx context.Context, log Log) (uint64, []byte, error) {
 	s := newStreamReader(log)
 	if err := s.readToEnd(ctx, 0); err != nil {
 		return 0, nil, err
--- a/setting/publication/passing_test.go
+++ b/setting/publication/passing_test.go
@@ -137,7 +137,7 @@
 
 	f := NewFollower(FollowerConfig{
 		Log: log, Self: m, Members: func() []Member { return d.members }, Peers: peerLink{d, m.VM}, Logger: logr.Discard(),
-		Changed: func(*Published) {
+		OnChange: func(*Published) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 
@@ -484,7 +484,7 @@
 		release := make(chan struct{})
 
 		f := NewFollower(FollowerConfig{
-			Log: log, Self: Member{"e1", "a"}, Logger: logr.Discard(), Changed: func(*Published) { <-release },
+			Log: log, Self: Member{"e1", "a"}, Logger: logr.Discard(), OnChange: func(*Published) { <-release },
 		})
 
 		version, err := publishText(log, "one", 0, []byte("share = 1.0\n"))
--- a/setting/publication/publication.go
+++ b/setting/publication/publication.go
@@ -50,8 +50,8 @@
 // Version returns the offset of the change, which is its version. Versions only increase.
 func (p *Published) Version() uint64 { return p.head.version }
 
-// Based returns the version that the change is based on.
-func (p *Published) Based() uint64 { return p.head.based }
+// BaseVersion returns the version that the change is based on.
+func (p *Published) BaseVersion() uint64 { return p.head.based }
 
 // Author returns the operator who published the version.
 func (p *Published) Author() string { return p.head.author }
--- a/setting/publication/publication_test.go
+++ b/setting/publication/publication_test.go
@@ -19,7 +19,7 @@
 
 func publishText(log Log, id string, based uint64, b []byte) (uint64, error) {
 	return Publish(context.Background(), PublishConfig{Log: log, Wait: time.Nanosecond},
-		Change{ID: id, Based: based, Author: "ann", Name: id, Text: b})
+		Change{ID: id, BaseVersion: based, Author: "ann", Name: id, Text: b})
 }
 
 func newTestFollower(log Log, vm string) *Follower {
@@ -387,7 +387,7 @@
 	log.beforeAppend = []func(){func() { log.add(refused) }, func() {}} // the last function runs first
 
 	version, err := Publish(t.Context(), PublishConfig{Log: log, Wait: time.Nanosecond, partBytes: 10},
-		Change{ID: "two", Based: first, Author: "ann", Name: "two", Text: treeText(2)})
+		Change{ID: "two", BaseVersion: first, Author: "ann", Name: "two", Text: treeText(2)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -452,7 +452,7 @@
 
 	checkShares(2, [2]float64{2, 0})
 
-	if _, b, err := Text(t.Context(), log); string(b) != string(newerText) || err != nil {
+	if _, b, err := CurrentText(t.Context(), log); string(b) != string(newerText) || err != nil {
 		t.Errorf("text: got %q %v, want %q", b, err, newerText)
 	}
 
--- a/setting/publication/publish.go
+++ b/setting/publication/publish.go
@@ -14,8 +14,8 @@
 type Change struct {
 	// ID is the unique id of the change.
 	ID string
-	// Based is the version that the operator edited; 0 if none was published yet.
-	Based uint64
+	// BaseVersion is the version that the operator edited; 0 if none was published yet.
+	BaseVersion uint64
 	// Author is the name of the operator.
 	Author string
 	// Note is a description of the change; may be empty.
@@ -52,8 +52,8 @@
 
 // ConflictError describes the changes that came before a refused change.
 type ConflictError struct {
-	// Based is the version that the operator edited.
-	Based uint64
+	// BaseVersion is the version that the operator edited.
+	BaseVersion uint64
 	// InForce is the version in force, to rebase on.
 	InForce uint64
 	// Author, Note and At describe the version in force.
@@ -65,13 +65,13 @@
 	Changes []setting.Change
 	// Text is the text of InForce.
 	Text []byte
-	// BasedText is the text of Based; nil if the log no longer keeps it.
-	BasedText []byte
+	// BaseText is the text of Based; nil if the log no longer keeps it.
+	BaseText []byte
 }
 
 // Error returns the message.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("version %d by %s is in force, the change was based on %d", e.InForce, e.Author, e.Based)
+	return fmt.Sprintf("version %d by %s is in force, the change was based on %d", e.InForce, e.Author, e.BaseVersion)
 }
 
 // Publish appends c to the log and returns its version once the order of the log
@@ -101,7 +101,7 @@
 
 	err := p.reader.readToEnd(ctx, 0)
 	if c.Recover && failure.KindOf(err) == failure.Unavailable {
-		p.change.Based = p.reader.replica.nextOffset() - 1
+		p.change.BaseVersion = p.reader.replica.nextOffset() - 1
 
 		return p.publish(ctx)
 	}
@@ -110,12 +110,12 @@
 		return 0, err
 	}
 
-	if p.reader.replica.head.version != c.Based || c.Recover {
+	if p.reader.replica.head.version != c.BaseVersion || c.Recover {
 		return 0, p.conflict()
 	}
 
-	if p.reader.replica.head.hash == setting.HashOf(c.Text) && c.Based > 0 {
-		return c.Based, nil // the text is unchanged
+	if p.reader.replica.head.hash == setting.HashOf(c.Text) && c.BaseVersion > 0 {
+		return c.BaseVersion, nil // the text is unchanged
 	}
 
 	return p.publish(ctx)
@@ -140,7 +140,7 @@
 		}
 	}
 	p.reader.onHead = func(h head) {
-		if h.version == c.Based {
+		if h.version == c.BaseVersion {
 			p.basedText = h.text
 		}
 	}
@@ -162,7 +162,7 @@
 		// The parts of all attempts are identical, so parts of an earlier attempt
 		// that arrive late do no harm.
 		rec := record{
-			Kind: changeRecord, ID: p.change.ID, Based: p.change.Based,
+			Kind: changeRecord, ID: p.change.ID, Based: p.change.BaseVersion,
 			Author: p.change.Author, Note: p.change.Note, Hash: hash[:], Recovers: p.change.Recover,
 		}
 
@@ -236,21 +236,21 @@
 // is still in flight.
 func (p *publisher) superseded() bool {
 	if p.change.Recover {
-		return p.reader.replica.nextOffset() > p.change.Based+1
+		return p.reader.replica.nextOffset() > p.change.BaseVersion+1
 	}
 
-	return p.reader.replica.head.version != p.change.Based
+	return p.reader.replica.head.version != p.change.BaseVersion
 }
 
 // conflict returns the Conflict error with the changes that came before.
 func (p *publisher) conflict() error {
 	h := p.reader.replica.head
 	e := &ConflictError{
-		Based: p.change.Based, InForce: h.version, Author: h.author, Note: h.note, At: h.at,
-		Text: h.text, BasedText: p.basedText,
+		BaseVersion: p.change.BaseVersion, InForce: h.version, Author: h.author, Note: h.note, At: h.at,
+		Text: h.text, BaseText: p.basedText,
 	}
 
-	if p.basedText != nil || p.change.Based == 0 {
+	if p.basedText != nil || p.change.BaseVersion == 0 {
 		e.Changes = changedKeys(p.basedText, h.text)
 	}
 
--- a/setting/publication/stateful_test.go
+++ b/setting/publication/stateful_test.go
@@ -65,7 +65,7 @@
 func (m *fleet) drawBase(t *rapid.T) uint64 {
 	p := m.followers[rapid.IntRange(0, len(m.followers)-1).Draw(t, "seen")].Current()
 	if rapid.IntRange(0, 3).Draw(t, "lagging") > 0 {
-		if newest, _, err := Read(context.Background(), m.log, 1); err == nil {
+		if newest, _, err := ReadHistory(context.Background(), m.log, 1); err == nil {
 			p = newest
 		}
 	}
@@ -87,7 +87,7 @@
 	cfg := PublishConfig{Log: m.log, Attempts: 3, Wait: time.Nanosecond, partBytes: smallPartBytes}
 
 	version, err := Publish(context.Background(), cfg, Change{
-		ID: fmt.Sprint("c", m.attempts), Based: based, Author: "ann", Name: "draft", Text: []byte(text),
+		ID: fmt.Sprint("c", m.attempts), BaseVersion: based, Author: "ann", Name: "draft", Text: []byte(text),
 		Recover: rapid.IntRange(0, 9).Draw(t, "recover") == 0,
 	})
 
--- a/setting/tree.go
+++ b/setting/tree.go
@@ -25,14 +25,14 @@
 // document is the TOML form of a settings tree.
 type document struct {
 	overrides
-	Sites         map[string]siteLevel `toml:"site" validate:"dive,keys,object_name,endkeys"`
-	DataCentres   []DataCentre         `toml:"data_centre" validate:"dive"`
-	Links         []Link               `toml:"link" validate:"dive"`
-	Services      []Service            `toml:"service" validate:"dive"`
-	WeightRolls   []WeightRoll         `toml:"weight_roll" validate:"dive"`
-	Drains        []Drain              `toml:"drain" validate:"dive"`
-	Evacuations   []Evacuation         `toml:"evacuation" validate:"dive"`
-	Organisations []Organisation       `toml:"organisation" validate:"dive"`
+	Sites          map[string]siteLevel `toml:"site" validate:"dive,keys,object_name,endkeys"`
+	DataCentres    []DataCentre         `toml:"data_centre" validate:"dive"`
+	Links          []Link               `toml:"link" validate:"dive"`
+	Services       []Service            `toml:"service" validate:"dive"`
+	WeightRollouts []WeightRollout      `toml:"weight_roll" validate:"dive"`
+	Drains         []Drain              `toml:"drain" validate:"dive"`
+	Evacuations    []Evacuation         `toml:"evacuation" validate:"dive"`
+	Organisations  []Organisation       `toml:"organisation" validate:"dive"`
 }
 
 // Hash is the SHA-256 of a tree's text.
@@ -190,22 +190,22 @@
 // Organisation returns the organisation called name, and false if there is none.
 func (t *Tree) Organisation(name string) (Organisation, bool) { return lookup(t.organisations, name) }
 
-// WeightRolls returns the requested rollouts of weight versions.
-func (t *Tree) WeightRolls() []WeightRoll { return t.doc.WeightRolls }
+// WeightRollouts returns the requested rollouts of weight versions.
+func (t *Tree) WeightRollouts() []WeightRollout { return t.doc.WeightRollouts }
 
 // Drains returns the requested drains of targets.
 func (t *Tree) Drains() []Drain { return t.doc.Drains }
 
-// Drained returns the requested drain of the target on vm, and false if there is
+// Drain returns the requested drain of the target on vm, and false if there is
 // none.
-func (t *Tree) Drained(vm string) (Drain, bool) { return lookup(t.drains, vm) }
+func (t *Tree) Drain(vm string) (Drain, bool) { return lookup(t.drains, vm) }
 
 // Evacuations returns the requested evacuations of data centres.
 func (t *Tree) Evacuations() []Evacuation { return t.doc.Evacuations }
 
-// Evacuated returns the requested evacuation of a data centre, and false if there
+// Evacuation returns the requested evacuation of a data centre, and false if there
 // is none.
-func (t *Tree) Evacuated(dataCentre string) (Evacuation, bool) {
+func (t *Tree) Evacuation(dataCentre string) (Evacuation, bool) {
 	return lookup(t.evacuations, dataCentre)
 }
 
@@ -271,7 +271,7 @@
 
 	rolled := map[string]bool{}
 
-	for i, r := range t.doc.WeightRolls {
+	for i, r := range t.doc.WeightRollouts {
 		requireKnown(c, t.services, r.Service, "service", "weight_roll.%d.service", i)
 
 		if rolled[r.Service] {
--- a/setting/world.go
+++ b/setting/world.go
@@ -48,8 +48,8 @@
 	IdempotentPaths []string `toml:"idempotent_paths" validate:"dive,startswith=/,max=256"`
 }
 
-// WeightRoll requests the rollout of a weight version to a service's engines.
-type WeightRoll struct {
+// WeightRollout requests the rollout of a weight version to a service's engines.
+type WeightRollout struct {
 	// Service is the service whose engines are updated.
 	Service string `toml:"service" validate:"required,object_name"`
 	// WeightVersion is the version to roll out.
--- a/side/side.go
+++ b/side/side.go
@@ -95,7 +95,7 @@
 	// DrainTimeout is the maximum time that Drain waits for requests in flight.
 	DrainTimeout time.Duration
 	// Settings answers other processes' requests for settings.
-	Settings exchange.Keeper
+	Settings exchange.SettingsReplica
 	// Claims records non-idempotent calls; if nil, such calls are refused.
 	Claims Claims
 	// PostCrash appends a crash to the log; nil means that crashes are not logged.
--- a/wholepath/env_test.go
+++ b/wholepath/env_test.go
@@ -336,7 +336,7 @@
 	e.t.Helper()
 
 	_, err := publication.Publish(e.t.Context(), publication.PublishConfig{Log: journal.NewClient(journal.ClientConfig{URL: "http://" + e.logAddr})},
-		publication.Change{ID: uuid.NewString(), Based: basedOn, Author: "test", Name: "settings.toml", Text: []byte(text)})
+		publication.Change{ID: uuid.NewString(), BaseVersion: basedOn, Author: "test", Name: "settings.toml", Text: []byte(text)})
 	if err != nil {
 		e.t.Fatal(err)
 	}
@@ -423,12 +423,12 @@
 
 	client := journal.NewClient(journal.ClientConfig{URL: "http://" + e.logAddr})
 	p.settings = publication.NewFollower(publication.FollowerConfig{
-		Log:     client,
-		Self:    publication.Member{VM: name, DataCentre: dataCentre},
-		Members: func() []publication.Member { return exchange.Members(p.vms.List()) },
-		Peers:   exchange.Peers{Asker: p.dialer, VMs: p.vms},
-		Logger:  log,
-		Changed: func(q *publication.Published) { p.callbacks.onSettings(time.Now(), q) },
+		Log:      client,
+		Self:     publication.Member{VM: name, DataCentre: dataCentre},
+		Members:  func() []publication.Member { return exchange.Members(p.vms.List()) },
+		Peers:    exchange.Peers{Requester: p.dialer, VMs: p.vms},
+		Logger:   log,
+		OnChange: func(q *publication.Published) { p.callbacks.onSettings(time.Now(), q) },
 	})
 	p.notices = notice.New(notice.Config{Log: client, Logger: log, OnCrash: func(c quarantine.Crash) { p.callbacks.onCrash(time.Now(), c) }})
 	p.tasks = []func(context.Context){p.vms.Run, p.settings.Run, p.notices.Run}
