--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -230,12 +230,12 @@
 			s.call(p, s.keys[max(0, len(s.keys)-1-st.choice%3)], st)
 		}
 	case stepFault:
-		s.log.Set([]memory.Faults{
-			{Down: true}, {Silent: true}, {Delay: 2 * st.duration}, {Lose: func(n uint64) bool { return n%2 == 0 }},
-			{Late: func(n uint64) time.Duration { return time.Duration(n%2) * st.duration }},
+		s.log.SetFaults([]memory.Faults{
+			{Down: true}, {Unresponsive: true}, {Delay: 2 * st.duration}, {LoseResponse: func(n uint64) bool { return n%2 == 0 }},
+			{DelayEffect: func(n uint64) time.Duration { return time.Duration(n%2) * st.duration }},
 		}[st.choice%5])
 	case stepHeal:
-		s.log.Set(memory.Faults{})
+		s.log.SetFaults(memory.Faults{})
 	case stepKill:
 		s.kill(p)
 		s.start(p.vm)
@@ -314,7 +314,7 @@
 		s.apply(st)
 	}
 
-	s.log.Set(memory.Faults{})
+	s.log.SetFaults(memory.Faults{})
 	time.Sleep(time.Minute)
 	s.calls.Wait()
 
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -51,7 +51,7 @@
 	time.Sleep(30 * time.Second)
 
 	// A call to the log takes a few milliseconds.
-	log.Set(memory.Faults{Delay: 3 * time.Millisecond})
+	log.SetFaults(memory.Faults{Delay: 3 * time.Millisecond})
 
 	owner := map[int]*Deduplicator{}
 
--- a/ctl/client.go
+++ b/ctl/client.go
@@ -58,12 +58,12 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
-	reply, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.View{Name: name, Query: query})
+	reply, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.DocumentRequest{Name: name, Query: query})
 	if err != nil {
 		return nil, err
 	}
 
-	v, err := message.Expect[message.Viewed](reply)
+	v, err := message.Expect[message.Document](reply)
 
 	return v.JSON, err
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 
-	if s, err := e.queryState(ctx, t); err == nil && (s.Ready || s.Gone) && s.Boot == t.BootID {
+	if s, err := e.queryState(ctx, t); err == nil && (s.Ready || s.TargetGone) && s.Boot == t.BootID {
 		return
 	}
 
@@ -185,7 +185,7 @@
 			}
 		case message.Imported:
 			j.releaseLink(m.Bytes)
-		case message.Crashed:
+		case message.CrashReport:
 			j.e.AddCrash(time.Now(), m.Crash)
 		case message.Done:
 			return m, j.checkTokenCount(m)
@@ -248,7 +248,7 @@
 		Version:       r.lookup.version,
 		Salt:          j.salt(),
 		Prompt:        j.rendered,
-		Resume:        string(j.deliveredText),
+		ResumeText:    string(j.deliveredText),
 		ResumeTokens:  j.delivered,
 		MaxTokens:     j.maxTokens,
 		Sampling:      j.sampling,
@@ -294,7 +294,7 @@
 		return
 	}
 
-	j.e.updates.Offer(directoryUpdate{learn: message.Learn{
+	j.e.updates.Offer(directoryUpdate{learn: message.HoldingUpdate{
 		Anchor: r.lookup.anchor,
 		Chain:  chain,
 		Holding: message.Holding{
--- a/entry/direct.go
+++ b/entry/direct.go
@@ -84,12 +84,12 @@
 		CacheSalt:     m.Salt,
 		WeightVersion: m.Version,
 		RequestID:     m.RequestID + "." + uuid.NewString()[:8],
-		ResumeText:    m.Resume,
+		ResumeText:    m.ResumeText,
 	}, func(p engine.Piece) error {
 		if p.Finish != "" {
 			reported = p.Usage.CompletionTokens
 			d = message.Done{
-				Finish:       p.Finish,
+				FinishReason: p.Finish,
 				PromptTokens: p.Usage.PromptTokens,
 				CachedTokens: p.Usage.Details.CachedTokens,
 			}
@@ -118,7 +118,7 @@
 
 // executeDirect makes a call to a plain service without a side process.
 func (c *call) executeDirect(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
-	if c.message.Once {
+	if c.message.AtMostOnce {
 		return reply, false, failure.New(failure.Unavailable, "%s has no side process, which is needed to run the call at most once", t.VM).After(c.e.retryAfter())
 	}
 
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -82,7 +82,7 @@
 			return message.Reply{}, err
 		}
 
-		if crashed, ok := m.(message.Crashed); ok {
+		if crashed, ok := m.(message.CrashReport); ok {
 			c.e.AddCrash(time.Now(), crashed.Crash)
 
 			continue
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -23,7 +23,7 @@
 // successful response and cancels the other attempt.
 func (c *call) tryHedged(ctx context.Context, t target.Target) (message.Reply, bool, error) {
 	after := c.values.HedgeAfter
-	if c.message.Once || after <= 0 {
+	if c.message.AtMostOnce || after <= 0 {
 		ctx, cancel := c.withAttemptTimeout(ctx)
 		defer cancel()
 
@@ -89,7 +89,7 @@
 // withAttemptTimeout limits one attempt of an idempotent call to its share of the
 // timeout, so that an unresponsive target leaves time for attempts at others.
 func (c *call) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	if c.message.Once {
+	if c.message.AtMostOnce {
 		return context.WithCancel(ctx)
 	}
 
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -31,7 +31,7 @@
 	return &ownedContexts{table: directory.NewTable(cfg)}
 }
 
-func (o *ownedContexts) update(now time.Time, m message.Learn) {
+func (o *ownedContexts) update(now time.Time, m message.HoldingUpdate) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -40,7 +40,7 @@
 		kind = directory.Store
 	}
 
-	if m.Gone {
+	if m.Removed {
 		o.table.Remove(m.Anchor, kind, m.Holding.Holder, m.Holding.Copy)
 
 		return
@@ -153,7 +153,7 @@
 
 // directoryUpdate is an update to be sent to the owner of its anchor.
 type directoryUpdate struct {
-	learn message.Learn
+	learn message.HoldingUpdate
 }
 
 // sendUpdates sends the queued directory updates to their owners until ctx ends.
@@ -168,7 +168,7 @@
 	}
 }
 
-func (e *Entry) sendUpdate(ctx context.Context, m message.Learn) {
+func (e *Entry) sendUpdate(ctx context.Context, m message.HoldingUpdate) {
 	owner, self := e.owner(m.Anchor)
 	if self {
 		e.owned.update(time.Now(), m)
@@ -196,10 +196,10 @@
 	switch m := m.(type) {
 	case message.Locate:
 		err = t.Send(message.Located{Holdings: e.owned.locate(now, m.Anchor, m.Chain)})
-	case message.Learn:
+	case message.HoldingUpdate:
 		e.owned.update(now, m)
 		err = t.Send(message.Ack{})
-	case message.Crashed:
+	case message.CrashReport:
 		e.AddCrash(now, m.Crash)
 		err = t.Send(message.Ack{})
 	default:
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -284,7 +284,7 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 
-	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.Ask{})
+	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.StateRequest{})
 	if err != nil {
 		return
 	}
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -113,7 +113,7 @@
 		ContentType:  r.Header.Get("Content-Type"),
 		Body:         b,
 		Key:          key,
-		Once:         once,
+		AtMostOnce:   once,
 	}
 
 	return c, nil
@@ -197,7 +197,7 @@
 		return failure.Wrap(failure.Unavailable, err, "the service is unreachable").After(c.e.retryAfter())
 	}
 
-	if !c.message.Once || !sent || failure.KindOf(err).Answer().Ran == failure.NotRun {
+	if !c.message.AtMostOnce || !sent || failure.KindOf(err).Answer().Ran == failure.NotRun {
 		return err
 	}
 
@@ -211,7 +211,7 @@
 func (c *call) shouldRetry(ctx context.Context, sent bool, err error) bool {
 	kind := failure.KindOf(err)
 	allowed := ctx.Err() == nil && retry.MayRetry(retry.Attempt{
-		Idempotent:  !c.message.Once,
+		Idempotent:  !c.message.AtMostOnce,
 		Sent:        sent,
 		Kind:        kind,
 		Number:      c.attempt,
@@ -243,7 +243,7 @@
 func (c *call) route(ctx context.Context, now time.Time) (target.Target, bool) {
 	targets := c.e.targets.Candidates(now, c.service.Name)
 
-	if c.message.Once {
+	if c.message.AtMostOnce {
 		return c.shardHome(ctx, targets)
 	}
 
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -136,7 +136,7 @@
 		return e.queryDirectState(ctx, t)
 	}
 
-	m, err := e.cfg.Peers.Ask(ctx, sideAddress(t), message.Ask{SettingsVersion: e.version()})
+	m, err := e.cfg.Peers.Ask(ctx, sideAddress(t), message.StateRequest{SettingsVersion: e.version()})
 	if err != nil {
 		return message.State{}, err
 	}
@@ -177,7 +177,7 @@
 		blockTokens:   s.BlockTokens,
 		bytesPerToken: s.BytesPerToken,
 	})
-	e.homes.set(t.Service, t.VM, s.Homes)
+	e.homes.set(t.Service, t.VM, s.OwnedShards)
 	e.logChanges(e.targets.ObserveState(now, target.StateReport{
 		VM:            t.VM,
 		BootID:        s.Boot,
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -63,7 +63,7 @@
 func (s *bufferedSink) finish(d message.Done) error {
 	s.w.Header().Set("Content-Type", "application/json")
 
-	return json.NewEncoder(s.w).Encode(s.completion(false, []choice{s.api.fullChoice(s.text.String(), d.Finish)}, usageOf(d)))
+	return json.NewEncoder(s.w).Encode(s.completion(false, []choice{s.api.fullChoice(s.text.String(), d.FinishReason)}, usageOf(d)))
 }
 
 // streamSink writes a response as server-sent events.
@@ -91,7 +91,7 @@
 func (s *streamSink) finish(d message.Done) error {
 	s.writeHeader()
 
-	if err := s.writeChunk(s.completion(true, []choice{s.api.chunkChoice("", false, &d.Finish)}, nil)); err != nil {
+	if err := s.writeChunk(s.completion(true, []choice{s.api.chunkChoice("", false, &d.FinishReason)}, nil)); err != nil {
 		return err
 	}
 
--- a/experiment/move.go
+++ b/experiment/move.go
@@ -149,7 +149,7 @@
 
 	n := t.unsent
 	if len(t.windows) > 1 {
-		n = min(n, t.link.Chunk())
+		n = min(n, t.link.ChunkBytes())
 	}
 
 	t.unsent -= n
@@ -275,9 +275,9 @@
 	}
 
 	return parking.Context{
-		Tokens: tokens, Parked: parked, Bytes: int64(missing) * s.d.Engine.BytesPerToken,
+		Tokens: tokens, StoredTokens: parked, Bytes: int64(missing) * s.d.Engine.BytesPerToken,
 		PrefillTokensPerSecond: s.d.Engine.PrefillTokensPerSecond,
-		Seen:                   epoch.Add(c.lastVisit), Gaps: s.gaps[c.workload],
+		LastUsed:               epoch.Add(c.lastVisit), Gaps: s.gaps[c.workload],
 	}
 }
 
@@ -315,18 +315,18 @@
 		s.storeViews = append(s.storeViews, s.storeView(e, st, tokens-parked))
 	}
 
-	d := parking.Decide(s.now(), s.parkingCfg, s.parkingContext(c, tokens, parked), parking.View{Stays: s.retention(e), Stores: s.storeViews})
+	d := parking.Decide(s.now(), s.parkingCfg, s.parkingContext(c, tokens, parked), parking.View{EngineRetention: s.retention(e), Stores: s.storeViews})
 	if !d.Export() {
 		return
 	}
 
-	s.export(e, c, stores[d.First()], tokens, parked)
+	s.export(e, c, stores[d.StoreIndex()], tokens, parked)
 }
 
-func (s *simulation) storeView(e *engine, st *store, tokens int) parking.Room {
+func (s *simulation) storeView(e *engine, st *store, tokens int) parking.Store {
 	l := s.exportLinks[e.index].Between(e.dataCentre, st.dataCentre)
 
-	return parking.Room{
+	return parking.Store{
 		Name: st.name, Free: st.capacity - st.used, Total: st.capacity, Density: st.minDensity(),
 		Down:     !st.up || !s.reachable(e.dataCentre, st.dataCentre),
 		Transfer: l.Backlog(s.now()) + l.Estimate(s.now(), int64(tokens)*s.d.Engine.BytesPerToken),
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -65,7 +65,7 @@
 	candidates []route.Candidate
 	holdings   []directory.Holding
 	sources    []route.Source
-	storeViews []parking.Room
+	storeViews []parking.Store
 }
 
 // entryModel models one entry.
@@ -172,7 +172,7 @@
 	cfg := link.Config{BytesPerSecond: s.d.LinkBytesPerSecond, Latency: s.d.InterDataCentreDelay}
 
 	if s.ablation == LinkMeasurement {
-		cfg.Measurable = math.MaxInt64
+		cfg.MinMeasuredBytes = math.MaxInt64
 	}
 
 	return link.NewTable(cfg, cfg)
@@ -288,10 +288,10 @@
 // recordVisit updates the gap statistics of the conversation's workload with a visit.
 func (s *simulation) recordVisit(c *conversation) {
 	g := s.gaps[c.workload]
-	g.Visited()
+	g.RecordVisit()
 
 	if c.visitCount > 0 {
-		g.Returned(s.clock.now - c.lastVisit)
+		g.RecordReturn(s.clock.now - c.lastVisit)
 	}
 
 	c.visitCount++
--- a/journal/lease/keeper_test.go
+++ b/journal/lease/keeper_test.go
@@ -52,14 +52,14 @@
 			t.Fatalf("holders: got %v and %v, want the first only", ok, other)
 		}
 
-		log.Set(memory.Faults{Down: true})
+		log.SetFaults(memory.Faults{Down: true})
 		time.Sleep(time.Minute)
 
 		if _, ok := one.Fence(time.Now()); ok {
 			t.Error("during the outage: got a valid lease, want none")
 		}
 
-		log.Set(memory.Faults{})
+		log.SetFaults(memory.Faults{})
 		time.Sleep(time.Minute)
 
 		_, first := one.Fence(time.Now())
--- a/journal/memory/log.go
+++ b/journal/memory/log.go
@@ -20,17 +20,17 @@
 type Faults struct {
 	// Down makes every call fail with failure.LogUnavailable.
 	Down bool
-	// Silent leaves every call without a response and without effect.
-	Silent bool
+	// Unresponsive leaves every call without a response and without effect.
+	Unresponsive bool
 	// Delay is the time until a call takes effect. A caller times out after
 	// CallTimeout, but its append takes effect all the same.
 	Delay time.Duration
-	// Lose reports whether the response to append n is lost after the append took
+	// LoseResponse reports whether the response to append n is lost after the append took
 	// effect; n counts the appends to all streams from 1. Nil loses none.
-	Lose func(n uint64) bool
-	// Late returns the time until append n takes effect; if it is not zero, the
+	LoseResponse func(n uint64) bool
+	// DelayEffect returns the time until append n takes effect; if it is not zero, the
 	// response is lost at once. Nil delays none.
-	Late func(n uint64) time.Duration
+	DelayEffect func(n uint64) time.Duration
 }
 
 // CallTimeout is how long a caller waits for a response, as the deadline of a
@@ -57,8 +57,8 @@
 	return &Log{streams: map[string]*stream{}, changed: make(chan struct{})}
 }
 
-// Set replaces the faults and applies them to waiting reads too.
-func (l *Log) Set(f Faults) {
+// SetFaults replaces the faults and applies them to waiting reads too.
+func (l *Log) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -124,8 +124,8 @@
 
 	l.appends++
 
-	if l.faults.Late != nil {
-		effectDelay = max(effectDelay, l.faults.Late(l.appends))
+	if l.faults.DelayEffect != nil {
+		effectDelay = max(effectDelay, l.faults.DelayEffect(l.appends))
 	}
 
 	if effectDelay > 0 {
@@ -137,7 +137,7 @@
 	}
 
 	offset := l.appendRecords(name, records)
-	if l.faults.Lose != nil && l.faults.Lose(l.appends) {
+	if l.faults.LoseResponse != nil && l.faults.LoseResponse(l.appends) {
 		return 0, lostResponse()
 	}
 
@@ -177,7 +177,7 @@
 	l.mu.Unlock()
 
 	switch {
-	case f.Silent:
+	case f.Unresponsive:
 		_ = sleep(ctx, CallTimeout)
 
 		return 0, lostResponse()
--- a/journal/snapshot_test.go
+++ b/journal/snapshot_test.go
@@ -119,7 +119,7 @@
 	}
 
 	time.Sleep(2 * appendDelay)
-	log.Set(memory.Faults{})
+	log.SetFaults(memory.Faults{})
 	partitionable.partitioned.Store(false)
 	wg.Go(func() { late.reader(log).Run(ctx) })
 	time.Sleep(time.Minute)
@@ -169,7 +169,7 @@
 			log.Trim(stream, s.Covers()+1)
 		}
 	case stepDelay:
-		log.Set(memory.Faults{Late: func(n uint64) time.Duration { return time.Duration(n%2) * appendDelay }})
+		log.SetFaults(memory.Faults{DelayEffect: func(n uint64) time.Duration { return time.Duration(n%2) * appendDelay }})
 	case stepPartition:
 		partitionable.partitioned.Store(!partitionable.partitioned.Load())
 	}
--- a/journal/stateful_test.go
+++ b/journal/stateful_test.go
@@ -60,8 +60,8 @@
 		}
 
 		s.faults = append(s.faults, rapid.SampledFrom([]memory.Faults{
-			{}, {Down: true}, {Silent: true}, {Delay: time.Second}, {Delay: 4 * time.Second}, {Lose: affected},
-			{Late: delay}, {Late: delay, Delay: time.Second},
+			{}, {Down: true}, {Unresponsive: true}, {Delay: time.Second}, {Delay: 4 * time.Second}, {LoseResponse: affected},
+			{DelayEffect: delay}, {DelayEffect: delay, Delay: time.Second},
 		}).Draw(t, "fault"))
 		s.faultDurations = append(s.faultDurations, time.Duration(rapid.IntRange(10, 20000).Draw(t, "length"))*time.Millisecond)
 	}
@@ -118,11 +118,11 @@
 
 	wg.Go(func() {
 		for i, f := range s.faults {
-			log.Set(f)
+			log.SetFaults(f)
 			time.Sleep(s.faultDurations[i])
 		}
 
-		log.Set(memory.Faults{})
+		log.SetFaults(memory.Faults{})
 	})
 
 	for i, a := range s.appends {
--- a/link/link.go
+++ b/link/link.go
@@ -53,9 +53,9 @@
 	MaxWindows int
 	// ChunkBytes is the maximum size of a chunk of ReserveChunks; 1 GiB when zero.
 	ChunkBytes int64
-	// Measurable is the minimum size of a transfer by which the rate is measured,
+	// MinMeasuredBytes is the minimum size of a transfer by which the rate is measured,
 	// in bytes; 8 MiB when zero.
-	Measurable int64
+	MinMeasuredBytes int64
 	// Overrun is how much longer than expected a transfer may take before it is
 	// regarded as lost, as a multiple of the expected time; 2 when zero.
 	Overrun float64
@@ -137,8 +137,8 @@
 		cfg.ChunkBytes = defaultChunkBytes
 	}
 
-	if cfg.Measurable <= 0 {
-		cfg.Measurable = defaultMeasurable
+	if cfg.MinMeasuredBytes <= 0 {
+		cfg.MinMeasuredBytes = defaultMeasurable
 	}
 
 	if cfg.Overrun <= 0 {
@@ -190,7 +190,7 @@
 // measureRate updates the rate with a transfer of this size and duration.
 func (l *Link) measureRate(now time.Time, bytes int64, took time.Duration) {
 	took -= l.cfg.Latency
-	if bytes < l.cfg.Measurable || took <= 0 {
+	if bytes < l.cfg.MinMeasuredBytes || took <= 0 {
 		return
 	}
 
@@ -267,8 +267,8 @@
 	return dst
 }
 
-// Chunk returns the maximum size of a chunk of ReserveChunks, in bytes.
-func (l *Link) Chunk() int64 { return l.cfg.ChunkBytes }
+// ChunkBytes returns the maximum size of a chunk of ReserveChunks, in bytes.
+func (l *Link) ChunkBytes() int64 { return l.cfg.ChunkBytes }
 
 // Done ends window id after a transfer of this size, by which it measures the
 // rate. Later windows move forward.
--- a/message/message.go
+++ b/message/message.go
@@ -44,7 +44,7 @@
 
 // The message types.
 const (
-	TypeBeat Type = iota + 1
+	TypeHeartbeat Type = iota + 1
 	TypeRun
 	TypeToken
 	TypeDone
@@ -53,16 +53,16 @@
 	TypeReply
 	TypeLocate
 	TypeLocated
-	TypeLearn
+	TypeHoldingUpdate
 	TypeAck
-	TypeAsk
+	TypeStateRequest
 	TypeState
-	TypeFetch
+	TypeSettingsRequest
 	TypeSettings
-	TypeCrashed
+	TypeCrashReport
 	TypeOrder
-	TypeView
-	TypeViewed
+	TypeDocumentRequest
+	TypeDocument
 	TypeImported
 )
 
@@ -72,8 +72,8 @@
 	Type() Type
 }
 
-// Beat is a heartbeat: it shows that the sender is alive.
-type Beat struct{}
+// Heartbeat is a heartbeat: it shows that the sender is alive.
+type Heartbeat struct{}
 
 // Run asks a side process to run a prompt on its engine.
 type Run struct {
@@ -91,8 +91,8 @@
 	Salt    string `cbor:"7,keyasint"`
 	// Prompt is the rendered prompt.
 	Prompt string `cbor:"8,keyasint"`
-	// Resume is the part of the completion that the caller already received.
-	Resume string `cbor:"9,keyasint,omitempty"`
+	// ResumeText is the part of the completion that the caller already received.
+	ResumeText string `cbor:"9,keyasint,omitempty"`
 	// ResumeTokens is the number of tokens in Resume.
 	ResumeTokens int `cbor:"10,keyasint,omitempty"`
 	// MaxTokens bounds the length of the completion.
@@ -138,8 +138,8 @@
 type Done struct {
 	// Tokens is the number of tokens of the whole completion.
 	Tokens int `cbor:"1,keyasint"`
-	// Finish is the OpenAI finish reason.
-	Finish string `cbor:"2,keyasint"`
+	// FinishReason is the OpenAI finish reason.
+	FinishReason string `cbor:"2,keyasint"`
 	// PromptTokens is the prompt's length in tokens.
 	PromptTokens int `cbor:"3,keyasint"`
 	// CachedTokens is how many of them were in the KV cache and not computed.
@@ -185,8 +185,8 @@
 	Body        []byte `cbor:"8,keyasint,omitempty"`
 	// Key is the value of the Idempotency-Key header.
 	Key string `cbor:"9,keyasint,omitempty"`
-	// Once says that the call may run at most once, so that it needs a claim.
-	Once bool `cbor:"10,keyasint,omitempty"`
+	// AtMostOnce says that the call may run at most once, so that it needs a claim.
+	AtMostOnce bool `cbor:"10,keyasint,omitempty"`
 	// TimeoutMS is the time left for the call, in milliseconds.
 	TimeoutMS int64 `cbor:"11,keyasint"`
 }
@@ -256,8 +256,8 @@
 	Holdings []Holding `cbor:"1,keyasint"`
 }
 
-// Learn reports to the owner of an anchor that a holding was added or removed.
-type Learn struct {
+// HoldingUpdate reports to the owner of an anchor that a holding was added or removed.
+type HoldingUpdate struct {
 	// Anchor is the hash of the context up to the end of its first user message;
 	// see directory.Anchor.
 	Anchor prompt.Hash `cbor:"1,keyasint"`
@@ -265,15 +265,15 @@
 	Chain prompt.Chain `cbor:"2,keyasint,omitempty"`
 	// Holding is the holding that was added or removed.
 	Holding Holding `cbor:"3,keyasint"`
-	// Gone says that the holding was removed.
-	Gone bool `cbor:"4,keyasint,omitempty"`
+	// Removed says that the holding was removed.
+	Removed bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Ack acknowledges a message that needs no other response.
 type Ack struct{}
 
-// Ask requests the state of a side process.
-type Ask struct {
+// StateRequest requests the state of a side process.
+type StateRequest struct {
 	// SettingsVersion is the version of the settings in force at the sender.
 	SettingsVersion uint64 `cbor:"1,keyasint"`
 }
@@ -306,8 +306,8 @@
 	MaxRunning int `cbor:"13,keyasint,omitempty"`
 	// BytesPerToken is the size of a context's copy per token, in bytes.
 	BytesPerToken int `cbor:"14,keyasint,omitempty"`
-	// Homes are the claim shards that this side process owns.
-	Homes []int `cbor:"15,keyasint,omitempty"`
+	// OwnedShards are the claim shards that this side process owns.
+	OwnedShards []int `cbor:"15,keyasint,omitempty"`
 	// Sequence increases with each State of the same Boot.
 	Sequence uint64 `cbor:"16,keyasint"`
 	// Loading says that the engine is loading weights.
@@ -327,13 +327,13 @@
 	Accepted uint64 `cbor:"24,keyasint,omitempty"`
 	// UpMS is the time since the start of this incarnation, in milliseconds.
 	UpMS int64 `cbor:"25,keyasint,omitempty"`
-	// Gone says that nothing listens at the target's address. The side process
+	// TargetGone says that nothing listens at the target's address. The side process
 	// has then already reported the requests that ran when it crashed.
-	Gone bool `cbor:"26,keyasint,omitempty"`
+	TargetGone bool `cbor:"26,keyasint,omitempty"`
 }
 
-// Fetch requests the published settings after a version from a peer.
-type Fetch struct {
+// SettingsRequest requests the published settings after a version from a peer.
+type SettingsRequest struct {
 	// After is the version at the sender; zero requests all settings.
 	After uint64 `cbor:"1,keyasint"`
 }
@@ -348,8 +348,8 @@
 	Body []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Crashed reports the requests that ran when a target crashed.
-type Crashed struct {
+// CrashReport reports the requests that ran when a target crashed.
+type CrashReport struct {
 	// Crash is the report.
 	Crash quarantine.Crash `cbor:"1,keyasint"`
 }
@@ -370,44 +370,44 @@
 	Role    string `cbor:"6,keyasint,omitempty"`
 }
 
-// View requests a document on the state of a process, for operators.
-type View struct {
+// DocumentRequest requests a document on the state of a process, for operators.
+type DocumentRequest struct {
 	// Name is the document's name.
 	Name string `cbor:"1,keyasint"`
 	// Query selects a part of it, such as a request ID for "explain".
 	Query string `cbor:"2,keyasint,omitempty"`
 }
 
-// Viewed is the response to View.
-type Viewed struct {
+// Document is the response to View.
+type Document struct {
 	// JSON is the document, encoded as JSON.
 	JSON []byte `cbor:"1,keyasint"`
 }
 
 // Type returns the number of each message on the wire.
-func (Beat) Type() Type     { return TypeBeat }
-func (Run) Type() Type      { return TypeRun }      //nolint:revive // documented on Message
-func (Token) Type() Type    { return TypeToken }    //nolint:revive // documented on Message
-func (Done) Type() Type     { return TypeDone }     //nolint:revive // documented on Message
-func (Refused) Type() Type  { return TypeRefused }  //nolint:revive // documented on Message
-func (Call) Type() Type     { return TypeCall }     //nolint:revive // documented on Message
-func (Reply) Type() Type    { return TypeReply }    //nolint:revive // documented on Message
-func (Locate) Type() Type   { return TypeLocate }   //nolint:revive // documented on Message
-func (Located) Type() Type  { return TypeLocated }  //nolint:revive // documented on Message
-func (Learn) Type() Type    { return TypeLearn }    //nolint:revive // documented on Message
-func (Ack) Type() Type      { return TypeAck }      //nolint:revive // documented on Message
-func (Ask) Type() Type      { return TypeAsk }      //nolint:revive // documented on Message
-func (State) Type() Type    { return TypeState }    //nolint:revive // documented on Message
-func (Fetch) Type() Type    { return TypeFetch }    //nolint:revive // documented on Message
-func (Settings) Type() Type { return TypeSettings } //nolint:revive // documented on Message
-func (Crashed) Type() Type  { return TypeCrashed }  //nolint:revive // documented on Message
-func (Order) Type() Type    { return TypeOrder }    //nolint:revive // documented on Message
-func (View) Type() Type     { return TypeView }     //nolint:revive // documented on Message
-func (Viewed) Type() Type   { return TypeViewed }   //nolint:revive // documented on Message
-func (Imported) Type() Type { return TypeImported } //nolint:revive // documented on Message
+func (Heartbeat) Type() Type       { return TypeHeartbeat }
+func (Run) Type() Type             { return TypeRun }             //nolint:revive // documented on Message
+func (Token) Type() Type           { return TypeToken }           //nolint:revive // documented on Message
+func (Done) Type() Type            { return TypeDone }            //nolint:revive // documented on Message
+func (Refused) Type() Type         { return TypeRefused }         //nolint:revive // documented on Message
+func (Call) Type() Type            { return TypeCall }            //nolint:revive // documented on Message
+func (Reply) Type() Type           { return TypeReply }           //nolint:revive // documented on Message
+func (Locate) Type() Type          { return TypeLocate }          //nolint:revive // documented on Message
+func (Located) Type() Type         { return TypeLocated }         //nolint:revive // documented on Message
+func (HoldingUpdate) Type() Type   { return TypeHoldingUpdate }   //nolint:revive // documented on Message
+func (Ack) Type() Type             { return TypeAck }             //nolint:revive // documented on Message
+func (StateRequest) Type() Type    { return TypeStateRequest }    //nolint:revive // documented on Message
+func (State) Type() Type           { return TypeState }           //nolint:revive // documented on Message
+func (SettingsRequest) Type() Type { return TypeSettingsRequest } //nolint:revive // documented on Message
+func (Settings) Type() Type        { return TypeSettings }        //nolint:revive // documented on Message
+func (CrashReport) Type() Type     { return TypeCrashReport }     //nolint:revive // documented on Message
+func (Order) Type() Type           { return TypeOrder }           //nolint:revive // documented on Message
+func (DocumentRequest) Type() Type { return TypeDocumentRequest } //nolint:revive // documented on Message
+func (Document) Type() Type        { return TypeDocument }        //nolint:revive // documented on Message
+func (Imported) Type() Type        { return TypeImported }        //nolint:revive // documented on Message
 
-// Refusal returns the message that reports err to a peer.
-func Refusal(err error) Refused {
+// NewRefused returns the message that reports err to a peer.
+func NewRefused(err error) Refused {
 	e := failure.As(err)
 
 	return Refused{Kind: e.Kind(), Text: e.Message(), RetryAfterMS: e.RetryAfter().Milliseconds()}
--- a/message/message_test.go
+++ b/message/message_test.go
@@ -14,11 +14,11 @@
 
 func allMessages() []Message {
 	return []Message{
-		Beat{}, Run{RequestID: "r", Prompt: "p", Copies: []Holding{{Holder: "s", Blocks: 3}}}, Token{Index: 7, Text: "t"},
-		Done{Tokens: 8, Finish: "stop"}, Refused{Kind: failure.Draining, Text: "leaving"}, Call{Method: "POST", Body: []byte("b")},
-		Reply{Status: 200}, Locate{}, Located{Holdings: []Holding{{Store: true}}}, Learn{Gone: true}, Ack{}, Ask{SettingsVersion: 3},
-		State{VM: "v", Homes: []int{1}}, Fetch{After: 1}, Settings{Version: 2, Body: []byte("x")}, Crashed{Crash: quarantine.Crash{Target: "e", Running: []quarantine.Fingerprint{{1}}}}, Order{Fence: 3, Kind: "load_weights"},
-		View{Name: "fleet"}, Viewed{JSON: []byte("{}")}, Imported{Bytes: 9},
+		Heartbeat{}, Run{RequestID: "r", Prompt: "p", Copies: []Holding{{Holder: "s", Blocks: 3}}}, Token{Index: 7, Text: "t"},
+		Done{Tokens: 8, FinishReason: "stop"}, Refused{Kind: failure.Draining, Text: "leaving"}, Call{Method: "POST", Body: []byte("b")},
+		Reply{Status: 200}, Locate{}, Located{Holdings: []Holding{{Store: true}}}, HoldingUpdate{Removed: true}, Ack{}, StateRequest{SettingsVersion: 3},
+		State{VM: "v", OwnedShards: []int{1}}, SettingsRequest{After: 1}, Settings{Version: 2, Body: []byte("x")}, CrashReport{Crash: quarantine.Crash{Target: "e", Running: []quarantine.Fingerprint{{1}}}}, Order{Fence: 3, Kind: "load_weights"},
+		DocumentRequest{Name: "fleet"}, Document{JSON: []byte("{}")}, Imported{Bytes: 9},
 	}
 }
 
--- a/operator/responder.go
+++ b/operator/responder.go
@@ -26,17 +26,17 @@
 		return response
 	}
 
-	if q, ok := m.(message.View); ok {
+	if q, ok := m.(message.DocumentRequest); ok {
 		return r.respondView(q)
 	}
 
-	return message.Refusal(failure.New(failure.BadMessage, "message type %d does not start an exchange with this process", m.Type()))
+	return message.NewRefused(failure.New(failure.BadMessage, "message type %d does not start an exchange with this process", m.Type()))
 }
 
 // respondView returns the requested document. The operator command requests views over
 // peer connections, with its own certificate, because no list holds the addresses of
 // the VMs' operator ports.
-func (r Responder) respondView(q message.View) message.Message {
+func (r Responder) respondView(q message.DocumentRequest) message.Message {
 	for _, v := range r.Views {
 		if v.Name != q.Name {
 			continue
@@ -44,11 +44,11 @@
 
 		b, err := json.Marshal(v.Get(q.Query))
 		if err != nil {
-			return message.Refusal(failure.Wrap(failure.Internal, err, "view %q", q.Name))
+			return message.NewRefused(failure.Wrap(failure.Internal, err, "view %q", q.Name))
 		}
 
-		return message.Viewed{JSON: b}
+		return message.Document{JSON: b}
 	}
 
-	return message.Refusal(failure.New(failure.UnknownPath, "this process has no view %q", q.Name))
+	return message.NewRefused(failure.New(failure.UnknownPath, "this process has no view %q", q.Name))
 }
--- a/parking/gaps.go
+++ b/parking/gaps.go
@@ -61,14 +61,14 @@
 	return g
 }
 
-// Visited records a visit of any context of the workload.
-func (g *Gaps) Visited() {
+// RecordVisit records a visit of any context of the workload.
+func (g *Gaps) RecordVisit() {
 	g.visits++
 	g.update()
 }
 
-// Returned records that a context returned after gap.
-func (g *Gaps) Returned(gap time.Duration) {
+// RecordReturn records that a context returned after gap.
+func (g *Gaps) RecordReturn(gap time.Duration) {
 	g.counts[bucketOf(gap)]++
 	g.returns++
 	g.update()
--- a/parking/parking.go
+++ b/parking/parking.go
@@ -56,20 +56,20 @@
 type Context struct {
 	// Tokens is its length in tokens.
 	Tokens int
-	// Parked is the number of its leading tokens that a store already has.
-	Parked int
+	// StoredTokens is the number of its leading tokens that a store already has.
+	StoredTokens int
 	// Bytes is the size of the copy to make, without what a store already has.
 	Bytes int64
 	// PrefillTokensPerSecond is the rate at which it would be recomputed.
 	PrefillTokensPerSecond float64
-	// Seen is when it was last used.
-	Seen time.Time
+	// LastUsed is when it was last used.
+	LastUsed time.Time
 	// Gaps holds the gaps of its workload; it must not be nil.
 	Gaps *Gaps
 }
 
-// Room is the state of a store as last reported.
-type Room struct {
+// Store is the state of a store as last reported.
+type Store struct {
 	// Name is the store's VM name.
 	Name string
 	// Free and Total are its free and total capacity in bytes.
@@ -86,11 +86,11 @@
 
 // View is the state of the engine and the stores on which a decision is based.
 type View struct {
-	// Stays is how long the engine is expected to keep the context before it
+	// EngineRetention is how long the engine is expected to keep the context before it
 	// evicts it.
-	Stays time.Duration
+	EngineRetention time.Duration
 	// Stores are the stores; only the first MaxStores are considered.
-	Stores []Room
+	Stores []Store
 }
 
 // MaxStores is the maximum number of stores that a decision considers.
@@ -133,9 +133,9 @@
 // Reason returns the reason of the decision.
 func (d Decision) Reason() Reason { return d.reason }
 
-// First returns the index in View.Stores of the store for the copy; -1 if there
+// StoreIndex returns the index in View.Stores of the store for the copy; -1 if there
 // is to be no copy.
-func (d Decision) First() int { return d.store }
+func (d Decision) StoreIndex() int { return d.store }
 
 // Saving returns the expected saving of the copy in seconds of prefill; zero for
 // a context that is too short.
@@ -161,7 +161,7 @@
 		return d
 	}
 
-	d.saving = Saving(c, v.Stays)
+	d.saving = Saving(c, v.EngineRetention)
 	if d.saving < minSavingSeconds {
 		d.reason = StaysWarm
 		return d
@@ -206,7 +206,7 @@
 // cost returns the cost of a copy in s in seconds of prefill: its link time and,
 // in a full store, the value of what is evicted for it. It returns false when s
 // can't take the copy.
-func (p *storeCost) cost(s *Room) (float64, bool) {
+func (p *storeCost) cost(s *Store) (float64, bool) {
 	if s.Down || p.c.Bytes > s.Total {
 		return 0, false
 	}
@@ -229,7 +229,7 @@
 		return 0
 	}
 
-	return float64(c.Tokens-c.Parked) / c.PrefillTokensPerSecond * c.Gaps.ReturnProbabilityAfter(stays)
+	return float64(c.Tokens-c.StoredTokens) / c.PrefillTokensPerSecond * c.Gaps.ReturnProbabilityAfter(stays)
 }
 
 // Density returns the value of a stored copy per byte and second; a full store
@@ -241,8 +241,8 @@
 		return 0
 	}
 
-	prefill := float64(c.Tokens-c.Parked) / c.PrefillTokensPerSecond
-	away := max(now.Sub(c.Seen), 0)
+	prefill := float64(c.Tokens-c.StoredTokens) / c.PrefillTokensPerSecond
+	away := max(now.Sub(c.LastUsed), 0)
 
 	return prefill * c.Gaps.MaxReturnRate(away) / float64(max(c.Bytes, 1))
 }
--- a/parking/parking_test.go
+++ b/parking/parking_test.go
@@ -12,13 +12,13 @@
 func longContext() Context {
 	return Context{
 		Tokens: 16_000, Bytes: 16_000 << 17, PrefillTokensPerSecond: 8000,
-		Seen: epoch, Gaps: NewGaps(10 * time.Minute),
+		LastUsed: epoch, Gaps: NewGaps(10 * time.Minute),
 	}
 }
 
 func TestDecide(t *testing.T) {
-	emptyStore := Room{Name: "s", Free: 1 << 40, Total: 1 << 40, Transfer: time.Second}
-	withChange := func(change func(*Room)) Room {
+	emptyStore := Store{Name: "s", Free: 1 << 40, Total: 1 << 40, Transfer: time.Second}
+	withChange := func(change func(*Store)) Store {
 		r := emptyStore
 		change(&r)
 
@@ -28,30 +28,30 @@
 		name   string
 		c      Context
 		stays  time.Duration
-		stores []Room
+		stores []Store
 		want   Reason
 	}{
-		{"worth a copy", longContext(), time.Minute, []Room{emptyStore}, Worthwhile},
-		{"short", Context{Tokens: 100, PrefillTokensPerSecond: 1}, 0, []Room{emptyStore}, TooShort},
-		{"already stored", Context{Tokens: 5000, Parked: 5000, PrefillTokensPerSecond: 1, Gaps: NewGaps(0)}, 0, []Room{emptyStore}, StaysWarm},
-		{"returns before it is evicted", longContext(), 1000 * time.Hour, []Room{emptyStore}, StaysWarm},
+		{"worth a copy", longContext(), time.Minute, []Store{emptyStore}, Worthwhile},
+		{"short", Context{Tokens: 100, PrefillTokensPerSecond: 1}, 0, []Store{emptyStore}, TooShort},
+		{"already stored", Context{Tokens: 5000, StoredTokens: 5000, PrefillTokensPerSecond: 1, Gaps: NewGaps(0)}, 0, []Store{emptyStore}, StaysWarm},
+		{"returns before it is evicted", longContext(), 1000 * time.Hour, []Store{emptyStore}, StaysWarm},
 		{"no store", longContext(), time.Minute, nil, NoRoom},
-		{"store down", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Down = true })}, NoRoom},
-		{"store full of more valuable copies", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Free, r.Density = 0, 1 })}, TooCostly},
-		{"store full of less valuable copies", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Free = 0 })}, Worthwhile},
-		{"store too small", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Total = 1 })}, NoRoom},
-		{"link busy for long", longContext(), time.Minute, []Room{withChange(func(r *Room) { r.Transfer = time.Minute })}, TooCostly},
+		{"store down", longContext(), time.Minute, []Store{withChange(func(r *Store) { r.Down = true })}, NoRoom},
+		{"store full of more valuable copies", longContext(), time.Minute, []Store{withChange(func(r *Store) { r.Free, r.Density = 0, 1 })}, TooCostly},
+		{"store full of less valuable copies", longContext(), time.Minute, []Store{withChange(func(r *Store) { r.Free = 0 })}, Worthwhile},
+		{"store too small", longContext(), time.Minute, []Store{withChange(func(r *Store) { r.Total = 1 })}, NoRoom},
+		{"link busy for long", longContext(), time.Minute, []Store{withChange(func(r *Store) { r.Transfer = time.Minute })}, TooCostly},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := Decide(epoch, Config{}, c.c, View{Stays: c.stays, Stores: c.stores})
+			d := Decide(epoch, Config{}, c.c, View{EngineRetention: c.stays, Stores: c.stores})
 			if got := d.Reason(); got != c.want {
 				t.Fatalf("reason: got %v, want %v", got, c.want)
 			}
 
-			if got, want := d.First() >= 0, c.want == Worthwhile; got != want {
-				t.Errorf("first: got %d, want a store %v", d.First(), want)
+			if got, want := d.StoreIndex() >= 0, c.want == Worthwhile; got != want {
+				t.Errorf("first: got %d, want a store %v", d.StoreIndex(), want)
 			}
 		})
 	}
@@ -66,9 +66,9 @@
 		gap := time.Duration(rapid.Int64Range(int64(10*time.Second), int64(time.Hour)).Draw(t, "gap"))
 
 		for range rapid.IntRange(500, 3000).Draw(t, "returns") {
-			g.Visited()
-			g.Visited()
-			g.Returned(gap)
+			g.RecordVisit()
+			g.RecordVisit()
+			g.RecordReturn(gap)
 		}
 
 		last := 1.0
@@ -91,10 +91,10 @@
 // whose evicted copies are worth less. Otherwise one store would evict copies
 // that are more valuable than those that the other keeps.
 func TestStoresAreFilledAlike(t *testing.T) {
-	stores := []Room{{Total: 1 << 50, Density: 1e-15}, {Total: 1 << 50, Density: 1e-16}}
+	stores := []Store{{Total: 1 << 50, Density: 1e-15}, {Total: 1 << 50, Density: 1e-16}}
 
-	d := Decide(epoch, Config{}, longContext(), View{Stays: time.Minute, Stores: stores})
-	if got, want := d.First(), 1; got != want {
+	d := Decide(epoch, Config{}, longContext(), View{EngineRetention: time.Minute, Stores: stores})
+	if got, want := d.StoreIndex(), 1; got != want {
 		t.Errorf("store: got %d, want %d", got, want)
 	}
 }
@@ -102,8 +102,8 @@
 func TestGapsLearn(t *testing.T) {
 	g := NewGaps(time.Hour)
 	for range 2000 {
-		g.Visited()
-		g.Returned(time.Minute)
+		g.RecordVisit()
+		g.RecordReturn(time.Minute)
 	}
 
 	cases := []struct {
@@ -126,12 +126,12 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	stores := make([]Room, 8)
+	stores := make([]Store, 8)
 	for i := range stores {
-		stores[i] = Room{Free: 1 << 40, Total: 1 << 40, Transfer: time.Duration(i) * time.Millisecond}
+		stores[i] = Store{Free: 1 << 40, Total: 1 << 40, Transfer: time.Duration(i) * time.Millisecond}
 	}
 
-	v := View{Stays: time.Minute, Stores: stores}
+	v := View{EngineRetention: time.Minute, Stores: stores}
 	c := longContext()
 
 	b.ReportAllocs()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
-	m, err := d.Ask(ctx, a, message.Ask{})
+	m, err := d.Ask(ctx, a, message.StateRequest{})
 	if err != nil {
 		return err
 	}
@@ -423,7 +423,7 @@
 		t.Fatal(err)
 	}
 
-	if err := st.Send(message.Ask{}); err != nil {
+	if err := st.Send(message.StateRequest{}); err != nil {
 		t.Fatal(err)
 	}
 
--- a/peer/server.go
+++ b/peer/server.go
@@ -201,5 +201,5 @@
 
 // Refuse sends err to the peer as the response on s.
 func Refuse(s *Stream, err error) {
-	_ = s.Send(message.Refusal(err))
+	_ = s.Send(message.NewRefused(err))
 }
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -98,14 +98,14 @@
 			return
 		}
 
-		v, err := message.Expect[message.View](m)
+		v, err := message.Expect[message.DocumentRequest](m)
 		if err != nil {
 			return
 		}
 
 		n.add(v.Name)
 
-		_ = s.Send(message.Viewed{JSON: []byte(v.Name)})
+		_ = s.Send(message.Document{JSON: []byte(v.Name)})
 	}
 }
 
@@ -122,7 +122,7 @@
 
 	defer s.Close()
 
-	if err := s.Send(message.View{Name: name}); err != nil {
+	if err := s.Send(message.DocumentRequest{Name: name}); err != nil {
 		return true, err
 	}
 
@@ -131,7 +131,7 @@
 		return true, err
 	}
 
-	v, err := message.Expect[message.Viewed](m)
+	v, err := message.Expect[message.Document](m)
 	if err == nil && string(v.JSON) != name {
 		err = failure.New(failure.Internal, "got the response to %q", v.JSON)
 	}
@@ -244,7 +244,7 @@
 		close(requested)
 		<-release
 
-		_ = st.Send(message.Viewed{JSON: []byte("the booking")})
+		_ = st.Send(message.Document{JSON: []byte("the booking")})
 
 		close(responded)
 	})
@@ -287,7 +287,7 @@
 			return
 		}
 
-		_ = st.Send(message.Viewed{JSON: []byte("the booking")})
+		_ = st.Send(message.Document{JSON: []byte("the booking")})
 
 		close(responded)
 	})
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 
-	if err := st.Send(message.View{Name: "the booking"}); err != nil {
+	if err := st.Send(message.DocumentRequest{Name: "the booking"}); err != nil {
 		t.Fatal(err)
 	}
 
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -93,7 +93,7 @@
 			return nil, t.classifyError(err)
 		}
 
-		if _, ok := m.(message.Beat); !ok {
+		if _, ok := m.(message.Heartbeat); !ok {
 			return m, nil
 		}
 	}
@@ -163,7 +163,7 @@
 	for {
 		select {
 		case <-tick.C:
-			if t.Send(message.Beat{}) != nil {
+			if t.Send(message.Heartbeat{}) != nil {
 				return
 			}
 		case <-t.heartbeatStop:
--- a/setting/exchange/exchange.go
+++ b/setting/exchange/exchange.go
@@ -43,7 +43,7 @@
 		return publication.Update{}, err
 	}
 
-	m, err := p.Requester.Ask(ctx, to, message.Fetch{After: after})
+	m, err := p.Requester.Ask(ctx, to, message.SettingsRequest{After: after})
 	if err != nil {
 		return publication.Update{}, err
 	}
@@ -106,7 +106,7 @@
 // false for other messages.
 func Respond(now time.Time, k SettingsReplica, from peer.Identity, m message.Message) (message.Message, bool) {
 	switch m := m.(type) {
-	case message.Fetch:
+	case message.SettingsRequest:
 		u := k.UpdateFor(now, from.VM, m.After)
 
 		return message.Settings{Version: u.Version(), Body: u.Encode()}, true
@@ -124,7 +124,7 @@
 	}
 
 	if err != nil {
-		return message.Refusal(err)
+		return message.NewRefused(err)
 	}
 
 	return message.Ack{}
--- a/side/call.go
+++ b/side/call.go
@@ -43,7 +43,7 @@
 
 	var reply message.Reply
 
-	if m.Once {
+	if m.AtMostOnce {
 		reply, err = s.callOnce(ctx, now, id, m)
 	} else {
 		reply, err = s.forward(s.traceSent(ctx, id), m)
@@ -57,7 +57,7 @@
 		s.reportCrashTo(ctx, id, to)
 	}
 
-	event.Log(s.cfg.Log, event.CallEnded, "request_id", m.RequestID, "organisation", m.Organisation, "once", m.Once,
+	event.Log(s.cfg.Log, event.CallEnded, "request_id", m.RequestID, "organisation", m.Organisation, "once", m.AtMostOnce,
 		"replayed", reply.Replayed, "status", reply.Status, "outcome", outcome(err), "took_ms", time.Since(now).Milliseconds())
 
 	if err != nil {
--- a/side/guard.go
+++ b/side/guard.go
@@ -245,7 +245,7 @@
 		BlockTokens:   t.info.BlockTokens,
 		Ready:         t.up && !t.draining,
 		Draining:      t.draining,
-		Gone:          t.notListening,
+		TargetGone:    t.notListening,
 		Load:          t.loadAt(now),
 		PrefillRate:   t.info.PrefillRate,
 		DecodeRate:    t.info.DecodeRate,
--- a/side/park.go
+++ b/side/park.go
@@ -70,10 +70,10 @@
 		p.gaps.Add(key, g)
 	}
 
-	g.Visited()
+	g.RecordVisit()
 
 	if !old.lastUsed.IsZero() {
-		g.Returned(j.endedAt.Sub(old.lastUsed))
+		g.RecordReturn(j.endedAt.Sub(old.lastUsed))
 	}
 
 	return g
@@ -87,7 +87,7 @@
 	}
 
 	tokens := r.side.target.engineInfo().BlockTokens
-	chain := r.scope().Chain(r.Prompt+r.Resume+string(r.text), tokens)
+	chain := r.scope().Chain(r.Prompt+r.ResumeText+string(r.text), tokens)
 
 	if len(chain)*tokens < r.ParkMinTokens {
 		return
@@ -142,7 +142,7 @@
 		return failure.New(failure.WrongVersion, "the engine has loaded version %s in the meantime", version)
 	}
 
-	made, err := s.put(ctx, j, blocks, body, stores[d.First()])
+	made, err := s.put(ctx, j, blocks, body, stores[d.StoreIndex()])
 	if err != nil {
 		return err
 	}
@@ -170,10 +170,10 @@
 
 	return parking.Decide(time.Now(), parking.Config{MinTokens: j.run.ParkMinTokens}, parking.Context{
 		Tokens:                 tokens,
-		Parked:                 parked,
+		StoredTokens:           parked,
 		Bytes:                  int64(tokens) * int64(info.BytesPerToken),
 		PrefillTokensPerSecond: info.PrefillRate,
-		Seen:                   j.endedAt,
+		LastUsed:               j.endedAt,
 		Gaps:                   gaps,
 	}, view)
 }
@@ -189,7 +189,7 @@
 	}
 
 	for _, m := range stores {
-		room := parking.Room{Name: m.Name, Down: m.State == vm.Leaving}
+		room := parking.Store{Name: m.Name, Down: m.State == vm.Leaving}
 
 		if !room.Down {
 			space, err := store.Client{Address: m.Address, HTTP: s.spaceHTTP}.Space(ctx)
@@ -223,7 +223,7 @@
 
 	event.Log(s.cfg.Log, event.CopyParked, "request_id", j.run.RequestID, "store", to.Name, "copy", id.String(), "blocks", blocks, "bytes", len(sealed))
 
-	s.reportToOwner(j.run.Anchor, message.Learn{
+	s.reportToOwner(j.run.Anchor, message.HoldingUpdate{
 		Anchor: j.run.Anchor,
 		Chain:  j.chain[:blocks],
 		Holding: message.Holding{
--- a/side/poll.go
+++ b/side/poll.go
@@ -108,8 +108,8 @@
 }
 
 // crashMessage returns the message that reports a crash.
-func (s *Side) crashMessage(now time.Time, result crashResult) message.Crashed {
-	return message.Crashed{Crash: quarantine.Crash{Target: s.cfg.VM, Boot: result.boot, At: now, Running: result.running}}
+func (s *Side) crashMessage(now time.Time, result crashResult) message.CrashReport {
+	return message.CrashReport{Crash: quarantine.Crash{Target: s.cfg.VM, Boot: result.boot, At: now, Running: result.running}}
 }
 
 const (
--- a/side/run.go
+++ b/side/run.go
@@ -164,7 +164,7 @@
 // again. Copies in a store that only does not respond stay listed.
 func (r *run) reportTornCopy(c message.Holding, err error) {
 	if failure.KindOf(err) == failure.TornCopy {
-		r.side.reportToOwner(r.Anchor, message.Learn{Anchor: r.Anchor, Holding: c, Gone: true})
+		r.side.reportToOwner(r.Anchor, message.HoldingUpdate{Anchor: r.Anchor, Holding: c, Removed: true})
 	}
 }
 
@@ -194,7 +194,7 @@
 		WeightVersion: r.Version,
 		Adapter:       r.Adapter,
 		RequestID:     r.RequestID + "." + uuid.NewString()[:8],
-		ResumeText:    r.Resume,
+		ResumeText:    r.ResumeText,
 	}
 
 	ctx, r.watchdog = newWatchdog(ctx, r.side.cfg.FirstTokenTimeout)
@@ -250,7 +250,7 @@
 func (r *run) sendDone() error {
 	return r.stream.Send(message.Done{
 		Tokens:         r.nextIndex,
-		Finish:         r.finishReason,
+		FinishReason:   r.finishReason,
 		PromptTokens:   r.usage.PromptTokens,
 		CachedTokens:   r.usage.Details.CachedTokens,
 		ImportedTokens: r.importedBlocks * r.side.target.engineInfo().BlockTokens,
--- a/side/side.go
+++ b/side/side.go
@@ -231,7 +231,7 @@
 	defer stop()
 
 	switch m := m.(type) {
-	case message.Ask:
+	case message.StateRequest:
 		err = t.Send(s.stateMessage(time.Now()))
 	case message.Run:
 		err = s.handleRun(ctx, t, m)
@@ -268,7 +268,7 @@
 	s.orders.fillState(now, &st)
 
 	if s.cfg.Claims != nil {
-		st.Homes = s.cfg.Claims.Homes()
+		st.OwnedShards = s.cfg.Claims.Homes()
 	}
 
 	return st
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -41,7 +41,7 @@
 func (e *testEnv) inFlight(t *target) int {
 	e.t.Helper()
 
-	m, err := e.entries[0].process.dialer.Ask(e.t.Context(), peer.Address{VM: t.vm, Addr: t.process.server.Addr()}, message.Ask{})
+	m, err := e.entries[0].process.dialer.Ask(e.t.Context(), peer.Address{VM: t.vm, Addr: t.process.server.Addr()}, message.StateRequest{})
 	if err != nil {
 		e.t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 			t.Fatalf("got %v, want a report of the crash", err)
 		}
 
-		if c, ok := m.(message.Crashed); ok {
+		if c, ok := m.(message.CrashReport); ok {
 			if got, want := c.Crash.Running, []quarantine.Fingerprint{crashing}; !slices.Equal(got, want) {
 				t.Errorf("got %x reported as running, want %x", got, want)
 			}
