--- a/claim/coordinator.go
+++ b/claim/coordinator.go
@@ -164,7 +164,7 @@
 	c.detectPause(now)
 
 	if !c.IsOwner() || c.draining() || c.behind {
-		return nil, failure.New(failure.NotReady, "this process does not own the shard of the key").After(retryAfter)
+		return nil, failure.New(failure.NotReady, "this process does not own the shard of the key").WithRetryAfter(retryAfter)
 	}
 
 	id, fingerprint := NewKeyID(q.Organisation, q.Key), fingerprintHash(q.Fingerprint)
@@ -184,7 +184,7 @@
 	case unresponsive && !c.mayRunUnlogged(now):
 		return nil, c.outageError(now)
 	case len(c.pending) >= c.cfg.MaxPending:
-		return nil, failure.New(failure.QueueFull, "too many claims wait for the log").After(outageRetryAfter)
+		return nil, failure.New(failure.QueueFull, "too many claims wait for the log").WithRetryAfter(outageRetryAfter)
 	}
 
 	return c.startRun(now, id, fingerprint, issued, unresponsive), nil
@@ -200,7 +200,7 @@
 	case r.phase == phaseUnknown:
 		return nil, outcomeUnknown()
 	default:
-		return nil, failure.New(failure.KeyBusy, "the request with this key is running").After(retryAfter)
+		return nil, failure.New(failure.KeyBusy, "the request with this key is running").WithRetryAfter(retryAfter)
 	}
 }
 
@@ -347,7 +347,7 @@
 func (c *Coordinator) loseOwnership() {
 	for id, r := range c.pending {
 		if r.phase == phaseWaiting {
-			c.cancelRun(r, failure.New(failure.NotReady, "another process became the owner of the shard of the key").After(retryAfter))
+			c.cancelRun(r, failure.New(failure.NotReady, "another process became the owner of the shard of the key").WithRetryAfter(retryAfter))
 		}
 
 		if r.phase != phaseRunning {
--- a/claim/home.go
+++ b/claim/home.go
@@ -141,7 +141,7 @@
 
 	s := h.shard(n)
 	if s == nil {
-		return Ticket{}, failure.New(failure.NotReady, "this process does not own the shard of the key").After(retryAfter)
+		return Ticket{}, failure.New(failure.NotReady, "this process does not own the shard of the key").WithRetryAfter(retryAfter)
 	}
 
 	if !q.Deadline.IsZero() {
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -181,7 +181,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if k := failure.KindOf(err); k.Answer().Ran == failure.NotRun {
+	if k := failure.KindOf(err); k.Response().Ran == failure.NotRun {
 		s.notRun[n] = k.String()
 	}
 }
--- a/claim/outage/outage.go
+++ b/claim/outage/outage.go
@@ -296,7 +296,7 @@
 
 // send sends the call to the process that owns the key's shard.
 func (m *simulation) send(c *call) {
-	err := error(failure.New(failure.Unavailable, "no owner").After(time.Second))
+	err := error(failure.New(failure.Unavailable, "no owner").WithRetryAfter(time.Second))
 
 	for _, p := range m.procs[c.shard] {
 		if p == nil || !p.coordinator.IsOwner() {
@@ -322,7 +322,7 @@
 	c.lastError = e.Kind()
 	c.run = nil
 	c.nextTry = m.now.Add(max(e.RetryAfter(), time.Second))
-	c.done = !e.Kind().Answer().Retryable
+	c.done = !e.Kind().Response().Retryable
 }
 
 // finish runs a call that may start and responds to its caller.
--- a/claim/silence.go
+++ b/claim/silence.go
@@ -96,8 +96,8 @@
 // may no longer be the owner can't know.
 func (c *Coordinator) outageError(now time.Time) error {
 	if c.certainlyOwner(now) {
-		return failure.New(failure.LogUnavailable, "the log does not respond").After(outageRetryAfter)
+		return failure.New(failure.LogUnavailable, "the log does not respond").WithRetryAfter(outageRetryAfter)
 	}
 
-	return failure.New(failure.NotReady, "this process may no longer own the shard of the key").After(outageRetryAfter)
+	return failure.New(failure.NotReady, "this process may no longer own the shard of the key").WithRetryAfter(outageRetryAfter)
 }
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -347,7 +347,7 @@
 // recordRefusal records what an error says about the call and its key.
 func (w *testEnv) recordRefusal(c *call, err error) {
 	k := failure.KindOf(err)
-	c.response, c.notRun = k.String(), k.Answer().Ran == failure.NotRun
+	c.response, c.notRun = k.String(), k.Response().Ran == failure.NotRun
 
 	if k == failure.LogUnavailable || k == failure.QueueFull {
 		w.oracle.nothingRan = append(w.oracle.nothingRan, nothingRanResponse{key: c.key, before: w.lastCall + 1})
--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -96,7 +96,7 @@
 		Dials:         func() float64 { return float64(e.pool.Dials()) },
 		VaultTokens:   func() float64 { held, _, _ := directory.Usage(); return float64(held) },
 		VaultCapacity: func() float64 { _, room, _ := directory.Usage(); return float64(room) },
-		LinesLeftOut:  func() float64 { return float64(lines.LeftOut()) },
+		LinesLeftOut:  func() float64 { return float64(lines.Dropped()) },
 		TokensPerMs:   func() float64 { return e.gateway.TokensPerMs() },
 	})
 
--- a/directory/owner.go
+++ b/directory/owner.go
@@ -14,7 +14,7 @@
 // message. All of text is hashed, also the bytes after its last full block:
 // otherwise many contexts that share a long system message would get the same key.
 func Anchor(scope prompt.Scope, text string) prompt.Hash {
-	return prompt.Next(scope.Root(), []byte(text))
+	return prompt.NextHash(scope.Root(), []byte(text))
 }
 
 // Owners assigns anchors to members by rendezvous hashing: when a member is
--- a/directory/table_test.go
+++ b/directory/table_test.go
@@ -19,7 +19,7 @@
 	parent := prompt.Hash{}
 
 	for _, b := range content {
-		parent = prompt.Next(parent, []byte{b})
+		parent = prompt.NextHash(parent, []byte{b})
 		chain = append(chain, parent)
 	}
 
@@ -193,7 +193,7 @@
 	all, fewer := NewOwners(members), NewOwners(members[:4])
 
 	for i := range 1000 {
-		anchor := prompt.Next(prompt.Hash{}, []byte{byte(i), byte(i >> 8)})
+		anchor := prompt.NextHash(prompt.Hash{}, []byte{byte(i), byte(i >> 8)})
 		before := all.Owner(anchor)
 
 		if got := fewer.Owner(anchor); before != "e" && got != before {
@@ -211,7 +211,7 @@
 	chain := chainOf(content)
 
 	for i := range anchors {
-		anchors[i] = prompt.Next(prompt.Hash{}, fmt.Append(nil, i))
+		anchors[i] = prompt.NextHash(prompt.Hash{}, fmt.Append(nil, i))
 		table.Record(epoch, anchors[i], chain, Holding{Name: "engine-1", Blocks: blocks / 2})
 		table.Record(epoch, anchors[i], chain, Holding{Name: "engine-2", Blocks: blocks})
 		table.Record(epoch, anchors[i], chain, Holding{Kind: Store, Name: "store-1", Copy: "id", Blocks: blocks})
--- a/engine/unread.go
+++ b/engine/unread.go
@@ -32,5 +32,5 @@
 		return err
 	}
 
-	return failure.Wrap(failure.NotReady, err, "the engine closed the connection without reading the request").After(time.Second)
+	return failure.Wrap(failure.NotReady, err, "the engine closed the connection without reading the request").WithRetryAfter(time.Second)
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -154,7 +154,7 @@
 
 	sent = true
 
-	if err != nil && failure.KindOf(err).Answer().Ran == failure.NotRun {
+	if err != nil && failure.KindOf(err).Response().Ran == failure.NotRun {
 		sent = false
 	}
 
--- a/entry/direct.go
+++ b/entry/direct.go
@@ -108,7 +108,7 @@
 	}
 
 	if err != nil {
-		return d, failure.KindOf(err).Answer().Ran != failure.NotRun, err
+		return d, failure.KindOf(err).Response().Ran != failure.NotRun, err
 	}
 
 	j.recordCompletion(r, d)
@@ -119,7 +119,7 @@
 // executeDirect makes a call to a plain service without a side process.
 func (c *call) executeDirect(ctx context.Context, t target.Target) (reply message.Reply, sent bool, err error) {
 	if c.message.AtMostOnce {
-		return reply, false, failure.New(failure.Unavailable, "%s has no side process, which is needed to run the call at most once", t.VM).After(c.e.retryAfter())
+		return reply, false, failure.New(failure.Unavailable, "%s has no side process, which is needed to run the call at most once", t.VM).WithRetryAfter(c.e.retryAfter())
 	}
 
 	req, err := http.NewRequestWithContext(ctx, c.message.Method, "http://"+t.Address+c.message.Path, bytes.NewReader(c.message.Body))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -122,7 +122,7 @@
 type policy struct {
 	version  uint64
 	tree     *setting.Tree
-	register *organisation.Register
+	register *organisation.KeyRegistry
 }
 
 // New returns an Entry without settings or known targets.
@@ -222,7 +222,7 @@
 	// not those of a workload.
 	v := p.Tree().Effective(setting.Path{Site: e.cfg.Site})
 	e.crashes.Configure(quarantine.TrackerConfig{CrashLimit: v.QuarantineCrashes, Retention: v.QuarantineMemory})
-	e.policy.Store(&policy{version: p.Version(), tree: p.Tree(), register: organisation.NewRegister(p.Tree())})
+	e.policy.Store(&policy{version: p.Version(), tree: p.Tree(), register: organisation.NewKeyRegistry(p.Tree())})
 	event.Log(e.cfg.Log, event.PolicyChanged, "version", p.Version(), "author", p.Author())
 }
 
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -66,11 +66,11 @@
 	}
 
 	reply, err = c.receive(s)
-	if err != nil && ctx.Err() != nil && failure.KindOf(err).Answer().Ran != failure.NotRun {
+	if err != nil && ctx.Err() != nil && failure.KindOf(err).Response().Ran != failure.NotRun {
 		err = failure.As(context.Cause(ctx))
 	}
 
-	sent = err == nil || failure.KindOf(err).Answer().Ran != failure.NotRun
+	sent = err == nil || failure.KindOf(err).Response().Ran != failure.NotRun
 
 	return reply, sent, err
 }
--- a/entry/http.go
+++ b/entry/http.go
@@ -129,11 +129,11 @@
 	q := callerRequest{id: id, arrived: time.Now(), policy: e.policy.Load()}
 
 	if q.policy == nil {
-		return q, failure.New(failure.NotReady, "no settings are in force yet").After(e.retryAfter())
+		return q, failure.New(failure.NotReady, "no settings are in force yet").WithRetryAfter(e.retryAfter())
 	}
 
 	if n := e.cfg.MaxRequests; n > 0 && e.active.Load() > int64(n) {
-		return q, failure.New(failure.QueueFull, "this entry has reached its limit of %d requests in flight", n).After(e.retryAfter())
+		return q, failure.New(failure.QueueFull, "this entry has reached its limit of %d requests in flight", n).WithRetryAfter(e.retryAfter())
 	}
 
 	credential, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -219,7 +219,7 @@
 		return failure.New(failure.UnknownModel, "model %q is not served", c.Model)
 	}
 
-	if err := q.policy.register.Permit(q.organisation, service); err != nil {
+	if err := q.policy.register.Authorise(q.organisation, service); err != nil {
 		return err
 	}
 
@@ -323,7 +323,7 @@
 	}{"list", []model{}}
 
 	for _, s := range q.policy.tree.Services() {
-		if q.policy.register.Permit(q.organisation, s.Name) != nil {
+		if q.policy.register.Authorise(q.organisation, s.Name) != nil {
 			continue
 		}
 
@@ -353,7 +353,7 @@
 
 func errorBody(err error) apiErrorBody {
 	f := failure.As(err)
-	a := f.Kind().Answer()
+	a := f.Kind().Response()
 
 	return apiErrorBody{Error: apiError{Message: f.Message(), Type: a.Type, Code: a.Code, Ran: a.Ran.String()}}
 }
@@ -364,7 +364,7 @@
 	e.logFailure(id, err)
 
 	f := failure.As(err)
-	a := f.Kind().Answer()
+	a := f.Kind().Response()
 	after := f.RetryAfter()
 
 	if a.Retryable && after <= 0 {
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -204,7 +204,7 @@
 		err = t.Send(message.Ack{})
 	default:
 		responder := operator.Responder{Settings: e.cfg.Settings, Views: e.cfg.Views}
-		err = t.Send(responder.Answer(now, from, m))
+		err = t.Send(responder.Respond(now, from, m))
 	}
 
 	if err != nil {
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -81,7 +81,7 @@
 		return nil, failure.New(failure.UnknownService, "service %q is not served", name)
 	}
 
-	if err := q.policy.register.Permit(q.organisation, name); err != nil {
+	if err := q.policy.register.Authorise(q.organisation, name); err != nil {
 		return nil, err
 	}
 
@@ -168,7 +168,7 @@
 		t, found := c.route(ctx, now)
 		if !found {
 			if lastErr == nil {
-				lastErr = failure.New(failure.Unavailable, "no target of service %s can accept the call", c.service.Name).After(c.e.retryAfter())
+				lastErr = failure.New(failure.Unavailable, "no target of service %s can accept the call", c.service.Name).WithRetryAfter(c.e.retryAfter())
 			}
 
 			return message.Reply{}, lastErr
@@ -194,10 +194,10 @@
 // have run.
 func (c *call) callerError(sent bool, err error) error {
 	if !sent && failure.KindOf(err) == failure.TargetLost {
-		return failure.Wrap(failure.Unavailable, err, "the service is unreachable").After(c.e.retryAfter())
+		return failure.Wrap(failure.Unavailable, err, "the service is unreachable").WithRetryAfter(c.e.retryAfter())
 	}
 
-	if !c.message.AtMostOnce || !sent || failure.KindOf(err).Answer().Ran == failure.NotRun {
+	if !c.message.AtMostOnce || !sent || failure.KindOf(err).Response().Ran == failure.NotRun {
 		return err
 	}
 
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -218,7 +218,7 @@
 	}
 
 	for _, f := range e.crashes.RecordCrash(now, c) {
-		event.Log(e.cfg.Log, event.RequestQuarantine, "fingerprint", fingerprintText(f), "vm", c.Target)
+		event.Log(e.cfg.Log, event.RequestQuarantined, "fingerprint", fingerprintText(f), "vm", c.Target)
 	}
 }
 
--- a/event/output/output.go
+++ b/event/output/output.go
@@ -72,8 +72,8 @@
 	return len(line), nil
 }
 
-// LeftOut returns the number of lines dropped since the start.
-func (w *Writer) LeftOut() int64 { return w.dropped.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 // withinBudget counts a line and reports whether it is within the limit of the current
 // second.
--- a/event/output/output_test.go
+++ b/event/output/output_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 
-	if w.LeftOut() == 0 {
+	if w.Dropped() == 0 {
 		t.Error("got no line dropped, want most of them")
 	}
 
--- a/failure/error.go
+++ b/failure/error.go
@@ -35,8 +35,8 @@
 	return e
 }
 
-// After returns a copy of e that tells the caller to retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
 
--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -12,7 +12,7 @@
 	codes := map[string]Kind{}
 
 	for _, k := range Kinds() {
-		a := k.Answer()
+		a := k.Response()
 		if a.Status < 400 || a.Type == "" || a.Code == "" {
 			t.Errorf("kind %d: got incomplete response %+v", k, a)
 		}
@@ -53,7 +53,7 @@
 
 func TestAfterLeavesTheOriginalAlone(t *testing.T) {
 	first := New(RateLimited, "slow down")
-	second := first.After(time.Second)
+	second := first.WithRetryAfter(time.Second)
 
 	if got, want := first.RetryAfter(), time.Duration(0); got != want {
 		t.Errorf("first: got %v, want %v", got, want)
--- a/failure/kind.go
+++ b/failure/kind.go
@@ -105,5 +105,5 @@
 
 // String returns the snake-case code of k, as used in responses and logs.
 func (k Kind) String() string {
-	return k.Answer().Code
+	return k.Response().Code
 }
--- a/failure/table.go
+++ b/failure/table.go
@@ -22,8 +22,8 @@
 	return "may_have_run"
 }
 
-// Answer is the response that a caller gets for a Kind.
-type Answer struct {
+// Response is the response that a caller gets for a Kind.
+type Response struct {
 	// Status is the HTTP status.
 	Status int
 	// Type is the "type" in the OpenAI error object.
@@ -46,7 +46,7 @@
 )
 
 // table is indexed by Kind.
-var table = [...]Answer{
+var table = [...]Response{
 	Internal:         {http.StatusInternalServerError, typeServer, "internal", MayHaveRun, false},
 	BadRequest:       {http.StatusBadRequest, typeRequest, "bad_request", NotRun, false},
 	TooLarge:         {http.StatusRequestEntityTooLarge, typeRequest, "too_large", NotRun, false},
@@ -86,8 +86,8 @@
 // that closed the connection.
 const statusClientClosed = 499
 
-// Answer returns the response for k; the one for Internal if k is not in the table.
-func (k Kind) Answer() Answer {
+// Response returns the response for k; the one for Internal if k is not in the table.
+func (k Kind) Response() Response {
 	if int(k) >= len(table) {
 		return table[Internal]
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -100,10 +100,10 @@
 // if no target may have run it.
 func (t *task) attemptError(o outcome, kind failure.Kind) error {
 	if t.possibleRuns == 0 {
-		return failure.Wrap(failure.Unavailable, o.cause, "no target accepted the request").After(t.retryAfter(o))
+		return failure.Wrap(failure.Unavailable, o.cause, "no target accepted the request").WithRetryAfter(t.retryAfter(o))
 	}
 
-	if kind.Answer().Ran == failure.NotRun {
+	if kind.Response().Ran == failure.NotRun {
 		kind = failure.TargetLost
 	}
 
@@ -135,7 +135,7 @@
 		return
 	}
 
-	if t.possibleRuns > 0 && failure.KindOf(err).Answer().Ran == failure.NotRun {
+	if t.possibleRuns > 0 && failure.KindOf(err).Response().Ran == failure.NotRun {
 		err = t.attemptError(o, failure.TargetLost)
 	}
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -80,7 +80,7 @@
 func (t *task) decide(now time.Time) (choice, error) {
 	candidates := t.g.cfg.Roster.Candidates(now, t.service.Name, t.model())
 	if len(candidates) == 0 {
-		return choice{}, failure.New(failure.Unavailable, "the service has no target").After(noTargetRetryAfter)
+		return choice{}, failure.New(failure.Unavailable, "the service has no target").WithRetryAfter(noTargetRetryAfter)
 	}
 
 	if t.service.Engines != nil && t.arrival.Prompt != nil {
@@ -104,7 +104,7 @@
 
 	d := route.DecideCall(now, route.Config{}, t.hash+uint64(t.attempts), calls)
 	if !d.Found() {
-		return choice{}, failure.New(failure.Unavailable, "no untried target is available").After(t.coldRetryAfter(all, loadingRetryAfter))
+		return choice{}, failure.New(failure.Unavailable, "no untried target is available").WithRetryAfter(t.coldRetryAfter(all, loadingRetryAfter))
 	}
 
 	e := all[d.Target()]
@@ -225,7 +225,7 @@
 	case route.TooLate:
 		over := d.Wait() - t.route.Aim
 
-		return failure.New(failure.QueueFull, "engines have other prompts to prefill for %v", d.Wait().Round(time.Millisecond)).After(over)
+		return failure.New(failure.QueueFull, "engines have other prompts to prefill for %v", d.Wait().Round(time.Millisecond)).WithRetryAfter(over)
 	default:
 		return nil
 	}
@@ -295,10 +295,10 @@
 	}
 
 	if throttled {
-		return failure.Wrap(failure.QueueFull, errSlowStart, "all available engines are in slow start").After(t.coldRetryAfter(all, capacityRetryAfter))
+		return failure.Wrap(failure.QueueFull, errSlowStart, "all available engines are in slow start").WithRetryAfter(t.coldRetryAfter(all, capacityRetryAfter))
 	}
 
-	return failure.New(failure.Unavailable, "all engines are loading weights or were tried").After(loadingRetryAfter)
+	return failure.New(failure.Unavailable, "all engines are loading weights or were tried").WithRetryAfter(loadingRetryAfter)
 }
 
 // coldRetryAfter returns when callers should retry while targets are cold: when the first of
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -276,5 +276,5 @@
 
 // notReady returns the error while there is no configuration.
 func notReady() error {
-	return failure.New(failure.NotReady, "no configuration has been received yet").After(time.Second)
+	return failure.New(failure.NotReady, "no configuration has been received yet").WithRetryAfter(time.Second)
 }
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -173,4 +173,4 @@
 var errSlowStart = failure.Wrap(failure.QueueFull, errNoCapacity, "all available engines are in slow start")
 
 // errNoCapacity is returned if the engines that could take the prompt have no capacity for it now.
-var errNoCapacity = failure.New(failure.QueueFull, "no engine has capacity for the prompt").After(capacityRetryAfter)
+var errNoCapacity = failure.New(failure.QueueFull, "no engine has capacity for the prompt").WithRetryAfter(capacityRetryAfter)
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -127,7 +127,7 @@
 	if d.draining && (long || !d.finishesInTime(now, t.deadline, u.maxDuration(takes, d.oldestInFlight(now, t.route.Name)))) {
 		d.refusedForTime = d.refusedForTime || !long
 
-		return failure.New(failure.Draining, "this entry is stopping").After(drainRetryAfter)
+		return failure.New(failure.Draining, "this entry is stopping").WithRetryAfter(drainRetryAfter)
 	}
 
 	d.inFlight[t] = inFlightRequest{began: now, long: long}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -65,7 +65,7 @@
 				t.Errorf("got accepted %v (%v), want %v", got, err, tt.want)
 			}
 
-			if err != nil && failure.KindOf(err).Answer().Ran != failure.NotRun {
+			if err != nil && failure.KindOf(err).Response().Ran != failure.NotRun {
 				t.Errorf("got %v, want a refusal that says not run", err)
 			}
 		})
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -90,7 +90,7 @@
 
 	service, ok := t.cfg.Service(t.route.Pick(t.hash))
 	if !ok {
-		return failure.New(failure.Unavailable, "the route has no service").After(time.Second)
+		return failure.New(failure.Unavailable, "the route has no service").WithRetryAfter(time.Second)
 	}
 
 	t.service = service
@@ -223,7 +223,7 @@
 		panic(http.ErrAbortHandler)
 	}
 
-	a := kind.Answer()
+	a := kind.Response()
 	h := t.w.Header()
 	clearHeaders(h)
 	t.g.cfg.Dialect.SetRequestID(h, &t.arrival)
--- a/journal/client.go
+++ b/journal/client.go
@@ -235,11 +235,11 @@
 func statusError(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
-		return failure.New(failure.RateLimited, "the log service limits the rate of appends").After(time.Second)
+		return failure.New(failure.RateLimited, "the log service limits the rate of appends").WithRetryAfter(time.Second)
 	case http.StatusRequestEntityTooLarge:
 		return failure.New(failure.TooLarge, "the append is too large for the log service")
 	case http.StatusServiceUnavailable:
-		return failure.New(failure.LogUnavailable, "the log service is unavailable").After(time.Second)
+		return failure.New(failure.LogUnavailable, "the log service is unavailable").WithRetryAfter(time.Second)
 	default:
 		return failure.New(failure.OutcomeUnknown, "unexpected status %d from the log service", status)
 	}
--- a/limit/refusal.go
+++ b/limit/refusal.go
@@ -81,7 +81,7 @@
 	retryAfter = min(retryAfter, g.cfg.MaxRetryAfter)
 	retryAfter += time.Duration(g.rng.Int64N(int64(retryAfter/jitterDivisor) + 1))
 
-	return failure.New(k, format, args...).After(retryAfter)
+	return failure.New(k, format, args...).WithRetryAfter(retryAfter)
 }
 
 // jitterDivisor bounds the random jitter that is added to a Retry-After: up to a fourth.
--- a/message/codec.go
+++ b/message/codec.go
@@ -142,5 +142,5 @@
 func (r Refused) Err() error {
 	after := time.Duration(r.RetryAfterMS) * time.Millisecond
 
-	return failure.New(r.Kind, "%s", r.Text).After(after)
+	return failure.New(r.Kind, "%s", r.Text).WithRetryAfter(after)
 }
--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -208,7 +208,7 @@
 // call makes a call to an entry and returns the decompressed response body. The entry may hold the
 // request for the given wait.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte, wait time.Duration) ([]byte, error) {
-	ctx, cancel := pause.Patient(ctx, callTimeout+wait, wait+maxTransfer)
+	ctx, cancel := pause.WithIdleTimeout(ctx, callTimeout+wait, wait+maxTransfer)
 	defer cancel()
 
 	req, err := newRequest(ctx, method, "http://"+address+path, body)
@@ -221,7 +221,7 @@
 		return nil, err
 	}
 
-	respBody, err := io.ReadAll(pause.Reader(ctx, io.LimitReader(resp.Body, maxMessage)))
+	respBody, err := io.ReadAll(pause.ProgressReader(ctx, io.LimitReader(resp.Body, maxMessage)))
 	err = errs.Combine(err, resp.Body.Close())
 
 	if err == nil && resp.StatusCode/100 != 2 {
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -222,7 +222,7 @@
 			address := a.Addresses[polls%len(a.Addresses)]
 			polls++
 
-			c, done := pause.Patient(ctx, peerTimeout, maxTransfer)
+			c, done := pause.WithIdleTimeout(ctx, peerTimeout, maxTransfer)
 			b, err := f.cfg.Relay.Poll(c, address, f.cfg.Name, 0, loadPollWait)
 
 			done()
@@ -260,7 +260,7 @@
 			continue
 		}
 
-		c, cancel := pause.Patient(ctx, wait+pollSlack, wait+maxTransfer)
+		c, cancel := pause.WithIdleTimeout(ctx, wait+pollSlack, wait+maxTransfer)
 		b, err := f.cfg.Relay.Poll(c, address, f.cfg.Name, f.cfg.Topic.End(), wait)
 
 		cancel()
@@ -290,7 +290,7 @@
 func (f *Follower) readLog(ctx context.Context) (Batch, error) {
 	if f.cfg.Topic.Loaded() {
 		sentAt := time.Now()
-		c, cancel := pause.Patient(ctx, f.cfg.Wait+readSlack, f.cfg.Wait+maxTransfer)
+		c, cancel := pause.WithIdleTimeout(ctx, f.cfg.Wait+readSlack, f.cfg.Wait+maxTransfer)
 		b, err := f.cfg.Source.Read(c, f.cfg.Name, f.cfg.Topic.End(), f.cfg.Wait)
 
 		cancel()
@@ -304,7 +304,7 @@
 
 	sentAt := time.Now()
 
-	c, cancel := pause.Patient(ctx, newestTimeout, newestTimeout+maxTransfer)
+	c, cancel := pause.WithIdleTimeout(ctx, newestTimeout, newestTimeout+maxTransfer)
 	defer cancel()
 
 	b, err := f.cfg.Source.Newest(c, f.cfg.Name)
@@ -319,7 +319,7 @@
 		return
 	}
 
-	c, cancel := pause.Patient(ctx, peerTimeout, maxTransfer)
+	c, cancel := pause.WithIdleTimeout(ctx, peerTimeout, maxTransfer)
 	defer cancel()
 
 	b, err := f.cfg.Peers.Fetch(c, f.cfg.Name, f.cfg.Topic.End())
--- a/mirror/slow_test.go
+++ b/mirror/slow_test.go
@@ -77,7 +77,7 @@
 			return Batch{}, ctx.Err()
 		}
 
-		pause.Moves(ctx)
+		pause.ReportProgress(ctx)
 	}
 
 	return Batch{Records: []Record{{Key: "config", Value: value, Offset: end - 1}}, End: end}, nil
--- a/operator/responder.go
+++ b/operator/responder.go
@@ -19,9 +19,9 @@
 	Views []View
 }
 
-// Answer returns the response to m from a peer. A message of any other type gets a
+// Respond returns the response to m from a peer. A message of any other type gets a
 // refusal with failure.BadMessage.
-func (r Responder) Answer(now time.Time, from peer.Identity, m message.Message) message.Message {
+func (r Responder) Respond(now time.Time, from peer.Identity, m message.Message) message.Message {
 	if response, ok := exchange.Respond(now, r.Settings, from, m); ok {
 		return response
 	}
--- a/organisation/register.go
+++ b/organisation/register.go
@@ -36,9 +36,9 @@
 	maxCredentialBytes = 512
 )
 
-// Register finds organisations by their callers' keys. It is immutable and safe for
+// KeyRegistry finds organisations by their callers' keys. It is immutable and safe for
 // concurrent use. Use NewRegister.
-type Register struct {
+type KeyRegistry struct {
 	seed maphash.Seed
 	// keyHolders are indexed by a seeded hash of the key's hash. The seed is secret, so
 	// that the duration of a lookup reveals nothing about the stored hashes.
@@ -52,9 +52,9 @@
 	organisation string
 }
 
-// NewRegister returns the Register for the organisations in t.
-func NewRegister(t *setting.Tree) *Register {
-	r := &Register{
+// NewKeyRegistry returns the Register for the organisations in t.
+func NewKeyRegistry(t *setting.Tree) *KeyRegistry {
+	r := &KeyRegistry{
 		seed:       maphash.MakeSeed(),
 		keyHolders: map[uint64][]keyHolder{},
 		byName:     map[string]setting.Organisation{},
@@ -72,7 +72,7 @@
 
 // addKey adds the hash of a key. An invalid hash is ignored; the tree's validation has
 // excluded it.
-func (r *Register) addKey(name, key string) {
+func (r *KeyRegistry) addKey(name, key string) {
 	h := keyHolder{organisation: name}
 
 	b, err := hex.DecodeString(strings.TrimPrefix(key, hashPrefix))
@@ -87,7 +87,7 @@
 // Authenticate returns the name of the organisation that holds the key credential. The
 // error is failure.Unauthenticated, or failure.Forbidden if the organisation is
 // blocked; it never contains the credential.
-func (r *Register) Authenticate(credential string) (string, error) {
+func (r *KeyRegistry) Authenticate(credential string) (string, error) {
 	if credential == "" || len(credential) > maxCredentialBytes {
 		return "", failure.New(failure.Unauthenticated, "a key is required")
 	}
@@ -112,9 +112,9 @@
 	return name, nil
 }
 
-// Permit returns nil if the named organisation may use service, and a
+// Authorise returns nil if the named organisation may use service, and a
 // failure.Forbidden otherwise. An organisation without a list of services may use all.
-func (r *Register) Permit(name, service string) error {
+func (r *KeyRegistry) Authorise(name, service string) error {
 	o, ok := r.byName[name]
 	if !ok || o.Blocked {
 		return failure.New(failure.Forbidden, "the organisation is not known or blocked")
@@ -128,7 +128,7 @@
 }
 
 // Len returns the number of organisations.
-func (r *Register) Len() int { return len(r.byName) }
+func (r *KeyRegistry) Len() int { return len(r.byName) }
 
 // NewKey returns a new random key for callers and its hash for the settings.
 func NewKey() (key, hash string) {
--- a/organisation/register_test.go
+++ b/organisation/register_test.go
@@ -14,7 +14,7 @@
 	"boragehub/setting"
 )
 
-func newTestRegister(t testing.TB, text string) *Register {
+func newTestRegister(t testing.TB, text string) *KeyRegistry {
 	t.Helper()
 
 	tree, err := setting.Parse("test", []byte(text))
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 
-	return NewRegister(tree)
+	return NewKeyRegistry(tree)
 }
 
 func TestAuthenticate(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 
 	for _, c := range permits {
-		if err := r.Permit(c.name, c.service); (err == nil) != c.want {
+		if err := r.Authorise(c.name, c.service); (err == nil) != c.want {
 			t.Errorf("%s at %s: got %v, want permitted %v", c.name, c.service, err, c.want)
 		}
 	}
--- a/pause/patient.go
+++ b/pause/patient.go
@@ -21,14 +21,14 @@
 	stopped bool
 }
 
-// Patient returns a context that is cancelled when no progress was reported for idle
+// WithIdleTimeout returns a context that is cancelled when no progress was reported for idle
 // (see Moves), or after total in any case.
 //
 // A fixed timeout for a whole transfer has to be long enough for the largest message
 // over the slowest link, and is then too long to detect an unresponsive connection. One
 // that is too short is worse: a large message is restarted on each retry, uses the
 // link's bandwidth and never arrives.
-func Patient(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
+func WithIdleTimeout(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	parent, _ := ctx.Value(idleTimeoutKey{}).(*idleTimeout)
 	t := &idleTimeout{idle: idle, deadline: time.Now().Add(total), parent: parent}
@@ -40,9 +40,9 @@
 	}
 }
 
-// Moves reports progress to ctx and all enclosing contexts made by Patient: each gets
+// ReportProgress reports progress to ctx and all enclosing contexts made by Patient: each gets
 // its full idle time again, up to its total limit. It does nothing for other contexts.
-func Moves(ctx context.Context) {
+func ReportProgress(ctx context.Context) {
 	t, _ := ctx.Value(idleTimeoutKey{}).(*idleTimeout)
 
 	for now := time.Now(); t != nil; t = t.parent {
@@ -68,9 +68,9 @@
 	t.timer.Stop()
 }
 
-// Reader returns a reader of r that reports progress to ctx (Moves) at each read that
+// ProgressReader returns a reader of r that reports progress to ctx (Moves) at each read that
 // yields data.
-func Reader(ctx context.Context, r io.Reader) io.Reader { return progressReader{ctx, r} }
+func ProgressReader(ctx context.Context, r io.Reader) io.Reader { return progressReader{ctx, r} }
 
 type progressReader struct {
 	ctx context.Context //nolint:containedctx // the reader belongs to one call
@@ -81,7 +81,7 @@
 func (t progressReader) Read(b []byte) (int, error) {
 	n, err := t.r.Read(b)
 	if n > 0 {
-		Moves(t.ctx)
+		ReportProgress(t.ctx)
 	}
 
 	return n, err
--- a/pause/patient_test.go
+++ b/pause/patient_test.go
@@ -28,14 +28,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
 
-				outer, stopOuter := Patient(t.Context(), time.Second, 3*time.Second)
+				outer, stopOuter := WithIdleTimeout(t.Context(), time.Second, 3*time.Second)
 				defer stopOuter()
 
-				ctx, stop := Patient(outer, time.Second, 10*time.Second)
+				ctx, stop := WithIdleTimeout(outer, time.Second, 10*time.Second)
 				defer stop()
 
 				for _, at := range tt.progress {
-					time.AfterFunc(at, func() { Moves(ctx) })
+					time.AfterFunc(at, func() { ReportProgress(ctx) })
 				}
 
 				<-ctx.Done()
@@ -50,11 +50,11 @@
 
 func TestPatientEndsWithTheContextAround(t *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
-	ctx, stop := Patient(parent, time.Hour, time.Hour)
+	ctx, stop := WithIdleTimeout(parent, time.Hour, time.Hour)
 
 	cancel()
 	<-ctx.Done()
 	stop()
-	Moves(ctx) // has no effect after the end
-	Moves(context.Background())
+	ReportProgress(ctx) // has no effect after the end
+	ReportProgress(context.Background())
 }
--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -79,9 +79,9 @@
 	return s.Receive()
 }
 
-// Forget closes the connection to a and drops its slot, for example when the VM
+// Disconnect closes the connection to a and drops its slot, for example when the VM
 // was removed.
-func (d *Dialer) Forget(a Address) {
+func (d *Dialer) Disconnect(a Address) {
 	d.mu.Lock()
 	s := d.slots[a]
 	delete(d.slots, a)
@@ -110,7 +110,7 @@
 	d.mu.Unlock()
 
 	for _, a := range all {
-		d.Forget(a)
+		d.Disconnect(a)
 	}
 }
 
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -171,7 +171,7 @@
 						continue
 					}
 
-					if opened && failure.KindOf(err).Answer().Ran != failure.NotRun {
+					if opened && failure.KindOf(err).Response().Ran != failure.NotRun {
 						t.Errorf("%s: got %v, want a response or a refusal", name, err)
 					}
 
@@ -212,7 +212,7 @@
 
 	go func() {
 		opened, err := requestView(d, to, "second")
-		if opened && err != nil && failure.KindOf(err).Answer().Ran != failure.NotRun {
+		if opened && err != nil && failure.KindOf(err).Response().Ran != failure.NotRun {
 			refused <- err
 
 			return
--- a/prompt/chain.go
+++ b/prompt/chain.go
@@ -83,9 +83,9 @@
 	return h
 }
 
-// Next returns the hash of the block with the given content that follows the block
+// NextHash returns the hash of the block with the given content that follows the block
 // with the hash parent.
-func Next(parent Hash, content []byte) Hash {
+func NextHash(parent Hash, content []byte) Hash {
 	d := sha256.New()
 	d.Write(parent[:])
 	d.Write(content)
@@ -121,7 +121,7 @@
 	parent := s.Root()
 
 	for i := 0; i+size <= len(text); i += size {
-		parent = Next(parent, []byte(text[i:i+size]))
+		parent = NextHash(parent, []byte(text[i:i+size]))
 		chain = append(chain, parent)
 	}
 
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -36,7 +36,7 @@
 
 	// A non-idempotent request that may have run would run twice: it is retried only if the
 	// failure guarantees that nothing ran.
-	return a.Kind.Answer().Ran == failure.NotRun
+	return a.Kind.Response().Ran == failure.NotRun
 }
 
 // retryableElsewhere reports whether another target may succeed after a failure of kind k.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -96,7 +96,7 @@
 func TestBookingIsRepeatedOnlyOnAPromise(t *testing.T) {
 	for _, k := range failure.Kinds() {
 		got := MayRetry(Attempt{Sent: true, Kind: k, Number: 1, MaxAttempts: 9})
-		if got && k.Answer().Ran != failure.NotRun {
+		if got && k.Response().Ran != failure.NotRun {
 			t.Errorf("%v: got a retry, want none: it may have run", k)
 		}
 	}
--- a/side/call.go
+++ b/side/call.go
@@ -113,7 +113,7 @@
 			event.Fail(s.cfg.Log, withdrawErr, event.ReportLost, "request_id", m.RequestID)
 		}
 
-		return reply, failure.Wrap(failure.Unavailable, err, "the service is down").After(time.Second)
+		return reply, failure.Wrap(failure.Unavailable, err, "the service is down").WithRetryAfter(time.Second)
 	default:
 		if loseErr := s.cfg.Claims.Lose(ctx, ticket); loseErr != nil {
 			event.Fail(s.cfg.Log, loseErr, event.ReportLost, "request_id", m.RequestID)
--- a/side/guard.go
+++ b/side/guard.go
@@ -50,13 +50,13 @@
 
 	switch {
 	case t.draining:
-		return 0, failure.New(failure.Draining, "the target is draining").After(time.Second)
+		return 0, failure.New(failure.Draining, "the target is draining").WithRetryAfter(time.Second)
 	case !t.up:
-		return 0, failure.New(failure.NotReady, "the target is not ready").After(time.Second)
+		return 0, failure.New(failure.NotReady, "the target is not ready").WithRetryAfter(time.Second)
 	case version != "" && version != t.info.WeightVersion:
-		return 0, failure.New(failure.WrongVersion, "the target has loaded version %s, not %s", t.info.WeightVersion, version).After(time.Second)
+		return 0, failure.New(failure.WrongVersion, "the target has loaded version %s, not %s", t.info.WeightVersion, version).WithRetryAfter(time.Second)
 	case t.active() >= t.maxRunning()+t.maxWaiting:
-		return 0, failure.New(failure.QueueFull, "the target has %d requests in flight", t.active()).After(t.queueDelay())
+		return 0, failure.New(failure.QueueFull, "the target has %d requests in flight", t.active()).WithRetryAfter(t.queueDelay())
 	}
 
 	t.lastID++
--- a/side/poll.go
+++ b/side/poll.go
@@ -155,7 +155,7 @@
 		}
 
 		if err != nil && ctx.Err() == nil {
-			event.Fail(s.cfg.Log.V(1), err, event.EventsLost)
+			event.Fail(s.cfg.Log.V(1), err, event.CacheEventsLost)
 			s.engine.HTTP.CloseIdleConnections()
 			pause.For(ctx, eventsRetryDelay)
 		}
@@ -190,7 +190,7 @@
 	}
 
 	s.cache.reset(b)
-	event.Log(s.cfg.Log, event.EventsGap, "boot", b.BootID, "seq", b.Seq, "blocks", len(b.Hashes))
+	event.Log(s.cfg.Log, event.CacheEventsGap, "boot", b.BootID, "seq", b.Seq, "blocks", len(b.Hashes))
 
 	return nil
 }
--- a/side/run.go
+++ b/side/run.go
@@ -109,7 +109,7 @@
 		pause.For(ctx, isolationPollInterval)
 
 		if ctx.Err() != nil {
-			return failure.New(failure.QueueFull, "another suspected request is running").After(time.Second)
+			return failure.New(failure.QueueFull, "another suspected request is running").WithRetryAfter(time.Second)
 		}
 	}
 
--- a/side/sent.go
+++ b/side/sent.go
@@ -23,7 +23,7 @@
 // states that nothing ran.
 func notReadyIfRefused(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return failure.Wrap(failure.NotReady, err, "the target is down").After(time.Second)
+		return failure.Wrap(failure.NotReady, err, "the target is down").WithRetryAfter(time.Second)
 	}
 
 	return err
--- a/side/side.go
+++ b/side/side.go
@@ -241,7 +241,7 @@
 		err = s.handleOrder(ctx, t, m)
 	default:
 		answers := operator.Responder{Settings: s.cfg.Settings, Views: s.cfg.Views}
-		err = t.Send(answers.Answer(time.Now(), from, m))
+		err = t.Send(answers.Respond(time.Now(), from, m))
 	}
 
 	if err != nil {
--- a/weights/inventory.go
+++ b/weights/inventory.go
@@ -193,7 +193,7 @@
 		return
 	}
 
-	if failure.KindOf(err).Answer().Ran == failure.NotRun {
+	if failure.KindOf(err).Response().Ran == failure.NotRun {
 		rec.engine.Ordered = time.Time{}
 	}
 }
--- a/wholepath/input_test.go
+++ b/wholepath/input_test.go
@@ -107,8 +107,8 @@
 			}
 
 			r := env.request(env.entries[0], c.method, c.path, c.body, headers...)
-			if r.code != c.want.String() || r.status != c.want.Answer().Status || r.ran != "not_run" {
-				t.Errorf("got %d %q %q %s, want %d %q not_run", r.status, r.code, r.ran, r.body, c.want.Answer().Status, c.want)
+			if r.code != c.want.String() || r.status != c.want.Response().Status || r.ran != "not_run" {
+				t.Errorf("got %d %q %q %s, want %d %q not_run", r.status, r.code, r.ran, r.body, c.want.Response().Status, c.want)
 			}
 
 			if r.header.Get("X-Request-Id") == "" {
--- a/wholepath/path_test.go
+++ b/wholepath/path_test.go
@@ -20,7 +20,7 @@
 
 	for _, c := range cases {
 		r := env.request(env.entries[0], c.method, c.path, "", "Authorization", "Bearer "+deskKey)
-		if got, want := r.code, failure.UnknownPath.String(); got != want || r.status != failure.UnknownPath.Answer().Status {
+		if got, want := r.code, failure.UnknownPath.String(); got != want || r.status != failure.UnknownPath.Response().Status {
 			t.Errorf("%s: got %d %q %q, want 404 %q", c.name, r.status, got, r.body, want)
 		}
 
