--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -110,7 +110,7 @@
 	_, first := complete(t, url, r)
 	text, second := complete(t, url, r)
 
-	if got, want := text, Answer(filePrompt, 20); got != want {
+	if got, want := text, CompletionText(filePrompt, 20); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
@@ -131,7 +131,7 @@
 
 func TestStreamAndResume(t *testing.T) {
 	_, url := start(t, fastConfig())
-	want := Answer(filePrompt, 9)
+	want := CompletionText(filePrompt, 9)
 
 	for _, produced := range []int{0, 1, 4, 7, 12, 35, 36} {
 		_, b := call(t, http.MethodPost, url+"/v1/completions", Request{
@@ -320,7 +320,7 @@
 			t.Errorf("%s: got %d cached tokens, want %d", c.name, got, want)
 		}
 
-		if got := text == Answer(filePrompt, defaultMaxTokens); got != c.intact {
+		if got := text == CompletionText(filePrompt, defaultMaxTokens); got != c.intact {
 			t.Errorf("%s: got a correct completion %v, want %v", c.name, got, c.intact)
 		}
 	}
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -83,8 +83,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// Answer returns the first tokens of the completion of a prompt.
-func Answer(text string, tokens int) string {
+// CompletionText returns the first tokens of the completion of a prompt.
+func CompletionText(text string, tokens int) string {
 	seed := xxh3.HashString(text)
 
 	var b strings.Builder
@@ -430,8 +430,8 @@
 	return slices.Clone(s.runs)
 }
 
-// Seq returns the number of the newest cache event.
-func (s *Server) Seq() uint64 {
+// LastEventSeq returns the number of the newest cache event.
+func (s *Server) LastEventSeq() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -69,8 +69,8 @@
 
 // Run is one executed request.
 type Run struct {
-	// Key is its Idempotency-Key.
-	Key string `json:"idempotency_key"`
+	// IdempotencyKey is its Idempotency-IdempotencyKey.
+	IdempotencyKey string `json:"idempotency_key"`
 	// Organisation is its X-Organisation.
 	Organisation string `json:"organisation"`
 	// Path is its path.
@@ -254,10 +254,10 @@
 	defer s.mu.Unlock()
 
 	s.runs = append(s.runs, Run{
-		Key:          r.Header.Get(HeaderIdempotencyKey),
-		Organisation: r.Header.Get(HeaderOrganisation),
-		Path:         r.URL.Path,
-		AtMS:         now.UnixMilli(),
+		IdempotencyKey: r.Header.Get(HeaderIdempotencyKey),
+		Organisation:   r.Header.Get(HeaderOrganisation),
+		Path:           r.URL.Path,
+		AtMS:           now.UnixMilli(),
 	})
 
 	return len(s.runs)
--- a/wholepath/answer_test.go
+++ b/wholepath/answer_test.go
@@ -101,7 +101,7 @@
 		prompt := "fare rules, " + variant.name
 
 		got, err := variant.call(t.Context(), deskKey, prompt, tokens)
-		if want := engine.Answer(prompt, tokens); err == nil && got != want {
+		if want := engine.CompletionText(prompt, tokens); err == nil && got != want {
 			t.Errorf("%s: got %q, want %q or an error", variant.name, got, want)
 		}
 
@@ -151,7 +151,7 @@
 			prompt := fmt.Sprintf("rider %d asks at length", i)
 
 			got, err := env.entries[i%2].streamWithCallback(t.Context(), deskKey, prompt, tokens, func() { chunks[i].Add(1) })
-			if want := engine.Answer(prompt, tokens); got != want || err != nil {
+			if want := engine.CompletionText(prompt, tokens); got != want || err != nil {
 				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
@@ -202,7 +202,7 @@
 			prompt := fmt.Sprintf("rider %d waits at the curb", i)
 
 			got, err := env.entries[0].streamWithCallback(t.Context(), deskKey, prompt, tokens, func() { chunks[i].Add(1) })
-			if want := engine.Answer(prompt, tokens); got != want || err != nil {
+			if want := engine.CompletionText(prompt, tokens); got != want || err != nil {
 				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -152,7 +152,7 @@
 			prompt := fmt.Sprintf("reader %d", i)
 
 			got, err := env.entries[i%2].stream(t.Context(), deskKey, prompt, tokens)
-			if want := engine.Answer(prompt, tokens); got != want || err != nil {
+			if want := engine.CompletionText(prompt, tokens); got != want || err != nil {
 				t.Errorf("%s: got %q, %v, want %q", prompt, got, err, want)
 			}
 		})
--- a/wholepath/client_test.go
+++ b/wholepath/client_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 
-	if got, want := resp.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
+	if got, want := resp.Choices[0].Message.Content, engine.CompletionText(rendered, 12); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 
-	if got, want := accumulated.Choices[0].Message.Content, engine.Answer(rendered, 12); got != want {
+	if got, want := accumulated.Choices[0].Message.Content, engine.CompletionText(rendered, 12); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 
@@ -151,7 +151,7 @@
 func textCompletion(t *testing.T, n *entryNode) {
 	for _, complete := range []func(context.Context, string, string, int64) (string, error){n.complete, n.stream} {
 		got, err := complete(t.Context(), deskKey, "an airport shuttle", 9)
-		if want := engine.Answer("an airport shuttle", 9); got != want || err != nil {
+		if want := engine.CompletionText("an airport shuttle", 9); got != want || err != nil {
 			t.Errorf("got %q, %v, want %q", got, err, want)
 		}
 	}
@@ -213,7 +213,7 @@
 		env.eventually(variant.name+": the batch slot was not released", func() bool { return env.engines[0].engine.Running() == 0 })
 	}
 
-	if got, err := env.entries[0].complete(t.Context(), deskKey, "a seat?", 2); got != engine.Answer("a seat?", 2) {
-		t.Errorf("the next request: got %q, %v, want %q", got, err, engine.Answer("a seat?", 2))
+	if got, err := env.entries[0].complete(t.Context(), deskKey, "a seat?", 2); got != engine.CompletionText("a seat?", 2) {
+		t.Errorf("the next request: got %q, %v, want %q", got, err, engine.CompletionText("a seat?", 2))
 	}
 }
--- a/wholepath/context_test.go
+++ b/wholepath/context_test.go
@@ -120,7 +120,7 @@
 	e.t.Helper()
 	e.setFaults(e.engines[0].addr, map[string]any{"evict_all": true})
 
-	seq := e.engines[0].engine.Seq()
+	seq := e.engines[0].engine.LastEventSeq()
 	e.eventually("the side process has not read the eviction events", func() bool { return c.after.Load() >= seq })
 }
 
@@ -130,7 +130,7 @@
 	e.t.Helper()
 
 	got, err := e.entries[0].complete(e.t.Context(), key, text, responseTokens)
-	if want := engine.Answer(text, responseTokens); got != want || err != nil {
+	if want := engine.CompletionText(text, responseTokens); got != want || err != nil {
 		e.t.Errorf("got %q, %v, want %q", got, err, want)
 	}
 
@@ -241,7 +241,7 @@
 
 	go func() {
 		got, err := env.entries[0].stream(t.Context(), deskKey, "a long itinerary", tokens)
-		if want := engine.Answer("a long itinerary", tokens); err == nil && got != want {
+		if want := engine.CompletionText("a long itinerary", tokens); err == nil && got != want {
 			err = fmt.Errorf("got %q, want %q", got, want)
 		}
 
--- a/wholepath/crash_test.go
+++ b/wholepath/crash_test.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 
-	want := engine.Answer(prompt, tokens)
+	want := engine.CompletionText(prompt, tokens)
 
 	for {
 		got, err := n.stream(ctx, deskKey, prompt, int64(tokens))
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -54,7 +54,7 @@
 
 	for _, p := range e.plainServices {
 		for _, r := range p.plain.Runs() {
-			made[r.Key]++
+			made[r.IdempotencyKey]++
 		}
 	}
 
--- a/wholepath/input_test.go
+++ b/wholepath/input_test.go
@@ -146,7 +146,7 @@
 			t.Errorf("%s: got id %q, want %q", c.name, got, c.want)
 		}
 
-		if !strings.Contains(r.body, engine.Answer("a seat?", 2)) || r.header.Get("Traceparent") == "" {
+		if !strings.Contains(r.body, engine.CompletionText("a seat?", 2)) || r.header.Get("Traceparent") == "" {
 			t.Errorf("%s: got %d %s, want the response and the trace context", c.name, r.status, r.body)
 		}
 
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -138,7 +138,7 @@
 			prompt := fmt.Sprintf("rider %d reads at length", i)
 
 			got, err := env.entries[i%2].stream(t.Context(), deskKey, prompt, tokens)
-			if want := engine.Answer(prompt, tokens); got != want || err != nil {
+			if want := engine.CompletionText(prompt, tokens); got != want || err != nil {
 				t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 			}
 		})
@@ -204,7 +204,7 @@
 		prompt := fmt.Sprintf("rider %d", i)
 
 		got, err := env.entries[i%2].complete(t.Context(), deskKey, prompt, 4)
-		if want := engine.Answer(prompt, 4); got != want || err != nil {
+		if want := engine.CompletionText(prompt, 4); got != want || err != nil {
 			t.Errorf("request %d: got %q, %v, want %q", i, got, err, want)
 		}
 	}
@@ -257,7 +257,7 @@
 	e.t.Helper()
 
 	got, err := n.complete(e.t.Context(), deskKey, prompt, 4)
-	if want := engine.Answer(prompt, 4); got != want || err != nil {
+	if want := engine.CompletionText(prompt, 4); got != want || err != nil {
 		e.t.Errorf("%s: got %q, %v, want %q", prompt, got, err, want)
 	}
 }
--- a/wholepath/swapped_test.go
+++ b/wholepath/swapped_test.go
@@ -81,7 +81,7 @@
 	for i, key := range []string{deskKey, bureauKey} {
 		wg.Go(func() {
 			prompt := fmt.Sprintf("caller %d asks for its booking", i)
-			want := engine.Answer(prompt, tokens)
+			want := engine.CompletionText(prompt, tokens)
 
 			got, err := env.entries[i].stream(t.Context(), key, prompt, tokens)
 			if err == nil && got != want || got != "" && !strings.HasPrefix(want, got) {
