--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -61,9 +61,9 @@
 	e := &gatewayProcess{cfg: cfg, log: log, lines: lines, registry: prometheus.NewRegistry()}
 
 	operators, register := &mirror.Topic{}, mirror.NewTopic(platform.SameListing)
-	members := exchange.NewMembers(cfg.Peers, cfg.Seeds)
-	platformClient := platform.NewCalls()
-	source := platform.NewLog(cfg.Log)
+	members := exchange.NewMembers(cfg.PeerAddress, cfg.Seeds)
+	platformClient := platform.NewClient()
+	source := platform.NewLogClient(cfg.LogAddress)
 	directory := vault.NewDirectory(time.Now().UnixNano())
 
 	e.directory, e.members = directory, members
@@ -78,13 +78,13 @@
 	})
 	e.pool = upstream.NewPool(upstream.Config{})
 	e.watcher = vault.NewWatcher(vault.WatcherConfig{
-		Directory: directory, Source: platformClient, Peers: storePeers{e.client, e.registration, cfg.Peers}, Log: log,
+		Directory: directory, Source: platformClient, Peers: storePeers{e.client, e.registration, cfg.PeerAddress}, Log: log,
 		Rank:         func(address string) int { return members.Rank(time.Now(), address) },
 		EnginePaused: e.roster.AnyPaused,
 	})
 
 	e.standby = loader.NewStandby(loader.StandbyConfig{
-		Holder: cfg.VM, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.Version}, Engine: platformClient, Entries: e, Fleet: e.roster,
+		Holder: cfg.VM, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.VersionDeadline}, Engine: platformClient, Entries: e, Fleet: e.roster,
 		Ring: members, VersionsSyncedAt: operators.SyncedAt, Log: log,
 	})
 
@@ -103,8 +103,8 @@
 	e.gateway = gateway.New(gateway.Config{
 		DataCentre: cfg.DataCentre, Dialect: platform.Dialect{}, Roster: e.roster, Pool: e.pool, Vaults: directory,
 		Crashes: quarantine.NewTracker(quarantine.TrackerConfig{CrashLimit: quarantineCrashes}), ReportCrash: e.client.ReportCrash,
-		RetryRatio: cfg.Bounds.RepeatRatio * retryRatioShare, RetryWindow: cfg.Bounds.RepeatWindow,
-		RetrySlack: cfg.Bounds.RepeatSlack, VersionDeadline: cfg.Bounds.Version,
+		RetryRatio: cfg.Bounds.RetryRatio * retryRatioShare, RetryWindow: cfg.Bounds.RetryWindow,
+		RetrySlack: cfg.Bounds.RetrySlack, VersionDeadline: cfg.Bounds.VersionDeadline,
 		SlowStartOverage: cfg.Bounds.SlowStartOverage, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 		HoldUntil: time.Now().Add(startupWindow), Meter: meter, Log: log,
 	}, operators.SyncedAt, e.registration.RegisteredAt)
@@ -120,28 +120,28 @@
 }
 
 // addFollowers creates the followers of the log's topics.
-func (e *gatewayProcess) addFollowers(source *platform.Log, operators, register *mirror.Topic, meter *metrics.Metrics) {
-	publications := &platform.Publications{
-		Configured: e.applyConfiguration,
-		Named: func(now time.Time, v platform.WeightVersion) {
+func (e *gatewayProcess) addFollowers(source *platform.LogClient, operators, register *mirror.Topic, meter *metrics.Metrics) {
+	publications := &platform.OperatorHandler{
+		ConfigurationPublished: e.applyConfiguration,
+		VersionPublished: func(now time.Time, v platform.WeightVersion) {
 			before := operators.LatestUpdateAfter()
 			e.gateway.VersionNamed(now, v.Model, v.Version, before)
 			e.standby.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: before.IsZero()})
 			e.watcher.SetNewestVersion(now, v.Model, v.Version, v.Offset)
 		},
-		Evacuated:  e.roster.Evacuate,
-		Unreadable: meter.RecordUnreadable, Log: e.log,
+		EvacuationChanged: e.roster.Evacuate,
+		RecordUnreadable:  meter.RecordUnreadable, Log: e.log,
 	}
-	listings := &platform.Listings{Roster: e.roster, Unreadable: meter.RecordUnreadable, Log: e.log}
+	listings := &platform.RegisterHandler{Roster: e.roster, RecordUnreadable: meter.RecordUnreadable, Log: e.log}
 
 	e.followers = []*mirror.Follower{
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), Wait: operatorReadWait, OnChanges: publications.Take, Log: e.log,
+			LoadWait: e.loadWait(), Wait: operatorReadWait, OnChanges: publications.Handle, Log: e.log,
 		}),
 		mirror.NewFollower(mirror.FollowerConfig{
 			Name: platform.RegisterTopic, Topic: register, Source: source, Peers: e.client, Relay: e.client,
-			LoadWait: e.loadWait(), ReadPause: registerReadPause(e.cfg.Bounds.Drain), OnChanges: listings.Take, OnOutage: e.roster.SetLogUnavailable, Log: e.log,
+			LoadWait: e.loadWait(), ReadPause: registerReadPause(e.cfg.Bounds.DrainDeadline), OnChanges: listings.Handle, OnOutage: e.roster.SetLogUnavailable, Log: e.log,
 		}),
 	}
 }
@@ -245,7 +245,7 @@
 func (e *gatewayProcess) runRegistration(ctx context.Context) {
 	// Without known peers, the first attempt would call the log directly.
 	e.waitForPeers(ctx)
-	e.registration.Run(ctx, e.cfg.VM, e.cfg.Peers)
+	e.registration.Run(ctx, e.cfg.VM, e.cfg.PeerAddress)
 }
 
 // storePeers gives the store watcher access to the other entries.
@@ -293,11 +293,11 @@
 	e := newGatewayProcess(cfg)
 
 	reports, err := pulse.Listen(pulse.ListenerConfig{
-		Address: cfg.Internal(reportPortOffset), Port: cfg.FirstInternal + reportPortOffset,
+		Address: cfg.InternalAddress(reportPortOffset), Port: cfg.FirstInternalPort + reportPortOffset,
 		Engines: e.subscriptions, OnReport: e.onReport, Demand: e.demand(),
 	})
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
+		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.InternalAddress(reportPortOffset))
 	}
 
 	tasks := []func(context.Context){e.lines.Run, e.watcher.Run, e.client.Run, e.standby.Run, e.tick, reports.Run, e.runRegistration}
@@ -322,13 +322,13 @@
 	for _, s := range []struct {
 		server  server
 		address string
-	}{{peers, cfg.Peers}, {balancer, cfg.Ready}, {callers, cfg.Callers}, {metricsServer, cfg.Internal(metricsPortOffset)}} {
+	}{{peers, cfg.PeerAddress}, {balancer, cfg.ReadyAddress}, {callers, cfg.CallerAddress}, {metricsServer, cfg.InternalAddress(metricsPortOffset)}} {
 		if err := serve(s.server, s.address, failed); err != nil {
 			return err
 		}
 	}
 
-	event.Log(e.log, event.ProcessStarted, "callers", cfg.Callers, "peers", cfg.Peers, "ready", cfg.Ready)
+	event.Log(e.log, event.ProcessStarted, "callers", cfg.CallerAddress, "peers", cfg.PeerAddress, "ready", cfg.ReadyAddress)
 
 	return e.serveUntilSignal(callers, signals, failed)
 }
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -34,26 +34,26 @@
 
 	lines := output.New(output.Config{To: os.Stdout})
 	log := newLogger(cfg, "loader", lines)
-	source := platform.NewLog(cfg.Log)
-	platformClient := platform.NewCalls()
+	source := platform.NewLogClient(cfg.LogAddress)
+	platformClient := platform.NewClient()
 	client := exchange.NewClient(exchange.NewMembers("", cfg.Seeds))
 
 	l := loader.New(loader.Config{
-		Address: cfg.Engine, Holder: cfg.VM, Engine: platformClient, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.Version},
+		Address: cfg.EngineAddress, Holder: cfg.VM, Engine: platformClient, Rollout: loader.RolloutConfig{MaxDuration: cfg.Bounds.VersionDeadline},
 		Register: platform.Siblings{Log: source, Service: cfg.Service}, Entries: client, Log: log,
 	})
 
 	guard := slowstart.NewGuard(slowstart.Limit{}, uint64(time.Now().UnixNano()))
-	probe := slowstart.NewProbe(slowstart.ProbeConfig{Guard: guard, Health: platformClient, Address: cfg.Engine})
+	probe := slowstart.NewProbe(slowstart.ProbeConfig{Guard: guard, Health: platformClient, Address: cfg.EngineAddress})
 
 	operators := &mirror.Topic{}
-	publications := &platform.Publications{
-		Configured: func(_ time.Time, c *site.Configuration) {
+	publications := &platform.OperatorHandler{
+		ConfigurationPublished: func(_ time.Time, c *site.Configuration) {
 			s, _ := c.Service(cfg.Service)
 			guard.SetLimit(slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.PerSecond, cfg.Bounds.SlowStartOverage, cfg.Bounds.SlowStartSlack))
 			probe.SetPath(s.HealthPath)
 		},
-		Evacuated: func(now time.Time, dataCentre string, evacuated bool) {
+		EvacuationChanged: func(now time.Time, dataCentre string, evacuated bool) {
 			if dataCentre != cfg.DataCentre {
 				return
 			}
@@ -61,29 +61,29 @@
 			probe.Suspend(evacuated)
 			guard.AssumeCold(now)
 		},
-		Named: func(_ time.Time, v platform.WeightVersion) {
+		VersionPublished: func(_ time.Time, v platform.WeightVersion) {
 			l.SetDesired(loader.DesiredVersion{Model: v.Model, Version: v.Version, PublishedBeforeStart: operators.LatestUpdateAfter().IsZero()})
 		},
 		Log: log,
 	}
 	follower := mirror.NewFollower(mirror.FollowerConfig{
 		Name: platform.OperatorTopic, Topic: operators, Source: source, Peers: client, Relay: exchange.NewSubscriber(client, cfg.VM), LoadWait: sideLoadWait,
-		Wait: sideOperatorReadWait, PeerInterval: sidePeerInterval, OnChanges: publications.Take, Log: log,
+		Wait: sideOperatorReadWait, PeerInterval: sidePeerInterval, OnChanges: publications.Handle, Log: log,
 	})
 
-	partsFollower := resident.NewFollower(resident.Config{Address: cfg.Engine, Source: platformClient})
+	partsFollower := resident.NewFollower(resident.Config{Address: cfg.EngineAddress, Source: platformClient})
 
 	reporter, err := pulse.NewReporter(pulse.ReporterConfig{
-		Address: cfg.Internal(reportPortOffset), Engine: platformClient, EngineAddress: cfg.Engine, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Reset, LoadIn: l.LoadIn,
+		Address: cfg.InternalAddress(reportPortOffset), Engine: platformClient, EngineAddress: cfg.EngineAddress, Resident: partsFollower.Parts, SlowStart: guard, Restarted: partsFollower.Reset, LoadIn: l.LoadIn,
 	})
 	if err != nil {
-		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.Internal(reportPortOffset))
+		return failure.Wrap(failure.BadSettings, err, "cannot bind address %q for load reports", cfg.InternalAddress(reportPortOffset))
 	}
 
 	stop := runInBackground(lines.Run, follower.Run, client.Run, l.Run, reporter.Run, partsFollower.Run, probe.Run)
 	defer stop()
 
-	event.Log(log, event.ProcessStarted, "engine", cfg.Engine, "service", cfg.Service)
+	event.Log(log, event.ProcessStarted, "engine", cfg.EngineAddress, "service", cfg.Service)
 
 	for s := range signals {
 		if s != syscall.SIGHUP {
