--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -15,7 +15,7 @@
 
 // newTestReloader writes a certificate for vm, signed by a, into dir and returns a Keeper of it that
 // trusts a and alsoTrusted.
-func newTestReloader(t *testing.T, dir, vm string, a *Authority, alsoTrusted ...*Authority) *Keeper {
+func newTestReloader(t *testing.T, dir, vm string, a *Authority, alsoTrusted ...*Authority) *Reloader {
 	t.Helper()
 
 	pair, err := a.Issue(time.Now(), Subject{VM: vm, Role: "entry"})
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 
-	k, err := NewKeeper(KeeperConfig{
+	k, err := NewReloader(ReloaderConfig{
 		CAFile: filepath.Join(dir, vm+".ca"), CertificateFile: filepath.Join(dir, vm+".pem"),
 		KeyFile: filepath.Join(dir, vm+".key"), Protocols: []string{protocol}, Logger: logr.Discard(),
 	})
@@ -59,7 +59,7 @@
 }
 
 // handshake connects client to server and returns the first error of either end.
-func handshake(t *testing.T, server, client *Keeper, name string) error {
+func handshake(t *testing.T, server, client *Reloader, name string) error {
 	t.Helper()
 
 	a, b := net.Pipe()
@@ -108,7 +108,7 @@
 
 	cases := []struct {
 		name           string
-		server, client *Keeper
+		server, client *Reloader
 		vm             string
 		want           bool
 	}{
--- a/certificate/reloader.go
+++ b/certificate/reloader.go
@@ -18,8 +18,8 @@
 // DefaultInterval is the default time between two checks of a Keeper's files.
 const DefaultInterval = 10 * time.Second
 
-// KeeperConfig configures a Keeper.
-type KeeperConfig struct {
+// ReloaderConfig configures a Keeper.
+type ReloaderConfig struct {
 	// CAFile, CertificateFile and KeyFile are paths of PEM files. CAFile may hold several
 	// certificates.
 	CAFile          string
@@ -33,10 +33,10 @@
 	Logger logr.Logger
 }
 
-// Keeper holds a process's certificate, key and trusted authorities, and reloads them when their
+// Reloader holds a process's certificate, key and trusted authorities, and reloads them when their
 // files change. Use NewKeeper; its methods may be called from many goroutines.
-type Keeper struct {
-	cfg     KeeperConfig
+type Reloader struct {
+	cfg     ReloaderConfig
 	current atomic.Pointer[credentials]
 }
 
@@ -47,13 +47,13 @@
 	pool  *x509.CertPool
 }
 
-// NewKeeper returns a Keeper that has loaded its files. The error is a failure.BadSettings.
-func NewKeeper(cfg KeeperConfig) (*Keeper, error) {
+// NewReloader returns a Keeper that has loaded its files. The error is a failure.BadSettings.
+func NewReloader(cfg ReloaderConfig) (*Reloader, error) {
 	if cfg.Interval <= 0 {
 		cfg.Interval = DefaultInterval
 	}
 
-	k := &Keeper{cfg: cfg}
+	k := &Reloader{cfg: cfg}
 
 	if _, err := k.Reload(); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 }
 
 // Run reloads the files at each interval until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Reloader) Run(ctx context.Context) {
 	ticker := time.NewTicker(k.cfg.Interval)
 	defer ticker.Stop()
 
@@ -88,7 +88,7 @@
 
 // Reload reads the files and reports whether they changed. On an error, a failure.BadSettings, the
 // credentials loaded before stay in use.
-func (k *Keeper) Reload() (bool, error) {
+func (k *Reloader) Reload() (bool, error) {
 	var next credentials
 
 	for i, name := range []string{k.cfg.CAFile, k.cfg.CertificateFile, k.cfg.KeyFile} {
@@ -133,7 +133,7 @@
 
 // TLS returns a configuration for clients and servers of connections between boragehub's
 // processes. Each handshake uses the credentials loaded last.
-func (k *Keeper) TLS() *tls.Config {
+func (k *Reloader) TLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: k.cfg.Protocols,
@@ -155,7 +155,7 @@
 
 // serverConfig returns a server's TLS configuration for one connection. It requires a client
 // certificate signed by a trusted authority.
-func (k *Keeper) serverConfig(*tls.ClientHelloInfo) (*tls.Config, error) {
+func (k *Reloader) serverConfig(*tls.ClientHelloInfo) (*tls.Config, error) {
 	creds := k.current.Load()
 
 	return &tls.Config{
@@ -168,7 +168,7 @@
 }
 
 // verifyServer checks the chain and the DNS name of a server's certificate. Clients call it.
-func (k *Keeper) verifyServer(s tls.ConnectionState) error {
+func (k *Reloader) verifyServer(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
 		return failure.New(failure.Unauthenticated, "the peer sent no certificate")
 	}
--- a/cmd/boragehub/ctl.go
+++ b/cmd/boragehub/ctl.go
@@ -150,7 +150,7 @@
 		return failure.New(failure.BadSettings, "--vms and --keys-from (or BORAGEHUB_VMS and BORAGEHUB_KEYS) are needed to query the fleet")
 	}
 
-	keys, err := certificate.NewKeeper(certificate.KeeperConfig{
+	keys, err := certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile:          filepath.Join(c.keyDir, certificate.AuthorityFile),
 		CertificateFile: filepath.Join(c.keyDir, c.name+".pem"),
 		KeyFile:         filepath.Join(c.keyDir, c.name+".key"),
--- a/cmd/boragehub/explain.go
+++ b/cmd/boragehub/explain.go
@@ -58,10 +58,10 @@
 		return s.WriteJSON(w)
 	}
 
-	return s.Write(w)
+	return s.WriteText(w)
 }
 
-func readLog(s *story.Story, name string) error {
+func readLog(s *story.Timeline, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return failure.Wrap(failure.BadRequest, err, "cannot read log %s", name)
--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -181,10 +181,10 @@
 
 	var stores []vault.Store
 
-	for _, s := range c.Vaults() {
+	for _, s := range c.Stores() {
 		stores = append(stores, vault.Store{
-			Address: s.Vault.Address, DataCentre: s.Vault.DataCentre, CapacityTokens: s.Vault.RoomTokens, FirstByte: s.Vault.FirstByte,
-			TokensPerMs: site.TokensPerMs(s.Vault.LinkMbps, c.TokenBytes()),
+			Address: s.Store.Address, DataCentre: s.Store.DataCentre, CapacityTokens: s.Store.CapacityTokens, FirstByte: s.Store.FirstByteLatency,
+			TokensPerMs: site.TokensPerMs(s.Store.LinkMbps, c.TokenBytes()),
 		})
 	}
 
--- a/cmd/boragehub/loader.go
+++ b/cmd/boragehub/loader.go
@@ -50,7 +50,7 @@
 	publications := &platform.OperatorHandler{
 		ConfigurationPublished: func(_ time.Time, c *site.Configuration) {
 			s, _ := c.Service(cfg.Service)
-			guard.SetLimit(slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.PerSecond, cfg.Bounds.SlowStartOverage, cfg.Bounds.SlowStartSlack))
+			guard.SetLimit(slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.RequestsPerSecond, cfg.Bounds.SlowStartOverage, cfg.Bounds.SlowStartSlack))
 			probe.SetPath(s.HealthPath)
 		},
 		EvacuationChanged: func(now time.Time, dataCentre string, evacuated bool) {
--- a/cmd/boragehub/process.go
+++ b/cmd/boragehub/process.go
@@ -51,7 +51,7 @@
 type common struct {
 	cfg      setting.Process
 	log      logr.Logger
-	keys     *certificate.Keeper
+	keys     *certificate.Reloader
 	dialer   *peer.Dialer
 	server   *peer.Server
 	vmList   *vm.Follower
--- a/cmd/boragehub/provide.go
+++ b/cmd/boragehub/provide.go
@@ -61,8 +61,8 @@
 	return logr.New(r.Sink(zerologr.NewLogSink(&z)))
 }
 
-func provideKeys(cfg setting.Process, log logr.Logger) (*certificate.Keeper, error) {
-	return certificate.NewKeeper(certificate.KeeperConfig{
+func provideKeys(cfg setting.Process, log logr.Logger) (*certificate.Reloader, error) {
+	return certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile:          cfg.TLS.CAFile,
 		CertificateFile: cfg.TLS.CertificateFile,
 		KeyFile:         cfg.TLS.KeyFile,
@@ -71,7 +71,7 @@
 	})
 }
 
-func providePeerConfig(keys *certificate.Keeper) peer.Config {
+func providePeerConfig(keys *certificate.Reloader) peer.Config {
 	return peer.Config{TLS: keys.TLS()}
 }
 
--- a/drain/conn.go
+++ b/drain/conn.go
@@ -57,7 +57,7 @@
 // pending reports whether a request, or part of one, has reached this machine and is not
 // being served yet.
 func (c *conn) pending(now time.Time) bool {
-	return phase(c.phase.Load()) != phaseBusy && (c.partlyRead(now) || socket.Peek(c.TCPConn) == socket.Unread)
+	return phase(c.phase.Load()) != phaseBusy && (c.partlyRead(now) || socket.Peek(c.TCPConn) == socket.Readable)
 }
 
 // partlyRead reports whether part of a request was read and the rest may still arrive. A
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -175,7 +175,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return !slices.ContainsFunc(s.listeners, func(l net.Listener) bool { return !socket.Shut(l) })
+	return !slices.ContainsFunc(s.listeners, func(l net.Listener) bool { return !socket.ShutdownIfIdle(l) })
 }
 
 func (s *Server) closePort() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -100,7 +100,7 @@
 	gates        *gates
 	crashes      *quarantine.Tracker
 	budgets      *retryBudgets
-	updates      *ring.Ring[directoryUpdate]
+	updates      *ring.Queue[directoryUpdate]
 	policy       atomic.Pointer[policy]
 	metrics      *metrics
 	owned        *ownedContexts
--- a/entry/gate.go
+++ b/entry/gate.go
@@ -74,7 +74,7 @@
 // updatePlaces sets each gate's places according to how many requests its targets can
 // run at once.
 func (e *Entry) updatePlaces(now time.Time) {
-	entries := max(1, len(e.cfg.VMs.List().Of(vm.Entry, "")))
+	entries := max(1, len(e.cfg.VMs.List().OfKind(vm.Entry, "")))
 
 	for _, service := range e.targets.Services() {
 		running := 0
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -99,7 +99,7 @@
 // owner returns the entry of this data centre that owns anchor. self reports whether it
 // is this one, in which case the address is empty.
 func (e *Entry) owner(anchor prompt.Hash) (a peer.Address, self bool) {
-	entries := e.cfg.VMs.List().Of(vm.Entry, e.cfg.DataCentre)
+	entries := e.cfg.VMs.List().OfKind(vm.Entry, e.cfg.DataCentre)
 	names := make([]string, len(entries))
 
 	for i, m := range entries {
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -70,7 +70,7 @@
 // does not wait for a handshake: the lookup is abandoned when the owner responds late,
 // and the context is then recomputed.
 func (e *Entry) connectNextEntry(ctx context.Context) {
-	for _, m := range e.cfg.VMs.List().Of(vm.Entry, e.cfg.DataCentre) {
+	for _, m := range e.cfg.VMs.List().OfKind(vm.Entry, e.cfg.DataCentre) {
 		if m.Name == e.cfg.VM || e.connected[m.Name] == m.SideAddress {
 			continue
 		}
--- a/event/output/output.go
+++ b/event/output/output.go
@@ -42,7 +42,7 @@
 // Writer is an io.Writer for complete lines. Use New.
 type Writer struct {
 	cfg          Config
-	lines        *ring.Ring[[]byte]
+	lines        *ring.Queue[[]byte]
 	budgetSecond atomic.Int64 // the second that budgetUsed counts, in Unix seconds
 	budgetUsed   atomic.Int64 // lines written in that second, dropped ones included
 	unreported   atomic.Int64 // lines dropped since the last report
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -82,7 +82,7 @@
 		// are overloaded.
 		return t.attemptError(o, failure.Timeout)
 	case !retry.MayRetry(retry.Attempt{
-		Idempotent: t.route.Repeatable(), Sent: o.mayHaveRun, Kind: o.kind, Number: t.possibleRuns, MaxAttempts: max(t.route.MaxAttempts, 1),
+		Idempotent: t.route.Retryable(), Sent: o.mayHaveRun, Kind: o.kind, Number: t.possibleRuns, MaxAttempts: max(t.route.MaxAttempts, 1),
 	}):
 		return t.attemptError(o, o.kind)
 	case !t.g.retryBudget(t.service.Name).Allow(now):
@@ -163,12 +163,12 @@
 	t.inFlight = &inFlightAttempt{cancel: cancelAttempt, model: t.model(), version: c.params.Version}
 	defer t.g.inFlight.add(c.engine.ID, t.inFlight)()
 
-	if t.streaming() && t.route.Patience > 0 {
+	if t.streaming() && t.route.EventTimeout > 0 {
 		go t.watchCallerTimeout(ctx, c.engine.ID, cancelAttempt)
 	}
 
 	if t.arrival.Prompt != nil {
-		t.profile().ObservePrompt(c.prefillTokens, c.memoryTokens, t.route.Aim)
+		t.profile().ObservePrompt(c.prefillTokens, c.memoryTokens, t.route.LatencyTarget)
 	}
 
 	t.sentAt = now
@@ -196,9 +196,9 @@
 // another target: a target that hangs would otherwise use up all of it.
 func (t *task) attemptTimeout(now time.Time) time.Duration {
 	left := t.deadline.Sub(now) + deadlineGrace
-	usual := 2*t.route.Aim + 50*time.Millisecond
+	usual := 2*t.route.LatencyTarget + 50*time.Millisecond
 
-	if !t.route.Repeatable() || t.service.Engines != nil || t.possibleRuns+1 >= t.route.MaxAttempts || left < 2*usual {
+	if !t.route.Retryable() || t.service.Engines != nil || t.possibleRuns+1 >= t.route.MaxAttempts || left < 2*usual {
 		return left
 	}
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -140,7 +140,7 @@
 		l.fillCandidate(&candidates[i], e, newest)
 	}
 
-	d := route.DecidePrefix(t.profile().SharedPrefixConfig(t.service.Engines.MemoryTokens), t.prefixRequest(), candidates)
+	d := route.DecidePrefix(t.profile().SharedPrefixConfig(t.service.Engines.CacheTokens), t.prefixRequest(), candidates)
 	if !d.Found() {
 		return choice{}, t.noEngineError(candidates, all)
 	}
@@ -207,7 +207,7 @@
 	shared := p.SharedTokens()
 
 	return route.PrefixRequest{
-		SharedPrefixID: p.SharedPrefixID(), SharedTokens: shared, OwnTokens: p.Tokens - shared, OutputTokens: p.Output, Aim: t.route.Aim,
+		SharedPrefixID: p.SharedPrefixID(), SharedTokens: shared, OwnTokens: p.Tokens - shared, OutputTokens: p.Output, Aim: t.route.LatencyTarget,
 		PrefixUnreported: t.prefixUnreported(),
 	}
 }
@@ -223,7 +223,7 @@
 	case route.Hold:
 		return errNoCapacity
 	case route.TooLate:
-		over := d.Wait() - t.route.Aim
+		over := d.Wait() - t.route.LatencyTarget
 
 		return failure.New(failure.QueueFull, "engines have other prompts to prefill for %v", d.Wait().Round(time.Millisecond)).WithRetryAfter(over)
 	default:
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -247,20 +247,20 @@
 
 // routes has one route of each kind.
 var routes = []site.Route{
-	{Name: "once", Host: "desk", Prefix: "/once/", Kind: site.Once, Timeout: 2 * time.Second, Aim: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
-	{Name: "idem", Host: "desk", Prefix: "/idem/", Kind: site.Idempotent, Timeout: 2 * time.Second, Aim: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
+	{Name: "once", Host: "desk", Prefix: "/once/", Kind: site.AtMostOnce, Timeout: 2 * time.Second, LatencyTarget: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
+	{Name: "idem", Host: "desk", Prefix: "/idem/", Kind: site.Idempotent, Timeout: 2 * time.Second, LatencyTarget: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
 	{Name: "stream", Host: "desk", Prefix: "/stream/", Kind: site.Stream, Timeout: 2 * time.Second, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
 	{Name: "resume", Host: "desk", Prefix: "/resume/", Kind: site.Stream, Resumable: true, Timeout: 2 * time.Second, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2},
-	{Name: "quick", Host: "desk", Prefix: "/quick/", Kind: site.Once, Timeout: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 1},
+	{Name: "quick", Host: "desk", Prefix: "/quick/", Kind: site.AtMostOnce, Timeout: 100 * time.Millisecond, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 1},
 	{Name: "llm", Host: "desk", Prefix: "/llm/", Kind: site.Stream, Resumable: true, Timeout: 2 * time.Second, Shares: []site.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 2},
-	{Name: "soon", Host: "desk", Prefix: "/soon/", Kind: site.Stream, Resumable: true, Timeout: 2 * time.Second, Aim: 300 * time.Millisecond, Shares: []site.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 2},
-	{Name: "patient", Host: "desk", Prefix: "/patient/", Kind: site.Stream, Resumable: true, Timeout: 30 * time.Second, Patience: shortCallerTimeout, Shares: []site.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 2},
+	{Name: "soon", Host: "desk", Prefix: "/soon/", Kind: site.Stream, Resumable: true, Timeout: 2 * time.Second, LatencyTarget: 300 * time.Millisecond, Shares: []site.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 2},
+	{Name: "patient", Host: "desk", Prefix: "/patient/", Kind: site.Stream, Resumable: true, Timeout: 30 * time.Second, EventTimeout: shortCallerTimeout, Shares: []site.Share{{Service: "llm", Weight: 1}}, MaxAttempts: 2},
 	{Name: "open", Host: "desk", Prefix: "/open/", Kind: site.Idempotent, Public: true, Timeout: time.Second, Shares: []site.Share{{Service: "s", Weight: 1}}, MaxAttempts: 1},
 }
 
 var published = site.Published{
 	Version: 1, Routes: routes,
-	Services: []site.Service{{Name: "s"}, {Name: "llm", Engines: &site.Engines{Slots: 8, MemoryTokens: 70_000, LinkMbps: 550_000, TokenBytes: 163_840}}},
+	Services: []site.Service{{Name: "s"}, {Name: "llm", Engines: &site.Engines{Slots: 8, CacheTokens: 70_000, LinkMbps: 550_000, TokenBytes: 163_840}}},
 	Organisations: []site.Organisation{
 		{Name: "ferry", Keys: []string{"k1"}}, {Name: "bureau", Keys: []string{"k2"}, Isolated: true},
 	},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -178,7 +178,7 @@
 		return slowstart.Limit{}
 	}
 
-	return slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.PerSecond, g.cfg.SlowStartOverage, g.cfg.SlowStartSlack)
+	return slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.RequestsPerSecond, g.cfg.SlowStartOverage, g.cfg.SlowStartSlack)
 }
 
 // HasService reports whether a service is in the configuration. Without a configuration, it returns
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -40,5 +40,5 @@
 func (t *task) untilCallerTimeout(now time.Time) time.Duration {
 	lastEvent := t.began.Add(time.Duration(t.lastEventAfter.Load()))
 
-	return lastEvent.Add(t.route.Patience - callerTimeoutMargin).Sub(now)
+	return lastEvent.Add(t.route.EventTimeout - callerTimeoutMargin).Sub(now)
 }
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -79,13 +79,13 @@
 // maxWait returns how long the prompt waits for an engine with capacity before it is refused: after
 // its aim it is late in any case, and all prompts behind it would be.
 func (t *task) maxWait() time.Duration {
-	if t.stream.started && t.route.Patience > 0 {
+	if t.stream.started && t.route.EventTimeout > 0 {
 		// The caller waits for the rest of the stream.
-		return t.route.Patience
+		return t.route.EventTimeout
 	}
 
-	if t.route.Aim > 0 {
-		return t.route.Aim
+	if t.route.LatencyTarget > 0 {
+		return t.route.LatencyTarget
 	}
 
 	return defaultMaxWait
@@ -165,7 +165,7 @@
 	p := t.arrival.Prompt
 	used := e.Report.UsedTokens + e.SentSince.CacheTokens + t.profile().MeanKVTokens()*e.Report.Waiting
 
-	return float64(used+p.Tokens+p.Output) <= maxMemoryShare*float64(t.service.Engines.MemoryTokens)
+	return float64(used+p.Tokens+p.Output) <= maxMemoryShare*float64(t.service.Engines.CacheTokens)
 }
 
 // errSlowStart is returned if all engines that could take the prompt are in slow start and may
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -32,7 +32,7 @@
 
 		task := &task{
 			g:       g,
-			service: site.Service{Engines: &site.Engines{MemoryTokens: 70_000}},
+			service: site.Service{Engines: &site.Engines{CacheTokens: 70_000}},
 			arrival: CallerRequest{Prompt: &Prompt{Tokens: tt.tokens}},
 		}
 
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -18,7 +18,7 @@
 	p.Services = nil
 
 	for _, s := range published.Services {
-		s.SlowStart = site.SlowStart{Duration: d, PerSecond: 10}
+		s.SlowStart = site.SlowStart{Duration: d, RequestsPerSecond: 10}
 		p.Services = append(p.Services, s)
 	}
 
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -104,11 +104,11 @@
 }
 
 func (t *task) authenticate() error {
-	if !t.cfg.Tenanted() {
+	if !t.cfg.RequiresKey() {
 		return nil
 	}
 
-	o, ok := t.cfg.Caller(t.arrival.APIKey)
+	o, ok := t.cfg.OrganisationOfKey(t.arrival.APIKey)
 	if ok {
 		t.organisation = o
 
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -62,7 +62,7 @@
 type Writer struct {
 	cfg        WriterConfig
 	id         uuid.UUID
-	queue      *ring.Ring[*Pending]
+	queue      *ring.Queue[*Pending]
 	lastAppend time.Time
 	searchFrom uint64
 	sequence   uint64
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -35,7 +35,7 @@
 		b.Fatal(err)
 	}
 
-	k, err := certificate.NewKeeper(certificate.KeeperConfig{
+	k, err := certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile: filepath.Join(dir, certificate.AuthorityFile), CertificateFile: filepath.Join(dir, "p.pem"),
 		KeyFile: filepath.Join(dir, "p.key"), Protocols: []string{Protocol},
 	})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 
-	k, err := certificate.NewKeeper(certificate.KeeperConfig{
+	k, err := certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile:          filepath.Join(dir, certificate.AuthorityFile),
 		CertificateFile: filepath.Join(dir, vm+".pem"),
 		KeyFile:         filepath.Join(dir, vm+".key"),
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -15,20 +15,20 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue between goroutines. Use New.
-type Ring[T any] struct {
+// Queue is a bounded first-in first-out queue between goroutines. Use New.
+type Queue[T any] struct {
 	values  chan T
 	refused atomic.Uint64
 }
 
 // New returns an empty Ring with a capacity of n values; an n below 1 counts as 1.
-func New[T any](n int) *Ring[T] {
-	return &Ring[T]{values: make(chan T, max(n, 1))}
+func New[T any](n int) *Queue[T] {
+	return &Queue[T]{values: make(chan T, max(n, 1))}
 }
 
 // Offer adds v and reports whether there was free space. It never blocks. When the Ring is full, v
 // is not added and counts as refused.
-func (r *Ring[T]) Offer(v T) bool {
+func (r *Queue[T]) Offer(v T) bool {
 	select {
 	case r.values <- v:
 		return true
@@ -40,7 +40,7 @@
 
 // Take waits for the next value and removes it. It returns the zero value and false when ctx ends
 // first.
-func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
+func (r *Queue[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case v := <-r.values:
 		return v, true
@@ -51,13 +51,13 @@
 }
 
 // C returns the channel of the queued values, for use in a select.
-func (r *Ring[T]) C() <-chan T { return r.values }
+func (r *Queue[T]) C() <-chan T { return r.values }
 
 // Len returns the number of queued values.
-func (r *Ring[T]) Len() int { return len(r.values) }
+func (r *Queue[T]) Len() int { return len(r.values) }
 
 // Cap returns the capacity in values.
-func (r *Ring[T]) Cap() int { return cap(r.values) }
+func (r *Queue[T]) Cap() int { return cap(r.values) }
 
 // Refused returns how many values Offer has refused because the Ring was full.
-func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
+func (r *Queue[T]) Refused() uint64 { return r.refused.Load() }
--- a/setting/publication/follower.go
+++ b/setting/publication/follower.go
@@ -104,7 +104,7 @@
 type Follower struct {
 	cfg        FollowerConfig
 	current    atomic.Pointer[Published]
-	newVersion *ring.Ring[uint64]
+	newVersion *ring.Queue[uint64]
 	// partBytes is the maximum payload of one record of a snapshot.
 	partBytes int
 
--- a/side/park.go
+++ b/side/park.go
@@ -183,7 +183,7 @@
 func (s *Side) queryStores(ctx context.Context) (parking.View, []vm.VM) {
 	var view parking.View
 
-	stores := s.cfg.VMs.List().Of(vm.Store, s.cfg.DataCentre)
+	stores := s.cfg.VMs.List().OfKind(vm.Store, s.cfg.DataCentre)
 	if len(stores) > parking.MaxStores {
 		stores = stores[:parking.MaxStores]
 	}
@@ -256,7 +256,7 @@
 		return err
 	}
 
-	for _, o := range store.Oldest(all, int64(len(sealed))) {
+	for _, o := range store.EvictionCandidates(all, int64(len(sealed))) {
 		if c.Delete(ctx, o.ID) == nil {
 			event.Log(s.cfg.Log, event.ContextEvicted, "store", to.Name, "copy", o.ID, "bytes", o.Bytes)
 		}
--- a/side/report.go
+++ b/side/report.go
@@ -23,7 +23,7 @@
 
 // entries returns the entries on the platform's list.
 func (s *Side) entries() []vm.VM {
-	return s.cfg.VMs.List().Of(vm.Entry, s.cfg.DataCentre)
+	return s.cfg.VMs.List().OfKind(vm.Entry, s.cfg.DataCentre)
 }
 
 // reportToEntries queues a report to every entry.
--- a/side/side.go
+++ b/side/side.go
@@ -129,8 +129,8 @@
 	spaceHTTP *http.Client
 	target    *targetState
 	cache     *cacheIndex
-	parkJobs  *ring.Ring[parkJob]
-	reports   *ring.Ring[report]
+	parkJobs  *ring.Queue[parkJob]
+	reports   *ring.Queue[report]
 	parked    *parkedContexts
 	isolation quarantine.Isolation
 	orders    orderState
--- a/side/verdict.go
+++ b/side/verdict.go
@@ -55,9 +55,9 @@
 		}
 
 		switch conns := t.otherConns(r.boot); {
-		case r.conn == nil, conns == socket.Quiet:
+		case r.conn == nil, conns == socket.Idle:
 			t.resolve(id, crashResult{})
-		case conns == socket.Ended, now.Sub(r.lostAt) >= unreadTimeout:
+		case conns == socket.Closed, now.Sub(r.lostAt) >= unreadTimeout:
 			lost[r.boot] = append(lost[r.boot], id)
 		}
 	}
@@ -86,7 +86,7 @@
 // arrived, but completes the running ones; a crash leaves no connection open. Without
 // this check a dropped request would be held responsible for a crash. The caller holds mu.
 func (t *targetState) otherConns(boot string) socket.State {
-	state := socket.Ended
+	state := socket.Closed
 
 	for _, r := range t.inFlight {
 		if !r.lostAt.IsZero() || r.conn == nil || r.boot != boot {
@@ -94,11 +94,11 @@
 		}
 
 		switch socket.Peek(r.conn) {
-		case socket.Quiet:
-			return socket.Quiet
-		case socket.Unread:
-			state = socket.Unread
-		case socket.Ended:
+		case socket.Idle:
+			return socket.Idle
+		case socket.Readable:
+			state = socket.Readable
+		case socket.Closed:
 		}
 	}
 
--- a/site/site.go
+++ b/site/site.go
@@ -25,8 +25,8 @@
 
 // The kinds. The zero value is the strictest: no retry once a request may have run.
 const (
-	// Once requests run at most once each time a caller sends them.
-	Once Kind = iota
+	// AtMostOnce requests run at most once each time a caller sends them.
+	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Stream requests have a stream of events as their response; unless the route is
@@ -66,13 +66,13 @@
 	Kind Kind
 	// Timeout is the maximum time that a caller waits for the response.
 	Timeout time.Duration
-	// Aim is the latency target: a response, or a stream's first event, is on time within it.
-	Aim time.Duration
-	// Gap is the maximum time between two events of a stream that is still on time.
-	Gap time.Duration
-	// Patience is the callers' timeout for a stream's next event, after which they
+	// LatencyTarget is the latency target: a response, or a stream's first event, is on time within it.
+	LatencyTarget time.Duration
+	// EventGapTarget is the maximum time between two events of a stream that is still on time.
+	EventGapTarget time.Duration
+	// EventTimeout is the callers' timeout for a stream's next event, after which they
 	// disconnect; zero if unknown.
-	Patience time.Duration
+	EventTimeout time.Duration
 	// Priority is the rank among requests; 0 is served first.
 	Priority int
 	// Shares are the services among which the requests are split.
@@ -85,9 +85,9 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may be retried once it may have
+// Retryable reports whether a request of the route may be retried once it may have
 // run.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
@@ -124,16 +124,16 @@
 type SlowStart struct {
 	// Duration is how long a target is cold after its start.
 	Duration time.Duration
-	// PerSecond is the maximum number of requests a second while it is cold.
-	PerSecond float64
+	// RequestsPerSecond is the maximum number of requests a second while it is cold.
+	RequestsPerSecond float64
 }
 
 // Engines describes the model engines of a service.
 type Engines struct {
 	// Slots is the number of batch slots: the requests that one engine runs at once.
 	Slots int
-	// MemoryTokens is the capacity of one engine's KV cache in tokens.
-	MemoryTokens int
+	// CacheTokens is the capacity of one engine's KV cache in tokens.
+	CacheTokens int
 	// TokenBytes is the size of one token's KV cache in bytes.
 	TokenBytes float64
 	// LinkMbps is the bandwidth, in Mbit/s, of the engine's link, over which it sends and
@@ -155,18 +155,18 @@
 	return mbps * bytesPerMbitMs / tokenBytes
 }
 
-// Vault describes a store: a process that keeps parts of prompts' KV caches.
-type Vault struct {
+// Store describes a store: a process that keeps parts of prompts' KV caches.
+type Store struct {
 	// Address is the store's host and port.
 	Address string
 	// DataCentre is the data centre that it runs in.
 	DataCentre string
-	// RoomTokens is its capacity in tokens.
-	RoomTokens int
-	// MaxCalls is the maximum number of event streams that it keeps open at once.
-	MaxCalls int
-	// FirstByte is the latency until the first byte of each transfer.
-	FirstByte time.Duration
+	// CapacityTokens is its capacity in tokens.
+	CapacityTokens int
+	// MaxConcurrency is the maximum number of event streams that it keeps open at once.
+	MaxConcurrency int
+	// FirstByteLatency is the latency until the first byte of each transfer.
+	FirstByteLatency time.Duration
 	// LinkMbps is its link's bandwidth in Mbit/s.
 	LinkMbps float64
 }
@@ -179,8 +179,8 @@
 	MaxConnections int
 	// Engines describes the engines; nil if the targets aren't model engines.
 	Engines *Engines
-	// Vault describes the store; nil if the service isn't a store.
-	Vault *Vault
+	// Store describes the store; nil if the service isn't a store.
+	Store *Store
 	// SlowStart limits the request rate of one target after its start.
 	SlowStart SlowStart
 	// HealthPath is the path of the targets' health check; empty if they have none.
@@ -205,10 +205,10 @@
 type Limits struct {
 	// HeaderBytes and BodyBytes are the maximum sizes of header and body; zero means no limit.
 	HeaderBytes, BodyBytes int64
-	// Header is the timeout for receiving a request's header.
-	Header time.Duration
-	// Idle is the timeout of an unused connection.
-	Idle time.Duration
+	// HeaderTimeout is the timeout for receiving a request's header.
+	HeaderTimeout time.Duration
+	// IdleTimeout is the timeout of an unused connection.
+	IdleTimeout time.Duration
 }
 
 // Published is a configuration as the operators published it.
@@ -275,9 +275,9 @@
 // Limits returns the limits on callers' requests and connections.
 func (c *Configuration) Limits() Limits { return c.limits }
 
-// Tenanted reports whether routes that aren't public require an API key: whether any organisation
+// RequiresKey reports whether routes that aren't public require an API key: whether any organisation
 // is configured.
-func (c *Configuration) Tenanted() bool { return c.requiresKey }
+func (c *Configuration) RequiresKey() bool { return c.requiresKey }
 
 // Match returns the route with the longest prefix of path for host, which may include a port. It
 // returns false if no route matches.
@@ -295,8 +295,8 @@
 	return nil, false
 }
 
-// Caller returns the organisation of an API key; false if the key is unknown.
-func (c *Configuration) Caller(key string) (*Organisation, bool) {
+// OrganisationOfKey returns the organisation of an API key; false if the key is unknown.
+func (c *Configuration) OrganisationOfKey(key string) (*Organisation, bool) {
 	o, ok := c.organisationsByKey[key]
 
 	return o, ok
@@ -323,12 +323,12 @@
 	return largest
 }
 
-// Vaults returns the services that are stores, sorted by name.
-func (c *Configuration) Vaults() []Service {
+// Stores returns the services that are stores, sorted by name.
+func (c *Configuration) Stores() []Service {
 	var stores []Service
 
 	for _, s := range c.services {
-		if s.Vault != nil {
+		if s.Store != nil {
 			stores = append(stores, s)
 		}
 	}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -48,15 +48,15 @@
 		route Route
 		want  bool
 	}{
-		{Route{Kind: Once}, false},
+		{Route{Kind: AtMostOnce}, false},
 		{Route{Kind: Idempotent}, true},
 		{Route{Kind: Stream}, false},
 		{Route{Kind: Stream, Resumable: true}, true},
-		{Route{Kind: Once, Resumable: true}, false},
+		{Route{Kind: AtMostOnce, Resumable: true}, false},
 	}
 
 	for _, tt := range tests {
-		if got := tt.route.Repeatable(); got != tt.want {
+		if got := tt.route.Retryable(); got != tt.want {
 			t.Errorf("%v resumable %v: got %v, want %v", tt.route.Kind, tt.route.Resumable, got, tt.want)
 		}
 	}
--- a/socket/socket.go
+++ b/socket/socket.go
@@ -14,13 +14,13 @@
 
 // The values of State.
 const (
-	// Quiet means that the connection is open and has nothing to read.
-	Quiet State = iota
-	// Unread means that bytes have arrived that have not been read yet.
-	Unread
-	// Ended means that the peer has closed its side, or that the connection is closed or has
+	// Idle means that the connection is open and has nothing to read.
+	Idle State = iota
+	// Readable means that bytes have arrived that have not been read yet.
+	Readable
+	// Closed means that the peer has closed its side, or that the connection is closed or has
 	// failed.
-	Ended
+	Closed
 )
 
 // Peek returns the state of a connection without consuming bytes and without blocking.
@@ -28,19 +28,19 @@
 func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
 
-	state := Ended
+	state := Closed
 
 	// Control rather than Read: Read would block while another goroutine reads.
 	if err := raw.Control(func(fd uintptr) { state = peek(int(fd)) }); err != nil {
-		return Ended
+		return Closed
 	}
 
 	return state
@@ -53,22 +53,22 @@
 
 	switch {
 	case err == syscall.EAGAIN: //nolint:errorlint // a plain errno from the kernel, equal to EWOULDBLOCK
-		return Quiet
+		return Idle
 	case err == nil && n > 0:
-		return Unread
+		return Readable
 	default:
-		return Ended
+		return Closed
 	}
 }
 
-// Shut stops a listener from taking new connections, unless a connection is pending in
+// ShutdownIfIdle stops a listener from taking new connections, unless a connection is pending in
 // its accept queue, and reports whether it stopped it. For its client a pending connection
 // is established and may carry a request already; closing the listener would reset it.
 // A check followed by a separate Close would leave a window in which a process that is
 // paused resets all connections that arrive meanwhile; here the window is the time between
 // two successive system calls. The listener must still be closed. A listener without a
 // socket, or one that is closed, counts as stopped.
-func Shut(l net.Listener) bool {
+func ShutdownIfIdle(l net.Listener) bool {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return true
--- a/socket/socket_test.go
+++ b/socket/socket_test.go
@@ -42,13 +42,13 @@
 		do   func() error
 		want State
 	}{
-		{"nothing sent", func() error { return nil }, Quiet},
-		{"one byte sent", func() error { _, err := client.Write([]byte("x")); return err }, Unread},
-		{"the byte peeked at before", func() error { return nil }, Unread},
-		{"the byte read", func() error { _, err := accepted.Read(make([]byte, 1)); return err }, Quiet},
-		{"during a blocked read", func() error { go func() { _, _ = accepted.Read(make([]byte, 1)) }(); return nil }, Quiet},
-		{"closed by the client", func() error { return client.Close() }, Ended},
-		{"closed by the server", func() error { return accepted.Close() }, Ended},
+		{"nothing sent", func() error { return nil }, Idle},
+		{"one byte sent", func() error { _, err := client.Write([]byte("x")); return err }, Readable},
+		{"the byte peeked at before", func() error { return nil }, Readable},
+		{"the byte read", func() error { _, err := accepted.Read(make([]byte, 1)); return err }, Idle},
+		{"during a blocked read", func() error { go func() { _, _ = accepted.Read(make([]byte, 1)) }(); return nil }, Idle},
+		{"closed by the client", func() error { return client.Close() }, Closed},
+		{"closed by the server", func() error { return accepted.Close() }, Closed},
 	}
 
 	for _, s := range steps {
@@ -66,8 +66,8 @@
 		}
 	}
 
-	if got := Peek(&net.UnixConn{}); got != Ended {
-		t.Errorf("uninitialised connection: got %d, want %d", got, Ended)
+	if got := Peek(&net.UnixConn{}); got != Closed {
+		t.Errorf("uninitialised connection: got %d, want %d", got, Closed)
 	}
 }
 
@@ -76,7 +76,7 @@
 func TestShutWaitsForWhoeverArrives(t *testing.T) {
 	l, _ := dialPending(t)
 
-	if Shut(l) {
+	if ShutdownIfIdle(l) {
 		t.Error("with a pending connection: got the listener stopped, want it open")
 	}
 
@@ -86,7 +86,7 @@
 	}
 	defer func() { _ = accepted.Close() }()
 
-	if !Shut(l) {
+	if !ShutdownIfIdle(l) {
 		t.Error("without pending connections: got the listener open, want it stopped")
 	}
 
@@ -94,7 +94,7 @@
 		t.Errorf("got a connection to %v, want none", c.RemoteAddr())
 	}
 
-	if Peek(accepted) != Quiet {
+	if Peek(accepted) != Idle {
 		t.Error("got the accepted connection changed, want it open and empty")
 	}
 }
--- a/store/evict.go
+++ b/store/evict.go
@@ -8,13 +8,13 @@
 // maxEvictions is the maximum number of copies evicted for one new copy.
 const maxEvictions = 64
 
-// Oldest returns the copies to evict to free n bytes for a new one, oldest
+// EvictionCandidates returns the copies to evict to free n bytes for a new one, oldest
 // first. A context that is used again is parked again under a new id, so
 // evicting by creation time evicts the least recently used contexts; apart from
 // that, the value per byte differs little between copies. Objects that are not
 // copies are never evicted. It returns nil if evicting maxEvictions copies would
 // not free enough.
-func Oldest(objects []Object, n int64) []Object {
+func EvictionCandidates(objects []Object, n int64) []Object {
 	type datedCopy struct {
 		Object
 		created time.Time
--- a/store/evict_test.go
+++ b/store/evict_test.go
@@ -24,7 +24,7 @@
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got, want := fmt.Sprint(Oldest(all, c.n)), fmt.Sprint(c.want); got != want {
+			if got, want := fmt.Sprint(EvictionCandidates(all, c.n)), fmt.Sprint(c.want); got != want {
 				t.Errorf("got %v, want %v", got, want)
 			}
 		})
--- a/story/story.go
+++ b/story/story.go
@@ -45,15 +45,15 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// Story is the timeline of one request. Use New; it is not safe for concurrent use.
-type Story struct {
+// Timeline is the timeline of one request. Use New; it is not safe for concurrent use.
+type Timeline struct {
 	quotedID []byte
 	id       string
 	lines    []Line
 }
 
 // New returns an empty Story of the request with the given id.
-func New(id string) *Story { return &Story{id: id, quotedID: []byte(`"` + id + `"`)} }
+func New(id string) *Timeline { return &Timeline{id: id, quotedID: []byte(`"` + id + `"`)} }
 
 // maxLineBytes is the maximum length of a log line. Events are never longer; Read stops with an
 // error at a longer line.
@@ -61,7 +61,7 @@
 
 // Read adds the request's events from a log. It skips lines that aren't events,
 // such as the last line of a log that was cut off.
-func (s *Story) Read(r io.Reader) error {
+func (s *Timeline) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 
@@ -76,7 +76,7 @@
 
 // addLine adds a log line if it is an event of the request. It ignores what precedes
 // the first brace, such as a timestamp added by a log collector.
-func (s *Story) addLine(text []byte) {
+func (s *Timeline) addLine(text []byte) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
 		return
@@ -101,14 +101,14 @@
 
 // Lines returns the lines sorted by time; lines of the same time stay in the order in which they
 // were read.
-func (s *Story) Lines() []Line {
+func (s *Timeline) Lines() []Line {
 	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].At.Before(s.lines[j].At) })
 
 	return s.lines
 }
 
-// Write writes the timeline as text, one line for each event, with times relative to the first.
-func (s *Story) Write(w io.Writer) error {
+// WriteText writes the timeline as text, one line for each event, with times relative to the first.
+func (s *Timeline) WriteText(w io.Writer) error {
 	lines := s.Lines()
 
 	for _, l := range lines {
@@ -121,7 +121,7 @@
 }
 
 // WriteJSON writes the lines as a JSON array, for scripts.
-func (s *Story) WriteJSON(w io.Writer) error {
+func (s *Timeline) WriteJSON(w io.Writer) error {
 	return json.NewEncoder(w).Encode(s.Lines())
 }
 
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -29,7 +29,7 @@
 	}
 
 	var out bytes.Buffer
-	if err := s.Write(&out); err != nil {
+	if err := s.WriteText(&out); err != nil {
 		t.Fatal(err)
 	}
 
--- a/target/wire_test.go
+++ b/target/wire_test.go
@@ -123,7 +123,7 @@
 		b.Fatal(err)
 	}
 
-	k, err := certificate.NewKeeper(certificate.KeeperConfig{
+	k, err := certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile:          filepath.Join(dir, certificate.AuthorityFile),
 		CertificateFile: filepath.Join(dir, vm+".pem"),
 		KeyFile:         filepath.Join(dir, vm+".key"),
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -52,7 +52,7 @@
 		return false
 	}
 
-	return socket.Peek(c.nc) == socket.Quiet
+	return socket.Peek(c.nc) == socket.Idle
 }
 
 // tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall
--- a/vm/list.go
+++ b/vm/list.go
@@ -148,8 +148,8 @@
 	return l.vms[i], true
 }
 
-// Of returns the VMs of kind k: those in dataCentre first, then the others, each sorted by name.
-func (l *List) Of(k Kind, dataCentre string) []VM {
+// OfKind returns the VMs of kind k: those in dataCentre first, then the others, each sorted by name.
+func (l *List) OfKind(k Kind, dataCentre string) []VM {
 	var local, remote []VM
 
 	for _, m := range l.vms {
--- a/wholepath/env_test.go
+++ b/wholepath/env_test.go
@@ -393,7 +393,7 @@
 
 	log := e.logs.logger(name)
 
-	keys, err := certificate.NewKeeper(certificate.KeeperConfig{
+	keys, err := certificate.NewReloader(certificate.ReloaderConfig{
 		CAFile:          filepath.Join(e.dir, certificate.AuthorityFile),
 		CertificateFile: filepath.Join(e.dir, name+".pem"),
 		KeyFile:         filepath.Join(e.dir, name+".key"),
