--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -98,7 +98,7 @@
 	return err
 }
 
-func TestOnlyOwnProcessesConnect(t *testing.T) {
+func TestHandshakeRequiresTrustedAuthority(t *testing.T) {
 	ownAuthority, foreignAuthority := newTestAuthority(t), newTestAuthority(t)
 	dir := t.TempDir()
 	e1 := newTestReloader(t, dir, "e1", ownAuthority)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestHalfWrittenKeysAreNotTaken(t *testing.T) {
+func TestReloadKeepsCredentialsOnInvalidFile(t *testing.T) {
 	a := newTestAuthority(t)
 	dir := t.TempDir()
 	e1, e2 := newTestReloader(t, dir, "e1", a), newTestReloader(t, dir, "e2", a)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestAuthorityIsReadBack(t *testing.T) {
+func TestLoadAuthority(t *testing.T) {
 	dir := t.TempDir()
 	a := newTestAuthority(t)
 
--- a/claim/coordinator_test.go
+++ b/claim/coordinator_test.go
@@ -48,7 +48,7 @@
 // an old list that still has the VM, and requests a shard that another process
 // owns already: in an outage both would run the same request. (Found by
 // TestClaimsUnderFailure with seed 537167.)
-func TestPausedProcessDoesNotBecomeHome(t *testing.T) {
+func TestPausedProcessDoesNotBecomeOwner(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	f := VMList{Version: 1, VMs: []string{"a", "b"}}
 	s := newTestShard(now)
@@ -77,7 +77,7 @@
 // log may have deleted, may have been replaced. In an outage of the log it
 // can't know what the next owner ran, so it must neither run a request nor
 // answer that the key did not run.
-func TestHomeThatMayBeSucceededPromisesNothing(t *testing.T) {
+func TestUncertainOwnerRefusesInOutage(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	listed := VMList{Version: 1, VMs: []string{"a"}}
 
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestKeysTellTheirAge(t *testing.T) {
+func TestKeyStatusByIssueTime(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 	cases := []struct {
@@ -176,7 +176,7 @@
 // The log deletes records before the owner has read them. The snapshot that the
 // owner restores is older than what it ran, so before it has read the remaining
 // records it would run a key again.
-func TestHomeServesOnlyWithAllRecords(t *testing.T) {
+func TestOwnerServesOnlyWithAllRecords(t *testing.T) {
 	s, now := newOwner(t, VMList{Version: 1, VMs: []string{"a"}})
 
 	if err := s.coordinator.Restore(s.coordinator.state.Encode()); err != nil {
@@ -198,7 +198,7 @@
 // Another process becomes the owner while a claim is on its way. The claim no
 // longer counts and the new owner may run the key, so this process must not run
 // it.
-func TestWaitingRunEndsWithTheHome(t *testing.T) {
+func TestWaitingRunEndsWithOwnership(t *testing.T) {
 	s, now := newOwner(t, VMList{Version: 1, VMs: []string{"a"}})
 
 	r, err := s.coordinator.Claim(now, Request{Organisation: "o", Key: keyAt(now, 1)})
@@ -268,7 +268,7 @@
 // a candidate for the shard. Without a start record no process could take the
 // shard over, since the VM is still listed, and its callers would be refused
 // for good.
-func TestEndedHomeIsSucceededByACandidate(t *testing.T) {
+func TestCandidateTakesOverFromEndedOwner(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	f := VMList{Version: 1, VMs: []string{"a", "b"}}
 	s := newTestShard(now)
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -354,7 +354,7 @@
 // log is down, unresponsive or slow, loses responses or delays appends. Callers
 // retry their calls at any process. The test guards against a second run of a
 // key, a response that belongs to another run, and a shard without an owner.
-func TestHomesUnderFailure(t *testing.T) {
+func TestDeduplicatorsUnderFailure(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var steps []step
 
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -33,7 +33,7 @@
 	return h
 }
 
-func TestHomeRunsOnceAndReplays(t *testing.T) {
+func TestDeduplicatorRunsOnceAndReplays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -9,7 +9,7 @@
 // reaches the log: another process was first, or the owner is live. If the
 // record counted, two processes would own the shard and each could run the same
 // key.
-func TestWhoMayTakeOver(t *testing.T) {
+func TestTakeoverBasis(t *testing.T) {
 	active := Owner{VM: "a", Incarnation: 5, Term: 10, ListVersion: 7, ConfirmedOffset: 10}
 	released := active
 	released.Released = true
@@ -57,7 +57,7 @@
 // Records of a key come from an earlier owner, a second time, or from another
 // run. If one of them counted, a key that ran would be free again, or a caller
 // would get the response to another run.
-func TestWhichRecordsOfAKeyCount(t *testing.T) {
+func TestKeyStatusByRecords(t *testing.T) {
 	id := NewKeyID("o", "k")
 	owner := record{Kind: kindOwner, Owner: &ownerRecord{VM: "a", Incarnation: 1, Basis: BasisFirst, OldestOffset: 1}}
 	claim := record{Kind: kindClaim, Term: 1, KeyID: id, RunID: 7}
@@ -117,7 +117,7 @@
 
 // Operators shorten the key lifetime and lengthen it again. A key that was
 // forgotten in between would look unused, and its request would run again.
-func TestForgottenKeysStayRefused(t *testing.T) {
+func TestForgottenKeysStayExpired(t *testing.T) {
 	now := time.Unix(1e6, 0)
 	first := now
 	s := NewState(StateConfig{KeyLifetime: time.Minute})
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -99,7 +99,7 @@
 // Every claim and outcome is a record. Without group commit, 255 calls per second
 // would need 510 appends per second. The log service takes several hundred, so
 // its other streams would get no capacity.
-func TestAppendsASecondAreBounded(t *testing.T) {
+func TestAppendRateIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const shards, interval = 8, 100 * time.Millisecond
 
@@ -240,7 +240,7 @@
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	s := filledState(100000, 0)
 	k := Key{ID: NewKeyID("organisation", "77")}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/claim/shard_test.go
+++ b/claim/shard_test.go
@@ -11,7 +11,7 @@
 // In a long outage more records wait than the writer's queue takes. If they
 // were written in another order, a withdrawal would precede its claim and the
 // key would stay claimed.
-func TestRecordsWaitInOrder(t *testing.T) {
+func TestUnsentRecordsKeepTheirOrder(t *testing.T) {
 	s := newShard(DeduplicatorConfig{Log: memory.New(), Service: "s", MaxPending: 1, Clock: time.Now}, 0, nil)
 
 	var want [][]byte
--- a/cmd/boragehub/bounded_test.go
+++ b/cmd/boragehub/bounded_test.go
@@ -9,7 +9,7 @@
 // More callers connect than an entry has memory for. Connections beyond the limit have to
 // wait until another one closes; otherwise the process would run out of memory and be killed
 // with all requests in flight.
-func TestBoundedListenerWaitsForRoom(t *testing.T) {
+func TestBoundedListenerLimitsOpenConnections(t *testing.T) {
 	const maxOpen = 3
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/boragehub/stop_test.go
+++ b/cmd/boragehub/stop_test.go
@@ -319,7 +319,7 @@
 // A request whose body is still being sent keeps a stopping entry running long after the
 // balancer grace, and the balancer goes on sending callers to it, as it has too few other
 // entries. The entry must keep its port open for them.
-func TestLeavingEntryServesWhoeverStillComes(t *testing.T) {
+func TestStoppingEntryAcceptsNewConnections(t *testing.T) {
 	const requestBody = `{"model":"other","prompt":"a long case file"}`
 
 	e := startEntry(t)
@@ -348,7 +348,7 @@
 // A machine pauses during a drain, and callers send requests meanwhile on connections that
 // they keep open. When it resumes, the time to close idle connections has come. Connections
 // with unread requests must not count as idle, or those requests get no response.
-func TestLeavingEntryAnswersWhatItHasNotReadYet(t *testing.T) {
+func TestStoppingEntryRespondsToUnreadRequests(t *testing.T) {
 	const callers = 20
 
 	e := startEntry(t)
--- a/ctl/config_test.go
+++ b/ctl/config_test.go
@@ -95,7 +95,7 @@
 	return file
 }
 
-func TestOperatorsDay(t *testing.T) {
+func TestConfigCommands(t *testing.T) {
 	s := &testShell{log: &memoryLog{}, fleet: fixedVersions{{VM: "e1", Version: 1}, {VM: "e2", Version: 0, Fault: "silent"}}}
 	example := writeFile(t, "settings.toml", setting.Example())
 	bad := writeFile(t, "bad.toml", "share = 0.0\n")
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestExitTellsKindsApart(t *testing.T) {
+func TestExitStatusByFailureKind(t *testing.T) {
 	cases := []struct {
 		kind failure.Kind
 		want int
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestKeysAreMadeOnceAndAdded(t *testing.T) {
+func TestKeysKeepExistingAuthority(t *testing.T) {
 	dir := t.TempDir()
 	s := &testShell{log: &memoryLog{}}
 
--- a/ctl/edit_test.go
+++ b/ctl/edit_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRollIsReplacedAndTakenBack(t *testing.T) {
+func TestRolloutIsReplacedAndCancelled(t *testing.T) {
 	w, _ := newEdits(t)
 	ctx := context.Background()
 
--- a/directory/table_test.go
+++ b/directory/table_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestBoundsHold(t *testing.T) {
+func TestTableStaysWithinLimits(t *testing.T) {
 	cases := []struct {
 		name string
 		cfg  Config
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestOldBeliefsAboutEnginesAreLeftOut(t *testing.T) {
+func TestExpiredEngineHoldingsAreOmitted(t *testing.T) {
 	table := NewTable(Config{EngineTTL: time.Minute})
 	chain := chainOf(make([]byte, 8))
 	table.Record(epoch, prompt.Hash{}, chain, Holding{Name: "e", Blocks: 8})
@@ -188,7 +188,7 @@
 
 // When an entry is removed, only its own anchors may get another owner: otherwise
 // each replacement of an entry would invalidate most of the directory.
-func TestOwnerMovesOnlyWhatItHad(t *testing.T) {
+func TestRemovedOwnerMovesOnlyItsAnchors(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	all, fewer := NewOwners(members), NewOwners(members[:4])
 
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -119,7 +119,7 @@
 
 // Callers reuse connections. If the server does not announce that it closes one, a caller may
 // send the next request just as it is closed, and gets no response.
-func TestAnswersTellHowLongTheirConnectionIsOfUse(t *testing.T) {
+func TestResponsesAnnounceKeepAliveOrClose(t *testing.T) {
 	silent := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	closing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
 	tests := []struct {
@@ -162,7 +162,7 @@
 
 // A request is being served when the drain begins. Its response, too, must announce that the
 // connection closes.
-func TestStopTellsTheCallersOfWhatIsInWork(t *testing.T) {
+func TestDrainAnnouncesCloseToRequestsInFlight(t *testing.T) {
 	g := newGatedHandler()
 	s := startServer(t, g, time.Second)
 	c := s.connect(t)
@@ -179,7 +179,7 @@
 
 // Guards against a drain that closes a connection as idle when the header of the next request
 // has been read only in part.
-func TestStopWaitsForARequestThatIsPartlyRead(t *testing.T) {
+func TestDrainWaitsForPartlyReadRequest(t *testing.T) {
 	s := startServer(t, okHandler, 0)
 	c := s.connect(t)
 	c.send(t, request)
@@ -227,7 +227,7 @@
 
 // A long request is running, and the load balancer still sends callers to the draining process
 // because it has no other. If the port were closed, their connections would be refused.
-func TestPortStaysOpenWhileSomethingRunsLong(t *testing.T) {
+func TestPortStaysOpenDuringLongRequest(t *testing.T) {
 	g := newGatedHandler()
 	s := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
@@ -280,7 +280,7 @@
 // The header of a long response was sent before the drain, and announces that the connection
 // may be used for some time after the response. If the port were closed meanwhile, callers
 // would be refused for seconds although the process is idle.
-func TestPortStaysOpenWhileACallerMayUseItsConnection(t *testing.T) {
+func TestPortStaysOpenDuringKeepAlive(t *testing.T) {
 	head := make(chan struct{})
 	rest := make(chan struct{})
 	s := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -330,7 +330,7 @@
 
 // A response that does not end before the drain's context ends is aborted, and the returned
 // count reports it.
-func TestStopEndsInTime(t *testing.T) {
+func TestDrainEndsWithContext(t *testing.T) {
 	g := newGatedHandler()
 	s := startServer(t, g, 0)
 	c := s.connect(t)
@@ -352,7 +352,7 @@
 }
 
 // Covers which connections may be closed without losing a response.
-func TestSettled(t *testing.T) {
+func TestCanClose(t *testing.T) {
 	const keepAlive = 2 * time.Second
 
 	t0 := time.Unix(1000, 0)
@@ -414,7 +414,7 @@
 
 // A drain that waits too long keeps many entries out of service at once while all are replaced;
 // one that doesn't wait for the load balancer refuses callers that it has already sent.
-func TestBalancerKnowsWhenItWasToldTwice(t *testing.T) {
+func TestHealthCheckDeregistersAfterTwoFailures(t *testing.T) {
 	t0 := time.Now()
 	b := NewHealthCheck(func() bool { return true })
 
--- a/event/output/output_test.go
+++ b/event/output/output_test.go
@@ -21,7 +21,7 @@
 
 // The reader of standard output stops reading. Logging must not block requests; lines
 // that can't be written are dropped and counted.
-func TestReaderThatStopsReadingHoldsNobodyUp(t *testing.T) {
+func TestStoppedReaderDoesNotBlockWrite(t *testing.T) {
 	gate := make(chan struct{})
 	w := New(Config{To: blockedWriter{gate}, MaxLines: 10, MaxLinesPerSecond: 1 << 20})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,7 +45,7 @@
 	running.Wait()
 }
 
-func TestLinesOverTheBudgetAreLeftOutAndTold(t *testing.T) {
+func TestLinesOverBudgetAreDroppedAndReported(t *testing.T) {
 	var out bytes.Buffer
 
 	w := New(Config{To: &out, MaxLinesPerSecond: 3})
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestLinesComeOutInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	var out bytes.Buffer
 
 	w := New(Config{To: &out})
--- a/experiment/drawn/drawn_test.go
+++ b/experiment/drawn/drawn_test.go
@@ -14,7 +14,7 @@
 // The drawn deployments have 4 to 24 engines that prefill 20 to 300 tokens per ms, up to four
 // kinds of prompts with shared prefixes of 100 to 30,000 tokens, memory for 3 to 40 of the
 // longest prompts, and loads of up to a third above the prefill capacity.
-func TestDecisionHoldsOnDrawnDeployments(t *testing.T) {
+func TestDecisionBeatsBaselines(t *testing.T) {
 	var decided, home, least, worst []float64
 
 	for seed := range uint64(seedCount) {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWhatComesIsServedOrRefused(t *testing.T) {
+func TestPromptsAreAnsweredOrRefused(t *testing.T) {
 	for _, p := range []Policy{Decide, HomeEngine, LeastLoaded} {
 		r := Simulate(Draw(21), p, 21)
 		if r.Prompts == 0 || r.OnTimeCount+r.Late > r.Prompts {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestCacheKeepsWhatRuns(t *testing.T) {
+func TestCacheKeepsPinned(t *testing.T) {
 	evicted := map[int]int{}
 	m := newCache(100, func(c *conversation, left int) { evicted[c.id] = left })
 	a, b, c := &conversation{id: 1}, &conversation{id: 2}, &conversation{id: 3}
--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestAfterLeavesTheOriginalAlone(t *testing.T) {
+func TestAfterDoesNotModifyOriginal(t *testing.T) {
 	first := New(RateLimited, "slow down")
 	second := first.WithRetryAfter(time.Second)
 
--- a/gateway/fleets_test.go
+++ b/gateway/fleets_test.go
@@ -73,7 +73,7 @@
 // An engine breaks off in the middle of a stream, and the only other one has a long queue and hardly
 // any memory left. Guards against refusing or holding a started stream: late events are worth more
 // to its caller than none.
-func TestStreamThatHasBegunGoesOnAtABusyEngine(t *testing.T) {
+func TestStartedStreamResumesAtBusyEngine(t *testing.T) {
 	broken := newFakeEngine(t, "a", respondAndClose(streamHead+events(0, 1)))
 	busy := newFakeEngine(t, "b", respond(streamHead+events(2, 3)+streamEnd))
 	env := newTestEnv(t, broken, busy)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestPromptsWithLittleToReadComeFirstAmongEquals(t *testing.T) {
+func TestShortPrefillsComeFirstAtEqualRank(t *testing.T) {
 	tests := []struct {
 		rank  int
 		quick bool
@@ -104,7 +104,7 @@
 
 // One service has engines ten times as fast as another's. Guards against applying what was measured
 // of one to the other.
-func TestEachServiceIsLearnedByItself(t *testing.T) {
+func TestServicesHaveSeparateProfiles(t *testing.T) {
 	var f serviceProfiles
 
 	for i := range 64 {
--- a/gateway/flights_test.go
+++ b/gateway/flights_test.go
@@ -12,7 +12,7 @@
 // a response, and the engine would work for nobody when it resumes. Guards against a late error,
 // against sending a request that may have run to a second engine, and against counting the pause as
 // a failure of the first one.
-func TestRequestAtAnEngineThatStandsStillIsAnsweredAtOnce(t *testing.T) {
+func TestRequestAtPausedEngineFailsAtOnce(t *testing.T) {
 	paused, arrived := newHangingEngine(t, "a", "")
 	env := newTestEnv(t, paused)
 	other := newFakeEngine(t, "b", respond(streamHead+events(0, 1)+streamEnd))
@@ -49,7 +49,7 @@
 // An engine crashes while calls wait there and is restarted under its id, and nothing resets their
 // connections. Guards against waiting for responses that won't come: a call that isn't idempotent
 // may have run and fails at once, an idempotent one goes to another target.
-func TestWhatWaitsAtATargetStartedAnewIsAnsweredAtOnce(t *testing.T) {
+func TestRequestsAtRestartedTargetAreCancelled(t *testing.T) {
 	tests := []struct {
 		path   string
 		status int
@@ -86,7 +86,7 @@
 // New weights are named, and an engine that has yet to load them has a long queue. Guards against a
 // prompt that begins on the replaced weights too late: it is cancelled in time and goes to an engine
 // with the new ones.
-func TestWhatWaitsForReplacedWeightsIsTakenBack(t *testing.T) {
+func TestRequestsWaitingForReplacedWeightsAreCancelled(t *testing.T) {
 	old, arrived := newHangingEngine(t, "a", "")
 	env := newTestEnv(t, old)
 	changed := newFakeEngine(t, "b", hasVersion("2"))
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -11,7 +11,7 @@
 	"boragehub/site"
 )
 
-func TestRequestsAreToldFromEachOther(t *testing.T) {
+func TestResponseStatusByRequest(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestRequestReachesTheTargetAsItWasSent(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 
@@ -63,7 +63,7 @@
 
 // Guards against a 404 or 401 from a process that started in an outage and has no configuration:
 // it would tell callers that what they want doesn't exist.
-func TestWithoutAConfigurationCallersAreToldToComeBack(t *testing.T) {
+func TestRequestsWithoutConfigurationAreRefused(t *testing.T) {
 	env := newTestEnv(t)
 	env.gateway = New(env.gateway.cfg, env.gateway.versionsKnownAt, env.gateway.registeredSince)
 	env.server.Config.Handler = env.gateway
@@ -159,7 +159,7 @@
 
 // All targets refuse, so the request has certainly not run. Guards against a response that doesn't
 // say so at once, with a Retry-After time.
-func TestRefusedByAllIsRefusedTruthfully(t *testing.T) {
+func TestRequestRefusedByAllTargetsIsReportedNotRun(t *testing.T) {
 	a, b := newFakeEngine(t, "a", respond(notRun503)), newFakeEngine(t, "b", respond(notRun503))
 	env := newTestEnv(t, a, b)
 
@@ -180,7 +180,7 @@
 
 // Many requests fail at once. Guards against retries that double the load on the remaining
 // targets.
-func TestRepeatsAreBounded(t *testing.T) {
+func TestRetriesAreLimited(t *testing.T) {
 	a, b := newFakeEngine(t, "a", respond(error500)), newFakeEngine(t, "b", respond(error500))
 	env := newTestEnv(t, a, b)
 	env.gateway.cfg.RetrySlack = 54 // an entry's share among eight is 5
@@ -197,7 +197,7 @@
 
 // Guards against an excess of retries: thirty entries that each took an eighth of the slack would
 // retry four times as often as all may together.
-func TestEntriesShareTheSlackOfRepeats(t *testing.T) {
+func TestEntriesShareRetrySlack(t *testing.T) {
 	env := newTestEnv(t)
 	env.gateway.cfg.RetrySlack = 100
 
@@ -226,7 +226,7 @@
 
 // An engine dies in the middle of an event. Guards against forwarding the incomplete event, and
 // against losing or repeating events when the stream resumes at another engine.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesAtAnotherTarget(t *testing.T) {
 	broken := make(chan struct{}, 1)
 	broken <- struct{}{}
 
@@ -253,7 +253,7 @@
 
 // The same on a route that isn't resumable. Guards against an incomplete stream that looks
 // complete: the caller's connection has to break.
-func TestBrokenStreamThatMayNotGoOnLooksBroken(t *testing.T) {
+func TestBrokenNonResumableStreamBreaksConnection(t *testing.T) {
 	broken := respondAndClose(streamHead + events(1, 2) + chunk("id: 3\ndata: to"))
 	env := newTestEnv(t, newFakeEngine(t, "a", broken), newFakeEngine(t, "b", broken))
 
@@ -267,7 +267,7 @@
 	}
 }
 
-func TestCallersOwnResumptionIsPassedOn(t *testing.T) {
+func TestCallerResumptionIsForwarded(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(streamHead+events(8, 9)+streamEnd))
 	env := newTestEnv(t, e)
 
@@ -289,7 +289,7 @@
 	}
 }
 
-func TestTargetsAreToldTheTimeLeft(t *testing.T) {
+func TestTimeLeftIsSentToTargets(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 	env.request(t, "GET", "/idem/1", "", "Wait", "700")
@@ -301,7 +301,7 @@
 
 // The caller disconnects. Guards against a target that keeps working for nobody: its connection has
 // to be closed soon.
-func TestCallerWhoLeavesStopsTheTarget(t *testing.T) {
+func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	stopped := make(chan struct{})
 	e := newFakeEngine(t, "a", func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
@@ -337,7 +337,7 @@
 
 // One request crashes each target that runs it, and its caller retries it again and again. Guards
 // against sending it to a fourth target, and against quarantining other requests.
-func TestRequestThatCrashesTargetsIsHeldOff(t *testing.T) {
+func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	env := newTestEnv(t, newFakeEngine(t, "a", respond(ok200)))
 	f := func(body string) error {
 		k := &task{g: env.gateway, r: &http.Request{URL: mustURL(t, "/once/1")}, body: []byte(body), organisation: &site.Organisation{Name: "ferry"}}
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -46,7 +46,7 @@
 // machine is paused. The time until the caller leaves is too short to tell a pause from a delay.
 // Guards against a caller that leaves without an error, with its request still at the engine when
 // that resumes. A caller that has part of its stream gets the error too, and may resume elsewhere.
-func TestCallerIsToldBeforeItLeavesAnEngineThatIsNotHeard(t *testing.T) {
+func TestCallerOfPausedEngineGetsErrorBeforeItLeaves(t *testing.T) {
 	tests := []struct {
 		name, shown string
 		status      int
@@ -84,7 +84,7 @@
 
 // An engine takes long to begin on a prompt, but keeps sending load reports. Guards against
 // cancelling its request: the caller may stay a little longer than its known timeout.
-func TestCallerWaitsOnForAnEngineThatIsHeard(t *testing.T) {
+func TestRequestIsKeptWhileEngineReports(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	slow := newFakeEngine(t, "a", func(c net.Conn, r *http.Request) bool {
 		close(arrived)
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -23,7 +23,7 @@
 // After a version change the stores have no room for the new parts yet, so that only engines have
 // them. Guards against every engine prefilling them again: all engines would be busy for seconds
 // and hardly any response on time.
-func TestPromptGoesToTheEngineThatHasItsOpening(t *testing.T) {
+func TestPromptGoesToEngineWithItsSharedPrefix(t *testing.T) {
 	opening := resident.Part{Key: resident.Key(sharedPart), Tokens: 4990}
 	stream := respond(streamHead + events(1, 1) + streamEnd)
 
@@ -73,7 +73,7 @@
 
 // Prompts with the same new shared prefix arrive within a second. Guards against prefilling it at
 // two engines: the later prompts go to the first engine, though that has slightly more to do.
-func TestOpeningThatIsBeingReadIsNotReadTwice(t *testing.T) {
+func TestSharedPrefixIsNotPrefilledTwice(t *testing.T) {
 	stream := respond(streamHead + events(1, 1) + streamEnd)
 	b, c := newFakeEngine(t, "b", stream), newFakeEngine(t, "c", stream)
 	env := newTestEnv(t, b, c, newFakeEngine(t, otherID, stream))
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestKeptContextIsFetchedWhileThatIsRight(t *testing.T) {
+func TestStoredPartIsFetchedOnlyWhileAllowed(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(streamHead+events(1, 1)+streamEnd))
 	env := newTestEnv(t, e)
 	part := vault.Part{Salt: vault.Scope{Model: "m", Version: 1}.Salt(), ID: "shared"}
@@ -71,7 +71,7 @@
 
 // An engine already has new weights and reports it. Guards against giving up on it: it gets the
 // request again, with its actual version.
-func TestEngineWithNewerWeightsIsBelieved(t *testing.T) {
+func TestEngineWithNewerWeightsGetsRequestAgain(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(newerVersion421), respond(streamHead+events(1, 1)+streamEnd))
 	env := newTestEnv(t, e)
 
@@ -95,7 +95,7 @@
 
 // Operators named new weights long ago, and one engine still has the old ones, as when its side
 // process died. Guards against requests that begin there.
-func TestEngineWithReplacedWeightsIsLeftOutInTime(t *testing.T) {
+func TestEngineWithReplacedWeightsIsExcluded(t *testing.T) {
 	a := newFakeEngine(t, "a", hasVersion("1"))
 	env := newTestEnv(t, a)
 	now := time.Now()
@@ -129,7 +129,7 @@
 // An entry missed that the engines changed version: it was starting, and no process reported it.
 // Guards against excluding those engines for good: the entry would never learn better and refuse
 // everything while all others serve.
-func TestEnginesBelievedOldAreAskedForTheNewWeights(t *testing.T) {
+func TestOutdatedEnginesAreAskedForRequiredVersion(t *testing.T) {
 	a := newFakeEngine(t, "a", hasVersion("2"))
 	env := newTestEnv(t, a) // the roster has it with version 1
 	now := time.Now()
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -44,7 +44,7 @@
 
 // Guards against callers that wait for cold engines until their aim has passed, though more prompts
 // wait before them than those engines will take.
-func TestPromptsThatWouldWaitInVainAreRefusedAtOnce(t *testing.T) {
+func TestPromptsThatWouldTimeOutInQueueAreRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 
 	tests := []struct {
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -37,7 +37,7 @@
 
 // Guards against overrunning targets that return together: requests beyond their limit are refused
 // without having run, and their callers get a time to retry.
-func TestColdTargetsWithoutPlacesRefuse(t *testing.T) {
+func TestRequestsBeyondSlowStartLimitAreRefused(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 	env.limitSlowStart(3 * time.Second)
@@ -71,7 +71,7 @@
 }
 
 // Guards against a cold engine that gets no requests at all.
-func TestPermitsOpenAColdEngine(t *testing.T) {
+func TestPermitsAdmitRequestsToColdEngine(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 	env.limitSlowStart(3 * time.Second)
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -29,7 +29,7 @@
 // Most entries of a data centre stop at once, and the balancer sends callers to the stopping ones.
 // One that accepts all of them is still serving when its grace period ends, and cuts off responses;
 // one that accepts none leaves callers without an entry.
-func TestLastPartOfAStopServesWhatIsSoonDone(t *testing.T) {
+func TestDrainAcceptsShortRequests(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	end := t0.Add(5 * time.Second)
 	tests := []struct {
@@ -75,7 +75,7 @@
 // A third of the engines is slow, and short requests there take fifteen times as long as elsewhere.
 // Guards against a limit of ten times the mean: no request would be accepted five seconds before
 // the end of the stop, and the port would be closed while others still run.
-func TestLastPartOfAStopGoesByTheLongestOfLate(t *testing.T) {
+func TestDrainUsesRecentMaximumDuration(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	d := newDrainControl()
 
@@ -111,7 +111,7 @@
 // A machine is paused, and responses that have run for three seconds are given up or still run.
 // Guards against learning from complete responses only: the entry would accept more requests two
 // seconds before its end and cut off their responses.
-func TestLastPartOfAStopCountsWhatDoesNotEnd(t *testing.T) {
+func TestDrainCountsIncompleteResponses(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 
 	for _, ended := range []bool{false, true} {
@@ -141,7 +141,7 @@
 
 // A prompt waits for an engine with capacity when a stop ends. It has run nowhere, and its caller
 // may retry at once. Guards against cutting it off, which doesn't tell the caller so.
-func TestWhatWaitsForRoomIsRefusedAsAStopEnds(t *testing.T) {
+func TestQueuedPromptIsRefusedWhenDrainEnds(t *testing.T) {
 	e := newFakeEngine(t, "a", respond(ok200))
 	env := newTestEnv(t, e)
 	full := pulse.Report{Engine: e.llmAddress, Running: 9, Waiting: 40, UsedTokens: 69_000, Model: "m", Version: 1}
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -14,7 +14,7 @@
 // loses only that one connection, while others lose those of requests that merely ran beside it.
 // Guards against entries that don't share reports: each would let it crash three engines, and
 // engines would go down one after the other.
-func TestEntriesShareWhatCrashedTargets(t *testing.T) {
+func TestEntriesShareCrashReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries = 4
 
@@ -62,7 +62,7 @@
 }
 
 // Guards against reporting a crash when single connections break, as they do without one.
-func TestSingleConnectionIsNoCrash(t *testing.T) {
+func TestSingleBrokenConnectionIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reports := 0
 		d := newCrashDetector(quarantine.NewTracker(quarantine.TrackerConfig{}), func(quarantine.Crash) { reports++ }, logr.Discard())
--- a/incident/booking_test.go
+++ b/incident/booking_test.go
@@ -168,7 +168,7 @@
 
 // Responses of the log service are lost after the append took effect, so that the owner of
 // a shard does not know whether its claim was recorded. A retry must not book again.
-func TestBookingsWithLostAppendAnswers(t *testing.T) {
+func TestBookingsWithLostAppendResponses(t *testing.T) {
 	s := start(t, systemConfig{engines: 1, plainServices: 2})
 	s.waitForOwners()
 	s.setFaults(s.logURL, map[string]any{"lose_answers": 0.5})
@@ -188,7 +188,7 @@
 
 // The side process of a booking service is killed halfway through the first requests and not
 // restarted; then every booking is retried. No booking may run twice.
-func TestBookingsWhileAServiceDies(t *testing.T) {
+func TestBookingsWhileSideProcessIsKilled(t *testing.T) {
 	s := start(t, systemConfig{engines: 1, plainServices: 2})
 	s.waitForOwners()
 
--- a/incident/engine_test.go
+++ b/incident/engine_test.go
@@ -53,7 +53,7 @@
 
 // An engine and its side process are killed in the middle of several responses. Without
 // resumption at another engine, the callers' streams would be truncated.
-func TestAnswersOutliveAnEngineVM(t *testing.T) {
+func TestResponsesResumeAfterEngineVMFailure(t *testing.T) {
 	s := start(t, systemConfig{engines: 3, decodeTokensPerSecond: 100})
 	s.duringResponses(6, func() {
 		s.kill("engine-1")
@@ -62,7 +62,7 @@
 }
 
 // Only the side process is killed; the engine keeps running but its responses are not read.
-func TestAnswersOutliveASideProcess(t *testing.T) {
+func TestResponsesResumeAfterSideProcessKill(t *testing.T) {
 	s := start(t, systemConfig{engines: 3, decodeTokensPerSecond: 100})
 	s.duringResponses(6, func() { s.kill("engine-2") })
 }
@@ -70,7 +70,7 @@
 // A side process is paused in the middle of several responses and resumed later with stale
 // tokens. No connection fails meanwhile, so the streams would stall; after it is resumed, a
 // caller could get a token twice.
-func TestAnswersOutliveAFrozenSideProcess(t *testing.T) {
+func TestResponsesResumeAfterSideProcessPause(t *testing.T) {
 	s := start(t, systemConfig{engines: 3, decodeTokensPerSecond: 100})
 	s.duringResponses(6, func() { s.signal("engine-1", syscall.SIGSTOP) })
 	s.signal("engine-1", syscall.SIGCONT)
@@ -79,7 +79,7 @@
 
 // The side process of an engine and an entry are stopped gracefully in the middle of several
 // responses, which must not be cut off.
-func TestPlannedStopsCutNobodyOff(t *testing.T) {
+func TestGracefulStopsCutOffNoResponse(t *testing.T) {
 	s := start(t, systemConfig{engines: 2, decodeTokensPerSecond: 100})
 
 	var stops sync.WaitGroup
@@ -93,7 +93,7 @@
 
 // A request crashes each engine that runs it, and its caller sends it again, to the other
 // entry too. Unless it is quarantined, it crashes all engines.
-func TestCrashingPromptTakesNoThirdEngine(t *testing.T) {
+func TestCrashingPromptIsQuarantinedAfterTwoEngines(t *testing.T) {
 	s := start(t, systemConfig{engines: 4, decodeTokensPerSecond: 100})
 
 	for _, url := range s.engines {
@@ -131,7 +131,7 @@
 
 // Open connections to an engine become unresponsive for good in the middle of responses,
 // while new ones work. No connection fails, so the callers' streams would stall.
-func TestAnswersOutliveSilentConnections(t *testing.T) {
+func TestResponsesResumeAfterUnresponsiveConnections(t *testing.T) {
 	s := start(t, systemConfig{engines: 2, decodeTokensPerSecond: 100})
 	s.duringResponses(6, func() { s.setFaults(s.engines["engine-1"], map[string]any{"silent": true}) })
 }
@@ -145,7 +145,7 @@
 
 // The link to a store becomes extremely slow while a copy of a context is imported. The
 // caller would wait for hours for what can be recomputed in a moment.
-func TestSlowLinkIsGivenUp(t *testing.T) {
+func TestSlowImportIsCancelled(t *testing.T) {
 	s := start(t, systemConfig{engines: 1, decodeTokensPerSecond: 1000})
 	longPrompt := testPrompt(0) + strings.Repeat(" and the fare rules in full", 200)
 
--- a/incident/settings_test.go
+++ b/incident/settings_test.go
@@ -72,7 +72,7 @@
 
 // An operator drains a target by publishing a setting. Requests that were still sent there
 // would be cut off when the VM is removed.
-func TestPublishedDrainKeepsNewWorkAway(t *testing.T) {
+func TestPublishedDrainStopsNewRequests(t *testing.T) {
 	s := start(t, systemConfig{engines: 2, decodeTokensPerSecond: 1000})
 	s.publish("[[drain]]\ntarget = \"engine-1\"\n")
 
@@ -118,7 +118,7 @@
 
 // A weight version is rolled out while callers keep sending prompts. If all engines loaded
 // at the same time, all callers would wait; if none did, the rollout would never end.
-func TestRollServesAllTheWhile(t *testing.T) {
+func TestRolloutServesAllPrompts(t *testing.T) {
 	s := start(t, systemConfig{engines: 3, decodeTokensPerSecond: 1000})
 
 	var (
--- a/journal/client_test.go
+++ b/journal/client_test.go
@@ -16,7 +16,7 @@
 	"boragehub/journal"
 )
 
-func TestClientTellsOutcomesApart(t *testing.T) {
+func TestClientAppendOutcomes(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestClientReadsAndNoticesTrimming(t *testing.T) {
+func TestClientReadsAndReportsTrimming(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "1" {
 			w.WriteHeader(http.StatusGone)
@@ -75,7 +75,7 @@
 // A device between client and service loses the state of a connection: it still
 // accepts data, but no response ever arrives, while new connections work. A
 // client that kept the connection would regard the log as down for good.
-func TestClientAbandonsASilentConnection(t *testing.T) {
+func TestClientReplacesUnresponsiveConnection(t *testing.T) {
 	var stalled atomic.Pointer[net.Conn]
 
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/journal/snapshot_test.go
+++ b/journal/snapshot_test.go
@@ -196,7 +196,7 @@
 
 // The log trims records before a snapshot covers them. The reader must report
 // the gap and restore the complete state from a later snapshot.
-func TestGapIsToldAndMended(t *testing.T) {
+func TestGapIsReportedAndLaterRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 
@@ -242,7 +242,7 @@
 // A snapshot is captured, a record is appended before it is written, and the log
 // trims that record. A reader that restored the snapshot would lack the record
 // without noticing.
-func TestSnapshotThatLeavesAGapIsNotTaken(t *testing.T) {
+func TestSnapshotThatLeavesGapIsNotRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func BenchmarkBytes(b *testing.B) {
+func BenchmarkMemoryPerOrganisation(b *testing.B) {
 	forEachCount(b, func(b *testing.B, organisations int) {
 		for b.Loop() {
 			before := heapInUse()
--- a/limit/gate_test.go
+++ b/limit/gate_test.go
@@ -197,7 +197,7 @@
 
 // All places are held. A further request would wait in an engine's queue for longer than its user
 // waits.
-func TestFullEntryRefuses(t *testing.T) {
+func TestFullGateRefuses(t *testing.T) {
 	g := NewGate(GateConfig{Places: 3})
 
 	for i := range 4 {
@@ -238,7 +238,7 @@
 // A large organisation has filled all places while it was the only one; then a small one sends
 // requests too. For each released place the large one sends ten requests before the small one
 // sends one. The small one must get places nevertheless.
-func TestNewcomerGetsItsShareOfAFullEntry(t *testing.T) {
+func TestNewOrganisationGetsShareOfFullGate(t *testing.T) {
 	g := NewGate(GateConfig{Places: 20})
 	now := epoch
 
@@ -283,7 +283,7 @@
 
 // Engines hang and no place is released any more. With a Retry-After computed from the earlier
 // release rate, callers would retry every second in vain.
-func TestRetryAfterGrowsWhenNothingComesFree(t *testing.T) {
+func TestRetryAfterGrowsWithoutReleases(t *testing.T) {
 	g := NewGate(GateConfig{Places: 10})
 
 	var held []Permit
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -14,7 +14,7 @@
 
 // Windows must not overlap. Otherwise both transfers would be late, and the
 // estimates of the time to first token that rely on them wrong.
-func TestPromisesNeverExceedTheLink(t *testing.T) {
+func TestWindowsDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Config{BytesPerSecond: rate, MaxWindows: 12})
 		now := epoch
@@ -106,7 +106,7 @@
 
 // A transfer ends early, or its process crashes and never reports the end. The
 // other windows must move forward, or the link would be idle while callers wait.
-func TestWrongEstimates(t *testing.T) {
+func TestEarlyLateAndLostTransfers(t *testing.T) {
 	cases := []struct {
 		name  string
 		after time.Duration
@@ -152,7 +152,7 @@
 
 // An import of many gigabytes is reserved just before a short, more urgent one.
 // The short one must wait for one chunk and not for the whole transfer.
-func TestPressingImportGoesBetweenChunks(t *testing.T) {
+func TestUrgentImportGoesBetweenChunks(t *testing.T) {
 	l := New(Config{BytesPerSecond: rate, ChunkBytes: 1e6})
 	file := l.ReserveChunks(epoch, Request{Bytes: 5_500_000, Rank: 2}, nil)
 
@@ -174,7 +174,7 @@
 // The rate of a link drops to a tenth. If the drop were not measured, callers
 // would wait for imports that take ten times as long as recomputing; if the
 // measurement did not decay, the link would never be used again.
-func TestRateIsMeasuredAndForgotten(t *testing.T) {
+func TestRateMeasurementDecays(t *testing.T) {
 	const best = 1e9
 
 	l := New(Config{BytesPerSecond: best})
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -24,7 +24,7 @@
 // Guards against too many engines loading at once, which would slow each other down and
 // leave too few serving. Each process computes its slot alone, without a leader, so the
 // slots of all processes must fit together.
-func TestTurnsFitTogether(t *testing.T) {
+func TestRolloutSlotsLimitConcurrentLoads(t *testing.T) {
 	tests := []struct {
 		engines, concurrent int
 	}{
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestEnginesThatHaveTheVersionTakeNoTurn(t *testing.T) {
+func TestEnginesWithTheVersionGetNoSlot(t *testing.T) {
 	all := siblings(12, 2)
 	all[3].Version, all[7].Version = 1, 1
 
@@ -209,7 +209,7 @@
 	return entries
 }
 
-func TestLoaderBringsTheVersionAndTellsEntriesBefore(t *testing.T) {
+func TestLoaderAnnouncesAndLoadsVersion(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond}
 	entries := runLoader(t, engine, 6*time.Second, map[time.Duration]int64{time.Second: 2})
 
@@ -229,7 +229,7 @@
 // Guards against a downgrade by a delayed order: it gets no reply and arrives seconds
 // later, after another order has loaded a newer version. If it were accepted, the engine
 // would serve the old weights from then on.
-func TestLateOrderDoesNotBringOldWeightsBack(t *testing.T) {
+func TestDelayedOrderDoesNotDowngrade(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond, delayed: 1}
 	runLoader(t, engine, 15*time.Second, map[time.Duration]int64{time.Second: 2, 4 * time.Second: 3})
 
@@ -247,7 +247,7 @@
 // An engine crashes while it loads and restarts under the same id, with its initial weights
 // and order count. The order is lost; waiting for it until the retry interval ends would
 // keep the engine on the old weights for longer than operators allow.
-func TestEngineStartedAnewWhileItLoadsIsOrderedAgain(t *testing.T) {
+func TestEngineRestartedDuringLoadIsOrderedAgain(t *testing.T) {
 	engine := &fakeEngine{version: 1, startTime: 1000, loadTime: 5 * time.Second}
 
 	crash := func() {
@@ -267,7 +267,7 @@
 
 // A side process restarts together with its engine. The register still lists the engine's
 // previous start, and the engine refuses orders for that one.
-func TestOrderForAnEarlierStartIsGivenAgain(t *testing.T) {
+func TestOrderForPreviousStartIsRetried(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 300 * time.Millisecond, refusals: 1}
 	runLoader(t, engine, 5*time.Second, map[time.Duration]int64{time.Millisecond: 2})
 
@@ -278,7 +278,7 @@
 
 // All side processes were killed after new weights were published. The time left is
 // unknown, so the slots follow each other quickly.
-func TestVersionNamedBeforeTheStartIsHurried(t *testing.T) {
+func TestVersionPublishedBeforeStartIsExpedited(t *testing.T) {
 	all := siblings(55, 1)
 	last := time.Duration(0)
 
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestVersionThatFollowsAtOnceSkipsTheOneBefore(t *testing.T) {
+func TestNewerVersionReplacesPendingOne(t *testing.T) {
 	engine := &fakeEngine{version: 1, loadTime: 500 * time.Millisecond}
 	runLoader(t, engine, 8*time.Second, map[time.Duration]int64{time.Second: 2, 1500 * time.Millisecond: 3})
 
--- a/loader/standby_test.go
+++ b/loader/standby_test.go
@@ -144,7 +144,7 @@
 // Operators publish new weights, and no engine has a loader. Without a Standby the engines
 // would keep the old weights, and every caller would be refused once these may no longer be
 // used.
-func TestEnginesWithoutLoadersAreBroughtToTheVersion(t *testing.T) {
+func TestStandbyReloadsEnginesWithoutLoader(t *testing.T) {
 	const engines = 12
 
 	runFleet(t, engines, func(ctx context.Context, f *fakeFleet) {
@@ -168,7 +168,7 @@
 
 // Guards against a Standby that orders an engine with a loader: two processes that order an
 // engine within seconds are two holders, and not every engine checks the fencing number.
-func TestStandbyKeepsOutOfWhatLoadersDo(t *testing.T) {
+func TestStandbySkipsEnginesWithLoader(t *testing.T) {
 	runFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
 		l := New(Config{Address: "engine-0", Holder: "vm", Engine: f, Register: fakeRegister{f.engines["engine-0"]}, Entries: &fakeEntries{}, Log: logr.Discard()})
 		go l.Run(ctx)
@@ -187,7 +187,7 @@
 
 // The entry with the first ordering window is dead but still counted as live. The next
 // entry must order the engine in its own window.
-func TestNextEntryFollows(t *testing.T) {
+func TestNextEntryOrdersInItsWindow(t *testing.T) {
 	runFleet(t, 1, func(ctx context.Context, f *fakeFleet) {
 		f.startStandby(ctx, 1).SetDesired(DesiredVersion{Model: "m", Version: 2})
 		time.Sleep(windowInterval + 3*time.Second)
@@ -200,7 +200,7 @@
 
 // An entry starts long after a version was published, and one engine is listed only later.
 // The version isn't published to the entry again.
-func TestEngineThatIsKnownLateIsBroughtToTheVersion(t *testing.T) {
+func TestEngineListedLateIsReloaded(t *testing.T) {
 	runFleet(t, 2, func(ctx context.Context, f *fakeFleet) {
 		f.unlisted["engine-1"] = true
 
--- a/loader/stateful_test.go
+++ b/loader/stateful_test.go
@@ -64,7 +64,7 @@
 // each other quickly. No engine may ever load an older version than it had, two holders may
 // not use the same fencing number, nor may a lower number follow a higher one, and each engine
 // must have the newest version in the end, if the process that may order it knows of it.
-func TestOrdersOfManyBringEveryEngineForward(t *testing.T) {
+func TestConcurrentHoldersNeverDowngrade(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := drawScenario(r)
 
--- a/message/message_test.go
+++ b/message/message_test.go
@@ -33,7 +33,7 @@
 	return b.Bytes()
 }
 
-func TestEveryMessageReturnsAsItWas(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, want := range allMessages() {
 		got, err := Read(bytes.NewReader(encodeFrame(t, want)))
 		if err != nil || !reflect.DeepEqual(got, want) {
@@ -49,7 +49,7 @@
 // A release with another protocol version connects. If its frames were decoded
 // all the same, a field could have another meaning and a caller get a wrong
 // response.
-func TestAnotherVersionIsRefused(t *testing.T) {
+func TestOtherProtocolVersionIsRejected(t *testing.T) {
 	b := encodeFrame(t, Ack{})
 	b[4] = Version + 1
 
@@ -62,7 +62,7 @@
 // A peer crashes in the middle of a frame, or a frame is corrupted. Truncation
 // must give an error: a part of a message must never be taken for a complete one.
 // A corrupted byte must give no other error than these two kinds.
-func TestCutAndAlteredFramesGiveErrors(t *testing.T) {
+func TestTruncatedAndAlteredFramesGiveErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := allMessages()
 		b := bytes.NewBuffer(nil)
--- a/mirror/exchange/compress_test.go
+++ b/mirror/exchange/compress_test.go
@@ -26,7 +26,7 @@
 // Guards against configurations that are applied too late. Each change of a configuration with
 // thousands of routes is sent to two dozen entries at the same time. Uncompressed, it saturates the
 // links of the readers and the slowest links.
-func TestLongRecordsTakeLittleOfALink(t *testing.T) {
+func TestLongRecordsAreCompressed(t *testing.T) {
 	value := routes(2200)
 
 	var c recordCompressor
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestShortRecordsGoAsTheyAre(t *testing.T) {
+func TestShortRecordsAreNotCompressed(t *testing.T) {
 	var c recordCompressor
 
 	records, body := c.encode("t", 0, mirror.Batch{Records: []mirror.Record{{Key: "a", Value: []byte("b")}}})
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestBrokenPackIsRefused(t *testing.T) {
+func TestCorruptCompressedRecordsAreRefused(t *testing.T) {
 	for _, body := range [][]byte{{1, 2, 3}, bytes.Repeat([]byte{0xff}, 100)} {
 		if got, err := (Reply{Compressed: body}).decodeRecords(); err == nil {
 			t.Errorf("got %v, want an error", got)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestLongRecordsArePassedOn(t *testing.T) {
+func TestCompressedRecordsAreDelivered(t *testing.T) {
 	e := newEntry(t)
 	value := routes(2200)
 	e.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: value, Offset: 0}}, End: 1, Snapshot: true, AsOf: time.Now()})
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -74,7 +74,7 @@
 	return l.Addr().String()
 }
 
-func TestNewestOfSeveralAnswersIsTaken(t *testing.T) {
+func TestNewestResponseIsUsed(t *testing.T) {
 	old, current := newEntry(t), newEntry(t)
 	old.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("1"), Offset: 0}}, End: 1, AsOf: time.Now()})
 	current.topic.Merge(mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("2"), Offset: 1}}, End: 2, AsOf: time.Now()})
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestNobodyToAskIsSaid(t *testing.T) {
+func TestFetchFailsWithoutResponsiveEntries(t *testing.T) {
 	if _, err := NewClient(NewMembers("", nil)).Fetch(context.Background(), "t", 0); err == nil {
 		t.Error("got no error")
 	}
@@ -150,7 +150,7 @@
 
 // Guards against a paused entry that delays the announcements of a rollout. It delayed each rollout
 // slot by 0.8 s, so that two slots overlapped and twice as many engines were unavailable at once.
-func TestEntryThatStandsStillHoldsNobodyUp(t *testing.T) {
+func TestPausedEntryDoesNotDelayAnnouncements(t *testing.T) {
 	e := newEntry(t)
 	c := NewClient(NewMembers("", []string{e.address, unresponsiveEntry(t)}))
 	began := time.Now()
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestTurnsDiffer(t *testing.T) {
+func TestRanksDiffer(t *testing.T) {
 	now := time.Now()
 	all := []string{"a", "b", "c", "d"}
 	seen := map[int]bool{}
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestStoresAreToldOf(t *testing.T) {
+func TestStoreUpdatesAreReturned(t *testing.T) {
 	e := newEntry(t)
 	e.vaults.Configure([]vault.Store{{Address: "s1"}})
 	e.vaults.ApplyListing(time.Now(), "s1", vault.Listing{Epoch: 3, Clock: 5, Held: []vault.Held{{Part: vault.Part{Salt: "x", ID: "a"}, Tokens: 7}}})
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestMessagesThatAreNoneAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRefused(t *testing.T) {
 	e := newEntry(t)
 
 	for _, path := range []string{noticePath, vaultsPath, crashPath} {
@@ -222,7 +222,7 @@
 
 // Guards against polls that return changes late, and against polls that are held by a reader that
 // is cut off from the log.
-func TestFollowWaitsForNews(t *testing.T) {
+func TestPollWaitsForChanges(t *testing.T) {
 	change := mirror.Batch{Records: []mirror.Record{{Key: "config", Value: []byte("2"), Offset: 7}}, End: 8}
 
 	tests := []struct {
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestFollowNeedsAWholeTopic(t *testing.T) {
+func TestPollNeedsLoadedTopic(t *testing.T) {
 	e := newEntry(t)
 
 	if _, err := NewClient(NewMembers("", nil)).Poll(context.Background(), e.address, "t", 0, time.Millisecond); err == nil {
@@ -265,7 +265,7 @@
 
 // Guards against dead entries that never expire because the others keep reporting them to each
 // other. Each round of calls would wait for them.
-func TestDeadEntriesAreForgottenByAll(t *testing.T) {
+func TestDeadEntriesExpireEverywhere(t *testing.T) {
 	start := time.Unix(1000, 0)
 	a, b := NewMembers("a", nil), NewMembers("b", nil)
 	a.MarkAlive(start, "dead")
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestAnswersTellOfAFewEntries(t *testing.T) {
+func TestSampleOfMembersIsBounded(t *testing.T) {
 	m, now := NewMembers("self", nil), time.Unix(1000, 0)
 
 	for i := range 10 * maxSample {
@@ -298,7 +298,7 @@
 	}
 }
 
-func TestCrashesAreToldToOtherEntries(t *testing.T) {
+func TestCrashesAreReportedToOtherEntries(t *testing.T) {
 	e := newEntry(t)
 	want := quarantine.Crash{Target: "t1", Boot: "t1", Running: []quarantine.Fingerprint{quarantine.FingerprintOf("ferry", []byte("poison"))}}
 
@@ -312,7 +312,7 @@
 // Guards against polls that return immediately because the reader reads the log by long polls, so
 // that its records are up to 1 s old. Each client would then poll it hundreds of times per second,
 // which increases the processor time of entries by half.
-func TestQuestionsAreHeldAtAReaderThatWaitsItself(t *testing.T) {
+func TestPollsAreHeldByLongPollingReader(t *testing.T) {
 	const wait = 100 * time.Millisecond
 
 	tests := []struct {
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -181,7 +181,7 @@
 // Guards against missed changes when the log is unreachable for this process only, for instance
 // because a load balancer lost its connections. If an API key is revoked meanwhile, the process
 // must learn of it from another one, or it accepts the key until the log is reachable again.
-func TestOutageIsBridgedByPeers(t *testing.T) {
+func TestPeersProvideChangesDuringOutage(t *testing.T) {
 	log := &fakeLog{}
 	log.append("config", "1")
 
@@ -220,7 +220,7 @@
 
 // Guards against a process that starts during an outage of the log and has no configuration, so
 // that it refuses all requests until the log is available again.
-func TestStartInAnOutageTakesWhatPeersHave(t *testing.T) {
+func TestStartDuringOutageFetchesFromPeers(t *testing.T) {
 	log := &fakeLog{down: true}
 	peers := &fakePeers{batch: Batch{Records: []Record{{Key: "config", Value: []byte("7"), Offset: 3}}, End: 4}}
 
@@ -236,7 +236,7 @@
 // Guards against missed deletions when the log trims records before this process has read them.
 // A key that is missing from the snapshot must be deleted. Otherwise requests would be sent to the
 // address of a removed target, which may belong to another target by then.
-func TestForgottenHistoryIsReadWhole(t *testing.T) {
+func TestSnapshotIsReadAfterTrim(t *testing.T) {
 	log := &fakeLog{}
 	log.append("engine-1", "ready")
 	log.append("engine-2", "ready")
--- a/mirror/relay_test.go
+++ b/mirror/relay_test.go
@@ -102,7 +102,7 @@
 // Guards against stale records when the polled reader fails, is paused or is cut off from the log.
 // The process has to read the log itself within 2 s. Otherwise a published configuration is
 // applied too late.
-func TestWhoeverWaitsAtAReaderKnowsInTime(t *testing.T) {
+func TestFollowerReadsLogWhenReaderFails(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(r *fakeRelay)
@@ -154,7 +154,7 @@
 
 // Guards against heartbeats that are served as changes. Targets write one about once per second,
 // and they would be most of the traffic of an entry.
-func TestHeartbeatsAreNoNews(t *testing.T) {
+func TestHeartbeatsAreNotChanges(t *testing.T) {
 	topic := NewTopic(func(old, value []byte) bool { return old[0] == value[0] })
 	topic.Merge(Batch{Records: []Record{{Key: "a", Value: []byte("x1"), Offset: 0}}, End: 1, Snapshot: true})
 
@@ -210,7 +210,7 @@
 // Guards against changes that a side process misses while its connection to the log is
 // unresponsive, such as a new weight version. It must get them from the entries well before its
 // read of the log times out.
-func TestOthersBringWhatASilentConnectionDoesNot(t *testing.T) {
+func TestPeersReplaceUnresponsiveLogConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &Topic{}
 		f := NewFollower(FollowerConfig{
--- a/mirror/stateful_test.go
+++ b/mirror/stateful_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestFreshIsTheLatestTimeThatWasSure(t *testing.T) {
+func TestSyncTimesOfTopic(t *testing.T) {
 	at := time.Unix(100, 0)
 
 	var topic Topic
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestMarkersOfDroppedKeysAreBounded(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	var topic Topic
 
 	for i := range int64(4 * maxTombstones) {
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -12,7 +12,7 @@
 
 // A process is stopped while an operator reads a profile from it. It exits as soon as its
 // tasks have returned, so that Run must wait for the requests in flight.
-func TestRunFinishesWhatItServes(t *testing.T) {
+func TestRunWaitsForRequestsInFlight(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/organisation/register_test.go
+++ b/organisation/register_test.go
@@ -84,7 +84,7 @@
 
 // A key in a log line is visible to everyone who reads logs. A wrong key of a caller, or
 // a key that an operator puts in the settings instead of its hash, must not be logged.
-func TestNoSecretInALogLine(t *testing.T) {
+func TestKeysAreNotLogged(t *testing.T) {
 	const secret = "bh-very-secret"
 
 	var out bytes.Buffer
--- a/parking/parking_test.go
+++ b/parking/parking_test.go
@@ -90,7 +90,7 @@
 // Two stores with the same transfer time are full. The copy must go to the one
 // whose evicted copies are worth less. Otherwise one store would evict copies
 // that are more valuable than those that the other keeps.
-func TestStoresAreFilledAlike(t *testing.T) {
+func TestFullStoreWithLeastValueIsChosen(t *testing.T) {
 	stores := []Store{{Total: 1 << 50, Density: 1e-15}, {Total: 1 << 50, Density: 1e-16}}
 
 	d := Decide(epoch, Config{}, longContext(), View{EngineRetention: time.Minute, Stores: stores})
--- a/pause/patient_test.go
+++ b/pause/patient_test.go
@@ -11,7 +11,7 @@
 // With a fixed timeout of one second it would be restarted each time and never come into
 // force; with one long enough for any transfer, an unresponsive connection would not be
 // detected in time.
-func TestPatientWaitsForWhatMoves(t *testing.T) {
+func TestIdleTimeoutIsExtendedByProgress(t *testing.T) {
 	tests := []struct {
 		name     string
 		progress []time.Duration // when progress is reported
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestPatientEndsWithTheContextAround(t *testing.T) {
+func TestIdleTimeoutEndsWithParentContext(t *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
 	ctx, stop := WithIdleTimeout(parent, time.Hour, time.Hour)
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -116,7 +116,7 @@
 	return err
 }
 
-func TestPeersKnowEachOther(t *testing.T) {
+func TestServerIdentifiesPeer(t *testing.T) {
 	a := newAuthority(t)
 	seen := make(chan Identity, 1)
 	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(ctx context.Context, from Identity, st *Stream) {
@@ -137,7 +137,7 @@
 
 // A client with a certificate of another authority, or a process that listens on an
 // address that used to be another VM's, could otherwise read callers' prompts.
-func TestStrangersGetNothing(t *testing.T) {
+func TestUntrustedPeerIsRefused(t *testing.T) {
 	a, other := newAuthority(t), newAuthority(t)
 	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, _ *Stream) {
 		t.Error("got a stream from an untrusted peer, want none")
@@ -164,7 +164,7 @@
 
 // A peer takes longer than StreamTimeout to respond. Its heartbeats keep the stream
 // open; without them a long prefill would be taken for a dead engine.
-func TestBusyPeerIsNotSilent(t *testing.T) {
+func TestHeartbeatsKeepBusyStreamOpen(t *testing.T) {
 	a := newAuthority(t)
 
 	// Ten times the interval and timeout of the other tests: on a busy machine a process
@@ -338,7 +338,7 @@
 // A middlebox loses the state of an open connection: no error is reported, nothing
 // arrives any more, and new connections work. Without the timeout a caller would wait
 // until its deadline, and so would the next one on the same connection.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	a := newAuthority(t)
 	s := serve(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), respondAck)
 	proxy := newNATProxy(t, s.Addr())
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -143,7 +143,7 @@
 // The requests that it did not process were not run, but without a refusal an entry
 // times out after two seconds and has to tell its caller that the booking may have
 // been made.
-func TestStoppingServerLeavesNoConversationInDoubt(t *testing.T) {
+func TestShutdownReportsUnprocessedRequests(t *testing.T) {
 	const entries, workers = 4, 4
 
 	a := newAuthority(t)
@@ -192,7 +192,7 @@
 
 // Between its last stream and its exit a stopping process still releases resources. A
 // stream opened in that time reaches a process that accepts no streams any more.
-func TestConversationAfterTheLastOneIsRefused(t *testing.T) {
+func TestStreamAfterLastOneIsRefused(t *testing.T) {
 	a := newAuthority(t)
 	ran := &nameSet{seen: map[string]bool{}}
 	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), viewHandler(ran))
@@ -231,7 +231,7 @@
 // The datagrams with the last response are lost, as on a congested link. If the process
 // exits before it retransmits them, the caller of a booking that was made gets no
 // response.
-func TestLastAnswerIsSentAgain(t *testing.T) {
+func TestLastResponseIsRetransmitted(t *testing.T) {
 	a := newAuthority(t)
 	requested, release, responded := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	cfg := testConfig(tlsConfigFor(t, a, "engine-1", "side"))
@@ -279,7 +279,7 @@
 // An entry is delayed and has not read the last response from its receive buffer when
 // the process that sent it exits. The close of the connection must not discard the
 // response.
-func TestSlowReaderGetsTheLastAnswer(t *testing.T) {
+func TestSlowReaderGetsLastResponse(t *testing.T) {
 	a := newAuthority(t)
 	responded := make(chan struct{})
 	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), func(_ context.Context, _ Identity, st *Stream) {
--- a/profile/profile_test.go
+++ b/profile/profile_test.go
@@ -17,7 +17,7 @@
 
 // Engines of the three known deployments prefill 51, 64 and 157 tokens a ms, and those of two
 // years from now perhaps 500. Their prompts have 80 to 17,000 tokens to prefill.
-func TestReadingRateIsLearned(t *testing.T) {
+func TestPrefillRateIsEstimated(t *testing.T) {
 	for _, want := range []float64{51, 64, 157, 500} {
 		r := rand.New(rand.NewPCG(1, uint64(want)))
 
@@ -41,7 +41,7 @@
 // Guards against an estimate that follows outliers: a prompt may have to wait although its
 // engine seemed to be idle, or the engine may have held a part already that was not reported.
 // Following one such answer would make prompts wait for engines that are ten times slower.
-func TestReadingRateStandsMisleadingAnswers(t *testing.T) {
+func TestPrefillRateIsRobustToOutliers(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 
 	var l RateEstimator
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNothingIsToldBeforeEnoughWasSeen(t *testing.T) {
+func TestRateIsUnknownWithTooFewSamples(t *testing.T) {
 	var l RateEstimator
 
 	for range minSamples - 1 {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestMeanFollowsWhatComes(t *testing.T) {
+func TestMeanFollowsRecentValues(t *testing.T) {
 	var m Mean
 
 	if _, ok := m.Value(); ok {
--- a/prompt/prompt_test.go
+++ b/prompt/prompt_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestChainGrowsByItsEnd(t *testing.T) {
+func TestLongerPromptExtendsChain(t *testing.T) {
 	scope := Scope{Salt: "a", Model: "m", Version: "v1"}
 	text := strings.Repeat("one case file ", 40)
 	short := scope.Chain(text[:300], DefaultBlockTokens)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRenderIsAPrefixOfTheNextTurn(t *testing.T) {
+func TestRenderIsPrefixOfNextTurn(t *testing.T) {
 	first := []Message{{"system", "be brief"}, {"user", "a seat?"}}
 	next := append(first, Message{"assistant", "yes"}, Message{"user", "two?"})
 
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -16,7 +16,7 @@
 
 func (f fixedEngine) Report(context.Context, string) (Report, error) { return f.report, nil }
 
-func TestSubscribersGetPulses(t *testing.T) {
+func TestSubscribersGetReports(t *testing.T) {
 	r, err := NewReporter(ReporterConfig{Address: "127.0.0.1:0", Engine: fixedEngine{Report{Running: 3, Version: 2}}, EngineAddress: "127.0.0.1:9"})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 
 // Datagrams arrive out of order, and a restarted side process numbers its load reports from one
 // again. Applied in the wrong order, they would make a busy engine look idle.
-func TestOnlyNewerPulsesCount(t *testing.T) {
+func TestOutdatedReportsAreIgnored(t *testing.T) {
 	l := &Listener{latest: map[string]Report{}}
 
 	tests := []struct {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestSubscriptionsEndAndAreBounded(t *testing.T) {
+func TestSubscriptionsExpireAndAreBounded(t *testing.T) {
 	r := &Reporter{subscribers: map[string]subscriber{}}
 	now := time.Unix(100, 0)
 	r.subscribe(now, &net.UDPAddr{Port: 1}, Subscription{})
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestSubscribersGetPulsesAtTheirPace(t *testing.T) {
+func TestSubscribersGetReportsAtTheirInterval(t *testing.T) {
 	tests := []struct {
 		interval time.Duration
 		want     int // load reports in ten calls of due
@@ -124,7 +124,7 @@
 
 // In a large fleet each entry may route to hundreds of engines. Load reports of all of them
 // several times a second would take more bandwidth than all callers' requests.
-func TestPulsesOfALargeFleetAreBounded(t *testing.T) {
+func TestReportRateOfLargeFleetIsBounded(t *testing.T) {
 	tests := []struct {
 		engines, subscribed int
 		interval            time.Duration
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestPulseTellsWhatIsInMemory(t *testing.T) {
+func TestReportListsResidentParts(t *testing.T) {
 	p := Report{Resident: []resident.Part{{Key: 7, Tokens: 2048}}}
 
 	body, err := cbor.Marshal(p)
@@ -177,7 +177,7 @@
 }
 
 // Entries learn of a scheduled weight load in advance, so that long answers can end before it.
-func TestPulseTellsTheNextLoad(t *testing.T) {
+func TestReportCarriesNextLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 
 	tests := []struct {
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func BenchmarkBytes(b *testing.B) {
+func BenchmarkMemoryPerFingerprint(b *testing.B) {
 	forEachSize(b, func(b *testing.B, crashes int) {
 		for b.Loop() {
 			var before, after runtime.MemStats
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -72,7 +72,7 @@
 
 // The connection to an engine broke, and an entry reported a crash. If the report is not
 // withdrawn, all requests that ran there stay suspects and queue for isolated runs.
-func TestCutIsNoCrash(t *testing.T) {
+func TestBrokenConnectionIsNoCrash(t *testing.T) {
 	tr := NewTracker(TrackerConfig{})
 	tr.RecordCrash(epoch, crashOf(1, epoch, fingerprint(0)))
 	tr.WithdrawCrash(epoch, "engine-1", "1")
@@ -283,11 +283,11 @@
 	return e
 }
 
-// TestThirdTargetIsNeverLost has one or two requests that crash every target that runs
+// TestCauseNeverCrashesThirdTarget has one or two requests that crash every target that runs
 // them, harmless requests beside them, and callers that retry at any entry after some
 // seconds. No cause may crash a third target, and with a single cause no other request
 // may be refused.
-func TestThirdTargetIsNeverLost(t *testing.T) {
+func TestCauseNeverCrashesThirdTarget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const requests = 6
 
@@ -385,7 +385,7 @@
 
 // A caller sends a suspect to many entries at once. All of them must choose the same
 // target, so that at most one crashes.
-func TestHomeIsTheSameForAll(t *testing.T) {
+func TestEntriesChooseTheSameIsolationVM(t *testing.T) {
 	vms := []string{"engine-1", "engine-2", "engine-3", "engine-4"}
 	permuted := []string{"engine-3", "engine-1", "engine-4", "engine-2"}
 	homes := map[string]int{}
@@ -407,7 +407,7 @@
 }
 
 // Operators publish another number of crashes while requests are suspects.
-func TestConfigureIsInForceAtOnce(t *testing.T) {
+func TestConfigureTakesEffectAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tr := NewTracker(TrackerConfig{CrashLimit: 3})
 	f := FingerprintOf("transit", []byte("poison"))
--- a/resident/resident_test.go
+++ b/resident/resident_test.go
@@ -20,7 +20,7 @@
 	return vault.Event{Held: vault.Held{Part: part(id), Tokens: left}}
 }
 
-func TestLongPartsAreTold(t *testing.T) {
+func TestLongPartsAreReported(t *testing.T) {
 	tests := []struct {
 		name string
 		// answers are the engine's answers, in order.
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNoMoreIsToldThanAPulseHolds(t *testing.T) {
+func TestReportedPartsAreBounded(t *testing.T) {
 	f := NewFollower(Config{})
 
 	for i := range 10 * maxReportedParts {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -93,7 +93,7 @@
 
 // Guards against charging a booking twice: a booking whose target became unresponsive may
 // have been executed, so it may be retried only after a failure that guarantees that nothing ran.
-func TestBookingIsRepeatedOnlyOnAPromise(t *testing.T) {
+func TestBookingIsRetriedOnlyIfNothingRan(t *testing.T) {
 	for _, k := range failure.Kinds() {
 		got := MayRetry(Attempt{Sent: true, Kind: k, Number: 1, MaxAttempts: 9})
 		if got && k.Response().Ran != failure.NotRun {
--- a/roster/holding_test.go
+++ b/roster/holding_test.go
@@ -10,7 +10,7 @@
 // Guards against two sources of load orders for one engine: an entry orders loads for engines
 // without a side process, and takes the side process for missing when it never subscribed to the
 // engine's load reports or did so only just now.
-func TestHoldingsTellWhichHaveNoLoader(t *testing.T) {
+func TestHoldingsReportMissingSideProcess(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	r := New(Config{Self: "entry-1", DataCentre: "east"})
 
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -49,7 +49,7 @@
 // During a log outage the register drops a target because its heartbeats are missing. The target
 // is alive and is listed again within 2 s. If it were removed at once, its work would shift to
 // the others, and all of them may be dropped in the same way.
-func TestDropBesideAnOutageIsBelievedLater(t *testing.T) {
+func TestDropDuringLogOutageIsDelayed(t *testing.T) {
 	tests := []struct {
 		name string
 		back bool
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestDropInCalmTimesIsBelievedAtOnce(t *testing.T) {
+func TestDropWithoutLogOutageTakesEffectAtOnce(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveRemoval(at(10), "a")
 
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestDropOfADrainingTargetIsNeverInDoubt(t *testing.T) {
+func TestDropOfDrainingTargetIsNeverDelayed(t *testing.T) {
 	r := newTestRoster()
 	l := testListing("a", "10.0.0.1:80", 1)
 	l.Draining = true
@@ -117,7 +117,7 @@
 
 // A side process announces that its engine is about to load weights and dies before it reports
 // the end of the load. Without a time limit the engine would never get work again.
-func TestAnnouncedLoadEnds(t *testing.T) {
+func TestAnnouncedLoadExpires(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveLoading(at(0), "a", "m", 2)
 
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestLateNoticeOfAVersionThatIsThereIsIgnored(t *testing.T) {
+func TestAnnouncementOfKnownVersionIsIgnored(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveVersion("a", "m", 2, "answer")
 	r.ObserveLoading(at(0), "a", "m", 2)
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestPulseCountsWhatWasSentSince(t *testing.T) {
+func TestReportResetsSentSince(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveReport(at(0), pulse.Report{Engine: "10.0.0.1:80", Running: 3, UsedTokens: 4000, Model: "m", Version: 1})
 	s := r.Sent(at(10), "a", 500, 900)
@@ -173,7 +173,7 @@
 // All VMs lose power and restart within a second. For some seconds the register lists each
 // engine under both its old and its new id. Requests to the old ids are refused, and their
 // callers retry late or not at all.
-func TestTargetStartedAnewHoldsItsAddress(t *testing.T) {
+func TestRestartedTargetTakesOverAddress(t *testing.T) {
 	r := newTestRoster()
 	older, newer := testListing("a", "10.0.0.1:80", 1), testListing("a2", "10.0.0.1:80", 1)
 	older.Offset, newer.Offset = 10, 14
@@ -205,7 +205,7 @@
 }
 
 // A target is ejected after several failures in a row and tried again later.
-func TestFailingTargetIsLeftAloneForAWhile(t *testing.T) {
+func TestFailingTargetIsEjectedTemporarily(t *testing.T) {
 	r := newTestRoster()
 
 	for range 3 {
--- a/roster/silence_test.go
+++ b/roster/silence_test.go
@@ -10,7 +10,7 @@
 // A VM is paused together with its engine. Its connections stay open, so no request fails and
 // callers wait until they disconnect. Other targets are seen, so this process is not the one that
 // is paused.
-func TestTargetThatIsNotHeardGetsNoWork(t *testing.T) {
+func TestUnseenTargetIsSuspectedThenUnresponsive(t *testing.T) {
 	report := func(r *Roster, ms int, address string) { r.ObserveReport(at(ms), pulse.Report{Engine: address}) }
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
@@ -61,7 +61,7 @@
 // A caller waits for a VM that has just been paused, and is about to disconnect. A single
 // overdue load report has to suffice to detect the pause, unless this process is the one that is
 // paused.
-func TestTargetIsLateWhenItsPulseIsOverdue(t *testing.T) {
+func TestReportOverdue(t *testing.T) {
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	tests := []struct {
@@ -101,7 +101,7 @@
 }
 
 // The release of contexts waits while a target is paused and for a second after it resumes.
-func TestStandstillIsToldUntilAMomentAfter(t *testing.T) {
+func TestPauseIsReportedUntilRecovery(t *testing.T) {
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	r := newTestRoster()
--- a/roster/slow_start_test.go
+++ b/roster/slow_start_test.go
@@ -275,7 +275,7 @@
 // Guards against a cold engine that receives more requests within a second than its limit from all
 // entries together, also when entries are paused or just started, lose load reports or know only
 // some of the other entries.
-func TestColdEnginesNeverGetMoreThanTheyBear(t *testing.T) {
+func TestColdEnginesNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.OneOf(rapid.IntRange(3, 60), rapid.SampledFrom([]int{100, 400})).Draw(r, "entries")
 		f := newSimFleet(rapid.Uint64().Draw(r, "seed"), n, rapid.IntRange(1, 4).Draw(r, "engines"),
@@ -332,7 +332,7 @@
 
 // Guards against a cascading failure: all engines restart at once, are sent more than their limit,
 // crash and restart cold again.
-func TestAllEnginesColdUnderThreeTimesTheirRate(t *testing.T) {
+func TestAllEnginesColdUnderTripleLoad(t *testing.T) {
 	const engines, entries = 47, 26
 
 	f := newSimFleet(7, entries, engines, 0.01, 0)
@@ -378,7 +378,7 @@
 
 // Guards against callers that are refused for seconds after all processes of the system except the
 // engines have restarted: no process knows then whether engines are cold.
-func TestWarmEnginesServeOnceTheyAreAsked(t *testing.T) {
+func TestWarmEnginesServeAfterHealthCheck(t *testing.T) {
 	f := newSimFleet(3, 26, 8, 0.01, 0)
 	f.settle()
 
@@ -409,7 +409,7 @@
 }
 
 // Guards against starving cold targets that have no side process, and against overloading them.
-func TestColdTargetsWithoutPermitsAreShared(t *testing.T) {
+func TestColdTargetsWithoutSideProcessShareLimit(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 15, 26, 40, 100, 400} {
 		senders, interval := coldLimit.Share(entries, false)
 		within := int(time.Second/interval) + 1
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -21,7 +21,7 @@
 // An engine crashes and restarts under the same id, without its contexts and requests. If they
 // were still counted, it would be sent prompts for contexts that it has to prefill again, and
 // failures of its earlier start would keep work from it.
-func TestTargetStartedAnewUnderItsIDIsForgotten(t *testing.T) {
+func TestRestartUnderSameIDDiscardsState(t *testing.T) {
 	var restarted []string
 
 	r := New(Config{Self: "entry-1", DataCentre: "east", Restarted: func(id string) { restarted = append(restarted, id) }, Log: logr.Discard()})
@@ -66,7 +66,7 @@
 
 // Another program registers an entry of a service that is not configured at the address of an
 // engine. The engine must keep getting work.
-func TestEntryOfAnUnnamedServiceTakesNoAddress(t *testing.T) {
+func TestUnconfiguredServiceTakesNoAddress(t *testing.T) {
 	named := map[string]bool{"llm": true}
 	r := New(Config{Self: "entry-1", DataCentre: "east", Configured: func(s string) bool { return named[s] }, Log: logr.Discard()})
 	r.ObserveListing(at(0), testListing("a", "10.0.0.1:80", 1))
@@ -99,7 +99,7 @@
 
 // An engine moves to another address under the same id and must no longer be found at the old
 // one.
-func TestTargetThatMovesLeavesItsAddress(t *testing.T) {
+func TestMovedTargetReleasesAddress(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveListing(at(10), testListing("a", "10.0.0.9:80", 1))
 
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestNextLoadComesNearerBetweenPulses(t *testing.T) {
+func TestLoadInDecreasesBetweenReports(t *testing.T) {
 	r := newTestRoster()
 	r.ObserveReport(at(0), pulse.Report{Engine: "10.0.0.1:80", Model: "m", Version: 1, LoadInMs: 300})
 
@@ -136,7 +136,7 @@
 
 // Guards against a fleet of which only a part gets work after all targets have restarted: the
 // register still lists their earlier starts, which would use up places among the candidates.
-func TestAllTargetsAreOfferedAfterAPowerFailure(t *testing.T) {
+func TestAllTargetsAreCandidatesAfterPowerFailure(t *testing.T) {
 	const targets = 47
 
 	r := New(Config{Self: "entry-1", DataCentre: "east", Log: logr.Discard()})
@@ -160,7 +160,7 @@
 
 // Guards against a target that gets no work because another program registered an entry with its
 // address before this process knew which services are configured.
-func TestTargetIsOfferedOnceItsServiceIsKnown(t *testing.T) {
+func TestTargetIsCandidateOnceServicesAreKnown(t *testing.T) {
 	known := false
 	r := New(Config{
 		Self: "entry-1", DataCentre: "east", Log: logr.Discard(),
@@ -182,7 +182,7 @@
 
 // Guards against entries that take seconds to read the register of a large fleet at startup:
 // each target used to be compared with all others.
-func BenchmarkRegisterOfALargeFleet(b *testing.B) {
+func BenchmarkReadLargeRegister(b *testing.B) {
 	const targets = 3000
 
 	for b.Loop() {
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -25,7 +25,7 @@
 
 // Guards against entries that place the same shared prefix on different engines. Entries
 // don't communicate about placement, and each lists the engines in an order of its own.
-func TestEntriesAgreeOnAnOpeningsEngine(t *testing.T) {
+func TestEntriesAgreeOnHomeEngine(t *testing.T) {
 	all := engines(12)
 	rotated := append(append([]PrefixCandidate{}, all[5:]...), all[:5]...)
 
@@ -44,7 +44,7 @@
 // are reserved for short prompts, so the decision has to avoid engines in prefill. The
 // prompt lengths are those of fare reviews and seat questions, the speed is 51 tokens
 // per ms.
-func TestShortPromptsPassByEnginesThatRead(t *testing.T) {
+func TestShortPromptsAvoidEnginesInPrefill(t *testing.T) {
 	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 4500}
 
 	for reading := range 11 {
@@ -67,7 +67,7 @@
 // Guards against treating an engine that decodes long answers as busy: it prefills the
 // next prompt between decoding steps. Otherwise an engine with a dozen long answers in
 // flight would be underused, and contexts would be recomputed elsewhere.
-func TestGeneratingHardlyDelaysTheNextPrompt(t *testing.T) {
+func TestDecodingHardlyDelaysNextPrompt(t *testing.T) {
 	all := engines(9)
 	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
 	all[home].HasPrefix, all[home].Running = true, 12
@@ -86,7 +86,7 @@
 // Guards against overestimating the queue wait of short prompts: engines schedule prompts
 // with little to prefill first, so queued prompts delay a short one only slightly, whereas
 // prompts in prefill delay every prompt.
-func TestQuickPromptsPassThoseThatWait(t *testing.T) {
+func TestShortPromptsHaveShorterQueueWait(t *testing.T) {
 	cfg := PrefixConfig{TokensPerMs: 100, PromptTokens: 4000, ShortPromptTokens: 500}
 
 	tests := []struct {
@@ -114,7 +114,7 @@
 // for its last request to end and starts no other, so one long answer would keep it idle
 // for seconds. Long answers go to other engines beforehand; short ones are served until
 // the load begins.
-func TestLongAnswersAvoidAnEngineThatIsToLoad(t *testing.T) {
+func TestLongAnswersAvoidEngineAboutToLoad(t *testing.T) {
 	all := engines(3)
 	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
 	all[home].HasPrefix = true
@@ -133,7 +133,7 @@
 // Guards against ignoring the engines' speed in the queue wait. The same queue takes 400 ms
 // at 50 tokens per ms and 40 ms at 500. If both were taken as equal, contexts held by fast
 // engines would be recomputed elsewhere despite a short wait.
-func TestQuickEnginesAreWorthWaitingFor(t *testing.T) {
+func TestQueueWaitDependsOnPrefillSpeed(t *testing.T) {
 	tests := []struct {
 		tokensPerMs float64
 		home        bool
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestAnEngineThatGoesMovesOnlyItsOwnOpenings(t *testing.T) {
+func TestExcludedEngineMovesOnlyItsPrefixes(t *testing.T) {
 	all := engines(12)
 	excluded := DecidePrefix(PrefixConfig{}, shortPrompt(0), all).Target()
 	remaining := append([]PrefixCandidate{}, all...)
@@ -189,7 +189,7 @@
 // Guards against a hot spot on a prefix's home engine. In a burst of prompts with one
 // prefix, as when a ferry is late, other engines have to take some of the prompts although
 // they have to compute the prefix first.
-func TestBusyEngineSharesItsOpenings(t *testing.T) {
+func TestBusyHomeEngineSharesLoad(t *testing.T) {
 	all := engines(12)
 	home := DecidePrefix(PrefixConfig{}, longPrompt(1), all).Target()
 	all[home].Prefilling = 8
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestChoiceWeighsWhatReadingAgainCosts(t *testing.T) {
+func TestChoiceWeighsRecomputeCost(t *testing.T) {
 	tests := []struct {
 		name string
 		set  func(home, other *PrefixCandidate)
@@ -250,7 +250,7 @@
 // all contexts are cold, and for some seconds there are more long prompts than memory. A
 // prompt sent to a full engine evicts contexts in use there, so it has to go to an engine
 // with free memory or wait.
-func TestPromptsGoWhereThereIsRoom(t *testing.T) {
+func TestPromptsAvoidEnginesWithoutFreeMemory(t *testing.T) {
 	all := engines(12)
 	for i := range all {
 		all[i].Excluded = NoRoom
@@ -269,7 +269,7 @@
 	}
 }
 
-func TestNobodyLeftIsSaid(t *testing.T) {
+func TestNoCandidateIsReported(t *testing.T) {
 	all := engines(2)
 	all[0].Excluded, all[1].Excluded = AlreadyTried, OtherVersion
 
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestLonelyEngineTakesEverything(t *testing.T) {
+func TestSingleEngineTakesEverything(t *testing.T) {
 	all := engines(1)
 
 	for i := range 10 {
@@ -292,7 +292,7 @@
 	}
 }
 
-func BenchmarkDecideOpening(b *testing.B) {
+func BenchmarkDecidePrefix(b *testing.B) {
 	all := engines(55)
 	r := longPrompt(7)
 
@@ -306,7 +306,7 @@
 // Guards against moving all prompts at once to the few engines with new weights. Those
 // engines would recompute all contexts at the same time, and short prompts would wait for
 // that while engines with old weights, which are still allowed and hold the contexts, idle.
-func TestQuestionsStayOnOldWeightsWhileTheNewEnginesRead(t *testing.T) {
+func TestShortPromptsUseOldWeightsWhileNewEnginesPrefill(t *testing.T) {
 	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 1000}
 	tests := []struct {
 		name    string
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -114,7 +114,7 @@
 
 // Guards against overload of a single engine: many entries act on the same load report
 // from seconds ago, and if all chose the least loaded engine, the others would idle.
-func TestStaleViewSpreads(t *testing.T) {
+func TestStaleLoadReportsSpreadRequests(t *testing.T) {
 	candidates := make([]Candidate, 8)
 	for i := range candidates {
 		candidates[i] = engine(fmt.Sprint(i))
--- a/setting/page_test.go
+++ b/setting/page_test.go
@@ -226,7 +226,7 @@
 	return strings.TrimRight(b.String(), "\n") + "\n"
 }
 
-func TestPageTellsEveryKey(t *testing.T) {
+func TestConfigurationPageMatchesCode(t *testing.T) {
 	want := renderReference(t)
 
 	if *update {
--- a/setting/publication/passing_test.go
+++ b/setting/publication/passing_test.go
@@ -331,7 +331,7 @@
 // The log is down, and every process of a data centre is replaced, one after the
 // other. Each replacement must get the version from a peer, even after the last
 // process that had read it from the log is gone.
-func TestReplacedProcessesTakeTheVersionFromPeers(t *testing.T) {
+func TestReplacedProcessesGetVersionFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dc := newTestDataCentre(30)
 		defer dc.stop()
@@ -372,7 +372,7 @@
 
 // The member lists of processes differ for a while. If two processes polled each
 // other, neither would learn of a change.
-func TestNobodyAsksInACircle(t *testing.T) {
+func TestNoPollingCycles(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := newTestDataCentre(60).members
 
@@ -478,7 +478,7 @@
 // Parsing a tree of 10,000 organisations takes a while. If a process distributed a
 // version only afterwards, the parsing times of all processes on the way would add
 // up.
-func TestVersionIsPassedOnWhileItIsRead(t *testing.T) {
+func TestVersionIsDistributedDuringParsing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		release := make(chan struct{})
--- a/setting/publication/publication_test.go
+++ b/setting/publication/publication_test.go
@@ -55,7 +55,7 @@
 
 // Two operators edit the same version. If both were told that their change is in
 // force, the first one's change would be lost unnoticed.
-func TestSecondOperatorIsToldWhatToRebaseOn(t *testing.T) {
+func TestConflictHasVersionToRebaseOn(t *testing.T) {
 	log := newFakeLog()
 
 	first, err := publishText(log, "one", 0, treeText(3))
@@ -116,7 +116,7 @@
 // The log accepts a change, but the response is lost. A publisher that retries
 // without reading on would get a conflict with its own change, and its operator
 // would undo a change that is in force.
-func TestLostAnswerIsSettledByReadingOn(t *testing.T) {
+func TestLostAppendResponseIsResolvedByReading(t *testing.T) {
 	log := newFakeLog()
 	log.loseResponses = 1
 
@@ -135,7 +135,7 @@
 // outcome, another operator recovers, and then the first record arrives. It must not
 // revert the settings in force.
 // (Found by TestAcceptedSettingsNeverRevert, seed 11455200776972050946.)
-func TestLateRecoveryTakesNothingBack(t *testing.T) {
+func TestDelayedRecoveryDoesNotRevert(t *testing.T) {
 	log := newFakeLog()
 
 	if _, err := publishText(log, "one", 0, treeText(1)); err != nil {
@@ -180,7 +180,7 @@
 // An update must not change after it was returned while the sender applies further
 // versions. Otherwise its hash no longer matches, and the receiver refuses valid
 // settings. (Found by TestAcceptedSettingsNeverRevert, seed 623287.)
-func TestHandoverStaysAsItWas(t *testing.T) {
+func TestUpdateIsNotModifiedAfterReturn(t *testing.T) {
 	log := newFakeLog()
 	from, to := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
@@ -218,7 +218,7 @@
 // log then trims that part. A process that starts now and relies on the snapshot
 // would miss the part, refuse the change that all others accepted, and keep the
 // old settings for ever.
-func TestSnapshotBetweenPartsHidesNothing(t *testing.T) {
+func TestSnapshotBetweenPartsLosesNoChange(t *testing.T) {
 	log := newFakeLog()
 	reader, starter := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
@@ -268,7 +268,7 @@
 
 // Two operators publish changes of several records at once, and the records
 // interleave. Which change is accepted must not depend on where a reader started.
-func TestMixedPartsAreNoChange(t *testing.T) {
+func TestInterleavedPartsAreRefused(t *testing.T) {
 	log := newFakeLog()
 
 	first, err := publishText(log, "one", 0, treeText(1))
@@ -306,7 +306,7 @@
 // The process that holds the lease for snapshots may be one that doesn't read the
 // log. If it didn't record its own snapshots, it would write the full tree again at
 // each check, and the log would trim the changes all the sooner.
-func TestSnapshotIsDueNowAndThen(t *testing.T) {
+func TestSnapshotDue(t *testing.T) {
 	log := newFakeLog()
 	reader := newTestFollower(log, "e1")
 
@@ -375,7 +375,7 @@
 // While a change of several records is published, another operator's record, which
 // is refused, is appended between them. The version in force hasn't changed, so the
 // operator must get neither a conflict nor an unknown outcome.
-func TestInterruptedChangeIsSentAgain(t *testing.T) {
+func TestInterruptedChangeIsRetried(t *testing.T) {
 	log := newFakeLog()
 
 	first, err := publishText(log, "one", 0, treeText(1))
@@ -410,7 +410,7 @@
 // During an upgrade an operator with the newer release publishes a key that the
 // older release doesn't know. If the older release ignored that version, its
 // processes would refuse this and all later changes, and lag for ever.
-func TestVersionOfANewerReleaseIsPassedOn(t *testing.T) {
+func TestVersionOfNewerReleaseIsDistributed(t *testing.T) {
 	log := newFakeLog()
 	reader, lagging := newTestFollower(log, "e1"), newTestFollower(log, "e2")
 
--- a/setting/publication/stateful_test.go
+++ b/setting/publication/stateful_test.go
@@ -317,7 +317,7 @@
 
 // A record is damaged in the log. That may lose the change, but must neither bring a
 // text into force that nobody published nor end the process.
-func TestDamagedRecordsAreNoChanges(t *testing.T) {
+func TestDamagedRecordsAreRefused(t *testing.T) {
 	texts := []string{"share = 2.0\n", "share = 3.0\nrequest_burst = 17\n"}
 
 	rapid.Check(t, func(t *rapid.T) {
--- a/setting/stateful_test.go
+++ b/setting/stateful_test.go
@@ -142,7 +142,7 @@
 // A tree is decoded in chunks. If a chunk could be decoded differently from the
 // complete file, a file would be valid on one day and invalid on the next, when an
 // added table moves a chunk boundary.
-func TestPiecesDecodeAsTheWhole(t *testing.T) {
+func TestChunksDecodeLikeFullFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, text := drawTree(t)
 
@@ -196,7 +196,7 @@
 
 // A dotted key defines a table that a later header must not open again. With a
 // chunk boundary between the two, neither chunk shows the problem.
-func TestDottedKeysAreDecodedWhole(t *testing.T) {
+func TestDottedKeysAreNotChunked(t *testing.T) {
 	text := objectTables + "[site.a]\nservice.a.share = 3.0\n\n"
 	for i := range 10 * tablesPerChunk {
 		text += fmt.Sprintf("[site.b.service.a.organisation.a.workload.w%d]\nshare = 2.0\n\n", i)
--- a/setting/tree_test.go
+++ b/setting/tree_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestProblemsHaveLineAndKey(t *testing.T) {
 	const world = "[[data_centre]]\nname = \"a\"\nsite = \"s\"\nregion = \"r\"\n" +
 		"[[service]]\nname = \"v\"\nkind = \"plain\"\n"
 
--- a/side/verdict_test.go
+++ b/side/verdict_test.go
@@ -39,7 +39,7 @@
 // A run is lost and the engine refuses connections. If the engine crashed, the run may be
 // the cause and must be kept from a third engine. If the engine shuts down gracefully,
 // other runs continue there, and the lost run must not be quarantined.
-func TestLostRunIsJudgedByTheOthers(t *testing.T) {
+func TestLostRunIsResolvedByOtherConnections(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	lost, other := quarantine.FingerprintOf("desk", []byte("lost")), quarantine.FingerprintOf("desk", []byte("other"))
 	tests := []struct {
@@ -125,7 +125,7 @@
 
 // If the engine then responds with the same boot id it did not crash, and nothing is
 // suspected. With another boot id the lost request is.
-func TestLostRunIsJudgedByTheNextStart(t *testing.T) {
+func TestLostRunIsResolvedByNextBoot(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 
 	for _, tt := range []struct {
--- a/slowstart/guard_test.go
+++ b/slowstart/guard_test.go
@@ -74,7 +74,7 @@
 
 // Guards against a target that is taken for warm because of the answers that it gave before it
 // was restarted.
-func TestDoubtStandsUntilTheTargetIsAsked(t *testing.T) {
+func TestTargetIsAssumedColdUntilItReports(t *testing.T) {
 	g := NewGuard(limit, 1)
 	g.ReportRemaining(epoch, 0)
 	g.AssumeCold(epoch.Add(time.Second))
@@ -103,7 +103,7 @@
 	return h.cold, h.err
 }
 
-func TestProbeAsksOnlyWhereItMatters(t *testing.T) {
+func TestProbeSkipsUnboundedAndSuspendedTargets(t *testing.T) {
 	h := &fakeHealth{cold: time.Second}
 	g := NewGuard(Limit{}, 1)
 	p := NewProbe(ProbeConfig{Guard: g, Health: h, Address: "a"})
--- a/socket/socket_test.go
+++ b/socket/socket_test.go
@@ -73,7 +73,7 @@
 
 // Guards against lost requests: a client connects just as a server stops its listener. The
 // connection must be accepted first, or the client's request is reset.
-func TestShutWaitsForWhoeverArrives(t *testing.T) {
+func TestListenerStaysOpenWithPendingConnection(t *testing.T) {
 	l, _ := dialPending(t)
 
 	if ShutdownIfIdle(l) {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -104,7 +104,7 @@
 
 var filePrompt = strings.Repeat("case file 4711, ", 40)
 
-func TestSecondTimeIsCached(t *testing.T) {
+func TestRepeatedPromptIsCached(t *testing.T) {
 	s, url := start(t, fastConfig())
 	r := Request{Model: "casemodel", Prompt: filePrompt, MaxTokens: 20}
 	_, first := complete(t, url, r)
@@ -166,7 +166,7 @@
 
 // The client of a long completion disconnects. Its batch slot must be released, or the
 // engine fills up with completions that no client reads.
-func TestCancelFreesThePlace(t *testing.T) {
+func TestCancelReleasesBatchSlot(t *testing.T) {
 	cfg := fastConfig()
 	cfg.MaxRunning = 1
 	cfg.DecodeTokensPerSecond = 1
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestWaitQueueIsOrderedByPriority(t *testing.T) {
 	s := New(fastConfig())
 	s.running = s.cfg.MaxRunning
 	first := make(chan int, 3)
@@ -288,7 +288,7 @@
 
 // A copy of cached blocks is altered or truncated in transit. The engine imports it
 // without verification, and the completion is wrong.
-func TestImportOfATornCopyShows(t *testing.T) {
+func TestImportOfDamagedCopyChangesCompletion(t *testing.T) {
 	_, from := start(t, fastConfig())
 	complete(t, from, Request{Model: "casemodel", Prompt: filePrompt})
 
@@ -336,7 +336,7 @@
 
 // An order arrives after a newer one that was sent later. Applying it would restore the
 // old weights.
-func TestOldOrderIsRefused(t *testing.T) {
+func TestOrderWithStaleFenceIsRejected(t *testing.T) {
 	_, url := start(t, fastConfig())
 	cases := []struct {
 		fence  uint64
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestSwitches(t *testing.T) {
+func TestFaultSettings(t *testing.T) {
 	start(t, logservice.New(logservice.Config{}).Handler()).runSteps([]step{
 		{"GET", "/healthz", "", 200, `"ok"`},
 		{"POST", "/faults", `{"delay_ms":1}`, 200, `"delay_ms":1`},
@@ -111,7 +111,7 @@
 
 // A reader long-polls for the next record while another client appends it. The response
 // must come with the append, not when the wait time ends.
-func TestLogWakesAReader(t *testing.T) {
+func TestLogLongPollReturnsNewRecord(t *testing.T) {
 	c := start(t, logservice.New(logservice.Config{}).Handler())
 	got := make(chan string)
 
@@ -129,7 +129,7 @@
 
 // The log service applies an append and its response is lost: the writer sees a broken
 // connection, but the record is stored.
-func TestLogLosesAnswersAfterTheEffect(t *testing.T) {
+func TestLogLosesResponseToAppliedAppend(t *testing.T) {
 	start(t, logservice.New(logservice.Config{}).Handler()).runSteps([]step{
 		{"POST", "/faults", `{"lose_answers":1}`, 200, ""},
 		{"POST", "/streams/s/records", `{"records":["YQ=="]}`, noResponse, ""},
@@ -165,7 +165,7 @@
 }
 
 // A store truncates an object, and its response looks complete.
-func TestStoreCuts(t *testing.T) {
+func TestStoreTruncatesObject(t *testing.T) {
 	c := start(t, vault.New(vault.Config{}).Handler())
 	c.runSteps([]step{{"PUT", "/objects/a", "0123456", 201, ""}, {"POST", "/faults", `{"cut_bytes":3}`, 200, ""}})
 
@@ -176,7 +176,7 @@
 }
 
 // A request to an unresponsive store waits until its client cancels it.
-func TestDeadStore(t *testing.T) {
+func TestUnresponsiveStore(t *testing.T) {
 	c := start(t, vault.New(vault.Config{Faults: vault.Faults{Unresponsive: true}}).Handler())
 	ctx, cancel := context.WithCancel(t.Context())
 	got := make(chan int)
@@ -196,7 +196,7 @@
 
 // The service fails before it makes a booking, or makes one whose response is lost. Only
 // the list of runs tells the two cases apart.
-func TestPlainCountsWhatItRan(t *testing.T) {
+func TestPlainServiceRecordsExecutedRequests(t *testing.T) {
 	s := plain.New(plain.Config{Service: "booking-api", VM: "booking-1"})
 	start(t, s.Handler()).runSteps([]step{
 		{"POST", "/bookings?seat=4", "one", 200, `"run":1,"method":"POST","path":"/bookings","body":"one"`},
@@ -242,7 +242,7 @@
 
 // A middlebox loses its state for an open connection: a client on it waits for a response
 // that never arrives, while a new connection works.
-func TestSilentConnection(t *testing.T) {
+func TestUnresponsiveConnection(t *testing.T) {
 	var lc net.ListenConfig
 
 	l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/store/seal_test.go
+++ b/store/seal_test.go
@@ -31,7 +31,7 @@
 // Guards against counting blocks that the prompt doesn't share: when a caller
 // asks for another response or edits a turn, the prompt diverges before the end
 // of the copy, and only the blocks before that point are usable.
-func TestOpenTellsHowManyBlocksAreOfUse(t *testing.T) {
+func TestOpenReturnsSharedBlockCount(t *testing.T) {
 	b, err := Seal(testHeader(), []byte("body"))
 	if err != nil {
 		t.Fatal(err)
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -15,7 +15,7 @@
 {"event":1,"other":"r1","time":1,"message":"mentions it elsewhere"}
 `
 
-func TestStoryIsToldInOrder(t *testing.T) {
+func TestTimelineIsSortedByTime(t *testing.T) {
 	s := New("r1")
 	for _, l := range []string{firstLog, secondLog} {
 		if err := s.Read(strings.NewReader(l)); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestUnknownRequestHasNoStory(t *testing.T) {
+func TestUnknownRequestHasEmptyTimeline(t *testing.T) {
 	s := New("r9")
 	if err := s.Read(strings.NewReader(firstLog)); err != nil || len(s.Lines()) != 0 {
 		t.Errorf("got %v %v, want nothing", s.Lines(), err)
--- a/target/bench_test.go
+++ b/target/bench_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-func BenchmarkNextToAsk(b *testing.B) {
+func BenchmarkNextToPoll(b *testing.B) {
 	forEachSize(b, func(b *testing.B, targets, services int) {
 		t := filledTable(targets, services)
 		now := epoch
@@ -85,7 +85,7 @@
 	})
 }
 
-func BenchmarkHello(b *testing.B) {
+func BenchmarkStateReport(b *testing.B) {
 	forEachSize(b, func(b *testing.B, targets, services int) {
 		t := filledTable(targets, services)
 		h := StateReport{VM: "engine-0007", BootID: "engine-0007-boot-0123456789abcdef", Sequence: 1, State: Ready, WeightVersion: "v1"}
--- a/target/leaving_test.go
+++ b/target/leaving_test.go
@@ -59,7 +59,7 @@
 // Guards against new requests to a VM that is about to be removed. The list may lag, the side
 // process may be unresponsive, and the entry may have no connection to the target; any one
 // of the three sources has to suffice.
-func TestEachWayAloneStopsNewWork(t *testing.T) {
+func TestEachSourceAloneStopsNewWork(t *testing.T) {
 	departures := []departure{
 		{"side process reports draining", 1020 * time.Millisecond, 0, Succeeded, 0},
 		{"list shows leaving after three seconds", 0, 4 * time.Second, Succeeded, 0},
--- a/target/table_test.go
+++ b/target/table_test.go
@@ -62,7 +62,7 @@
 
 // A target restarts and its first report is that it drains; a report of the boot before
 // arrives late. Found by TestWordsAgainstTruth with seed 12414.
-func TestLateHelloOfAnEarlierBootDoesNotBringBackALeavingTarget(t *testing.T) {
+func TestLateReportOfEarlierBootDoesNotRestoreLeavingTarget(t *testing.T) {
 	tab := newTable("b")
 	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "2", Started: epoch, Sequence: 1, State: Draining, Service: service})
 	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "1", Started: epoch.Add(-time.Hour), Sequence: 7, State: Ready, Service: service})
@@ -88,7 +88,7 @@
 
 // Guards against sending more requests to a target that has refused one as draining, when
 // its side process sent no report and the list lags.
-func TestRefusalAsDrainingTakesATargetOut(t *testing.T) {
+func TestRefusalAsDrainingExcludesTarget(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.Done(epoch, tab.Sent(epoch, "a", 10), RefusedDraining)
 
@@ -110,7 +110,7 @@
 
 // Guards against a VM that was paused for so long that the list dropped it, and then resumes:
 // its report must not add it as a new target.
-func TestWokenTargetStaysGone(t *testing.T) {
+func TestResumedTargetStaysUnlisted(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	tab.ObserveList(epoch.Add(time.Minute), list("b", "c"))
 	tab.ObserveList(epoch.Add(time.Hour), list("b", "c"))
@@ -174,7 +174,7 @@
 
 // Guards against a refusal as draining being undone by the first report of the boot that
 // refused, which was sent before it drained and arrives later.
-func TestRefusalOutlivesTheFirstHelloOfItsBoot(t *testing.T) {
+func TestRefusalOverridesFirstReportOfItsBoot(t *testing.T) {
 	tab := newTable("a", "b")
 	tab.Done(epoch, tab.Sent(epoch, "a", 1), RefusedDraining)
 	tab.ObserveState(epoch.Add(time.Second), StateReport{VM: "a", BootID: "2", Sequence: 1, State: Ready})
@@ -249,7 +249,7 @@
 
 // Guards against losing the side process's address when a report without addresses arrives:
 // the target was then treated as having no side process, and its silence went unnoticed.
-func TestSilentTargetIsDoubted(t *testing.T) {
+func TestUnresponsiveTargetIsSuspected(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	later := epoch.Add(time.Minute)
 
@@ -275,7 +275,7 @@
 // Guards against suspecting targets that were not polled. An entry with 200 targets that
 // polls two per second needs 100 s for a round; after 30 s without a report all targets
 // would be suspected.
-func TestTargetThatWasNotAskedIsNotSilent(t *testing.T) {
+func TestTargetNotPolledIsNotSuspected(t *testing.T) {
 	var vms []string
 	for i := range 200 {
 		vms = append(vms, fmt.Sprintf("engine-%03d", i))
@@ -301,7 +301,7 @@
 
 // Guards against polling targets in a fixed order: with a few hundred targets a round would
 // take so long that responsive targets are suspected.
-func TestNextToAskIsTheOneHeardLongestAgo(t *testing.T) {
+func TestNextToPollIsLeastRecentlySeen(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	tab.ObserveState(epoch.Add(time.Second), StateReport{VM: "a", BootID: "1", Sequence: 2, State: Ready})
 	tab.ObserveLoad(epoch.Add(2*time.Second), "b", Load{Running: 1})
@@ -324,7 +324,7 @@
 
 // Guards against exceeding an entry's budget of bandwidth and memory: with 35 models, eight
 // connections for each would be too many.
-func TestSubsetsOfManyServicesStayWithinWhatIsKnown(t *testing.T) {
+func TestSubsetsOfManyServicesStayWithinLimit(t *testing.T) {
 	tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east"})
 
 	var rows []Listed
--- a/target/truth_test.go
+++ b/target/truth_test.go
@@ -118,11 +118,11 @@
 	}
 }
 
-// TestWordsAgainstTruth draws random, overlapping faults: targets leave, restart, load and
+// TestTableAgainstOracle draws random, overlapping faults: targets leave, restart, load and
 // pause; reports are late, reordered and lost; the list lags; requests fail. It guards
 // against sending requests to a target that any source reported as leaving, and against
 // refusing requests while a usable target is left.
-func TestWordsAgainstTruth(t *testing.T) {
+func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newOracle(rapid.IntRange(1, 8).Draw(rt, "targets"))
 		tab := NewTable(TableConfig{Self: "entry-1", DataCentre: "yvr-east", SubsetSize: 4})
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -101,7 +101,7 @@
 	return string(b), err
 }
 
-func TestConnectionIsKeptOnlyAfterACleanAnswer(t *testing.T) {
+func TestConnectionIsReusedOnlyAfterCompleteResponse(t *testing.T) {
 	tests := []struct {
 		name     string
 		response string
@@ -135,7 +135,7 @@
 
 // A response to an earlier request arrives late, in place of the next response. If it were
 // returned, a caller would see the booking of another one.
-func TestAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	mismatched := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
 	a := newTarget(t, respondEach(mismatched+okResponse))
 
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestOnlyAnswersOfOthersIsAnError(t *testing.T) {
+func TestOnlyResponsesToOtherRequestsIsAnError(t *testing.T) {
 	mismatched := "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nother"
 	a := newTarget(t, respondEach(mismatched+mismatched+mismatched))
 
@@ -161,7 +161,7 @@
 
 // A truncated response must never count as a complete one, and the error must report whether
 // the request may have run.
-func TestFailuresTellHowFarTheRequestCame(t *testing.T) {
+func TestErrorsReportDelivery(t *testing.T) {
 	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +211,7 @@
 
 // A request whose context ended before the first byte was written must not count as sent: a
 // booking that certainly did not run may be retried on another target.
-func TestEndedBeforeSendingIsNotSent(t *testing.T) {
+func TestContextEndedBeforeSendIsNotSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := NewPool(Config{})
 	a := newTarget(t, respondEach(okResponse))
@@ -257,7 +257,7 @@
 
 // A target may reject a long request before it has read the body. The rest of the body must
 // not be taken for the next request on the connection.
-func TestEarlyAnswerDoesNotMixTheBodyIntoTheNextRequest(t *testing.T) {
+func TestEarlyResponseClosesConnectionWithUnsentBody(t *testing.T) {
 	early := func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err != nil {
 			return
@@ -311,7 +311,7 @@
 	}
 }
 
-func TestKeepAliveIsTakenLessAMargin(t *testing.T) {
+func TestKeepAliveTimeoutSubtractsMargin(t *testing.T) {
 	tests := []struct {
 		text string
 		want time.Duration
@@ -330,7 +330,7 @@
 	}
 }
 
-func TestSweepForgetsOldConnections(t *testing.T) {
+func TestSweepClosesExpiredConnections(t *testing.T) {
 	p := NewPool(Config{IdleTimeout: time.Minute})
 	a := newTarget(t, respondEach(okResponse))
 
--- a/vault/epoch_test.go
+++ b/vault/epoch_test.go
@@ -181,7 +181,7 @@
 
 // Guards against fetches of parts that are being saved again in a restarted store, granted by
 // processes that do not know of the restart.
-func TestContextsSavedAgainAfterRestartAreNotFetched(t *testing.T) {
+func TestPartsSavedAgainAfterRestartAreNotFetched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEpochSimulation()
 		process := rapid.IntRange(0, processCount-1)
--- a/vault/peers_test.go
+++ b/vault/peers_test.go
@@ -74,7 +74,7 @@
 // hundreds of stores, and against losing stores that no process reports: all prompts would be
 // recomputed. A process therefore calls a store directly if the processes that follow the stores
 // are dead or do not follow that store.
-func TestOneQuestionCoversAllStores(t *testing.T) {
+func TestOneRequestCoversAllStores(t *testing.T) {
 	tests := []struct {
 		name string
 		dead []string
--- a/vault/vault_test.go
+++ b/vault/vault_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestPartsComeFreeBitByBit(t *testing.T) {
+func TestGraceVariesBetweenParts(t *testing.T) {
 	early, late := 0, 0
 
 	for i := range 1000 {
@@ -255,7 +255,7 @@
 // Guards against updates that leave the receiver's parts different from the reporter's, in any
 // order of changes, polls and restarts of the store or the reporter. Each fetch of a part that
 // only the receiver knows is a miss.
-func TestFollowersKnowWhatTheirTellerKnows(t *testing.T) {
+func TestUpdatesReplicateReportersParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		reporter := NewDirectory(1)
@@ -329,7 +329,7 @@
 // Guards against overloading a store's link, which carries one transfer at a time. Without
 // counting the transfers planned already, processes start more than the link can carry. Those
 // transfers wait for seconds and are discarded, and the prompts are recomputed.
-func TestPromisedTransfersMakeTheNextOneWait(t *testing.T) {
+func TestReservedTransfersDelayLaterOnes(t *testing.T) {
 	now := time.Unix(100, 0)
 	d := NewDirectory(1)
 	d.Configure([]Store{{Address: "large", DataCentre: "east", CapacityTokens: 20_000, FirstByte: 6 * time.Millisecond, TokensPerMs: 250}})
--- a/vault/watcher_test.go
+++ b/vault/watcher_test.go
@@ -158,7 +158,7 @@
 
 // Guards against a shortage of space for parts of the new weights: the old parts must be freed as
 // soon as no process may fetch them.
-func TestOldContextsGoOnceAllKnowOfTheNewVersion(t *testing.T) {
+func TestReplacedPartsAreFreedOnceAllProcessesConfirm(t *testing.T) {
 	got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": true}}, nil)
 
 	if want := oldPart.FreeAfter(true); got < want || got > want+2*sweepInterval {
@@ -169,7 +169,7 @@
 // Guards against freeing a part that a paused VM is fetching. The fetch continues when the VM
 // does, 5 s later in the first case, and the engine would get corrupt KV cache. A VM that never
 // continues must not prevent the freeing for good.
-func TestOldContextsStayWhileAMachineStandsStill(t *testing.T) {
+func TestReplacedPartsAreKeptWhileAVMIsPaused(t *testing.T) {
 	usual := oldPart.FreeAfter(true)
 
 	tests := []struct {
@@ -203,7 +203,7 @@
 // Guards against freeing a part that an unresponsive process is fetching. A registered process
 // that does not answer may be partitioned and still fetching, and its engine would get corrupt KV
 // cache.
-func TestOldContextsStayWhileARegisteredProcessIsSilent(t *testing.T) {
+func TestReplacedPartsAreKeptWhileARegisteredProcessIsUnresponsive(t *testing.T) {
 	got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": false}}, nil)
 
 	if want := oldPart.FreeAfter(false); got < want || got > want+2*sweepInterval {
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestUnreadRegisterKeepsOldContexts(t *testing.T) {
+func TestReplacedPartsAreKeptWhileTheRegisterIsUnreadable(t *testing.T) {
 	got := freedAfter(t, &fakePeers{logDown: true}, nil)
 
 	if want := oldPart.FreeAfter(false); got < want {
--- a/weights/plan_test.go
+++ b/weights/plan_test.go
@@ -14,7 +14,7 @@
 // Versions are rolled out while the leader is replaced, paused and resumed, and reports,
 // orders and replies are delayed, reordered and lost. Guards against too few ready engines
 // and too many concurrent loads.
-func TestRollAgainstEngines(t *testing.T) {
+func TestRollInSimulation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		engines := rapid.IntRange(4, 10).Draw(rt, "engines")
 		minReady := rapid.IntRange(1, engines-1).Draw(rt, "min ready")
@@ -203,7 +203,7 @@
 // A leader is paused and another one takes over. An engine that has not seen the new
 // fencing number could still accept an order of the previous leader, so the new leader must
 // not count it as idle. Guards against too many concurrent loads.
-func TestNewLeaderWaitsForItsFence(t *testing.T) {
+func TestNewLeaderWaitsForFenceConfirmation(t *testing.T) {
 	wanted := []Wanted{{Model: "m", Version: "v2", MinReady: 1}}
 	inventory := inventoryWith(Report{VM: "a", Fence: 2}, Report{VM: "b", Fence: 1})
 
@@ -226,7 +226,7 @@
 
 // A report that was sent before a load began arrives after one that shows the load. If it
 // were recorded, one load too many would be ordered.
-func TestOvertakenReportIsIgnored(t *testing.T) {
+func TestStaleReportIsIgnored(t *testing.T) {
 	inventory := inventoryWith(Report{VM: "a", Sequence: 5, State: Loading}, Report{VM: "a", Sequence: 4})
 
 	if got, want := inventory.View(epoch, nil, 1, epoch).Engines[0].State, Loading; got != want {
@@ -243,7 +243,7 @@
 
 // The reply to an order is lost or refuses it. Only a certain refusal stops the order from
 // counting as a load.
-func TestOrderWithoutACertainRefusalCounts(t *testing.T) {
+func TestOnlyCertainRefusalReleasesOrder(t *testing.T) {
 	cases := []struct {
 		name string
 		err  error
--- a/wholepath/answer_test.go
+++ b/wholepath/answer_test.go
@@ -114,7 +114,7 @@
 // An engine's response is truncated on its way or cannot be parsed. The caller must get
 // the complete response, from another engine if necessary, or an error. A part of it must
 // never look like a complete one.
-func TestCutAnswerPassesForNoWholeOne(t *testing.T) {
+func TestTruncatedResponseIsNotTakenAsComplete(t *testing.T) {
 	cases := []struct {
 		name   string
 		tamper tamperFunc
@@ -136,7 +136,7 @@
 
 // An engine crashes in the middle of long responses. Each response has to be resumed at
 // another engine from the token where it stopped, with no token duplicated or missing.
-func TestAnswersGoOnWhenAnEngineDies(t *testing.T) {
+func TestResponsesResumeAfterEngineCrash(t *testing.T) {
 	const callers, tokens, minChunks = 12, 60, 5
 
 	env := start(t, envConfig{engines: 3, entries: 2, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
@@ -178,7 +178,7 @@
 // The open connections between a side process and its engine become unresponsive in the
 // middle of responses: no data, no error, and new connections work. Each response has to
 // be resumed; otherwise it would look like a slow one and its caller would wait for ever.
-func TestAnswersGoOnWhenConnectionsFallSilent(t *testing.T) {
+func TestResponsesResumeAfterUnresponsiveConnections(t *testing.T) {
 	const callers, tokens, minChunks = 6, 60, 5
 
 	env := start(t, envConfig{engines: 2, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -58,7 +58,7 @@
 // engine. The engine crashes on the other one. If the waiting one, which never
 // reached the engine, were reported as running too, it would count as the cause of
 // two crashes and be quarantined for another caller's request.
-func TestWaitingSuspectIsNotBlamed(t *testing.T) {
+func TestWaitingSuspectIsNotReportedInCrash(t *testing.T) {
 	// maxPolls bounds the polls for the second run to be counted by the side process.
 	const maxPolls = 300
 
@@ -97,7 +97,7 @@
 // sends the next run on one of them. The engine has read nothing of the run. If the run
 // counted as running in a crash, it would be quarantined after a second engine, as in a
 // rolling restart, and everybody who sends the same request would be refused.
-func TestStoppedEngineBlamesNobody(t *testing.T) {
+func TestEngineStopCreatesNoSuspects(t *testing.T) {
 	const callers = 20
 
 	var (
@@ -140,7 +140,7 @@
 // requests. The responses are completed after the port has been closed, and requests that
 // have just arrived are dropped without a response. None of them crashed the engine; if they
 // counted as suspects, they would wait for each other on the remaining engines.
-func TestEngineThatStopsUnderACrowdBlamesNobody(t *testing.T) {
+func TestEngineStopUnderLoadCreatesNoSuspects(t *testing.T) {
 	const streams, tokens, callers = 8, 300, 24
 
 	env := start(t, envConfig{engines: 2, entries: 2, configureEngine: func(_ int, cfg *engine.Config) { cfg.DecodeTokensPerSecond = 100 }})
--- a/wholepath/client_test.go
+++ b/wholepath/client_test.go
@@ -186,7 +186,7 @@
 // A caller disconnects during a long response. If the run were not cancelled, the
 // engine's batch slots would fill up with abandoned responses, and later requests
 // would wait for them.
-func TestCancelFreesTheEnginesPlace(t *testing.T) {
+func TestCancelReleasesBatchSlot(t *testing.T) {
 	slow := func(_ int, cfg *engine.Config) { cfg.MaxRunning, cfg.DecodeTokensPerSecond = 1, 20 }
 	env := start(t, envConfig{engines: 1, configureEngine: slow})
 
--- a/wholepath/crash_test.go
+++ b/wholepath/crash_test.go
@@ -88,7 +88,7 @@
 // and loses its KV cache, so no third engine may run the request. The requests that
 // ran beside it must not be quarantined: their retries succeed, and so does another
 // request of the same caller.
-func TestCrashingPromptTakesNoThirdEngine(t *testing.T) {
+func TestCrashingPromptIsQuarantinedAfterTwoEngines(t *testing.T) {
 	const engines, entries, callers, tokens = 5, 3, 9, 100
 
 	env, crashes := startCrashEnv(t, engines, entries, 100)
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -69,7 +69,7 @@
 // does not know of the stop sends it a booking, which it no longer reads. The caller must
 // not be told that the booking may have been made, and the booking must not count as one
 // that crashed its target.
-func TestBookingThatMeetsTheEndOfASideProcess(t *testing.T) {
+func TestBookingSentToExitingSideProcess(t *testing.T) {
 	const key = "one-seat"
 
 	env := start(t, envConfig{engines: 0, entries: 1, plainServices: 2})
@@ -98,7 +98,7 @@
 // entries that keep their connections to them until they exit. No caller may be left
 // uncertain whether its request was run, and no request may count as one that crashed
 // a target.
-func TestStoppedSideProcessLeavesNothingInDoubt(t *testing.T) {
+func TestSideProcessStopLeavesNoUncertainOutcome(t *testing.T) {
 	const bookingClients, completionClients = 6, 6
 
 	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 2})
@@ -143,7 +143,7 @@
 // connection between them. A request at the other entry waits for the response before its
 // prompt is sent to an engine, so the query must be answered or refused: without either, the
 // first token is delayed.
-func TestLeavingEntryLeavesNoPeerInDoubt(t *testing.T) {
+func TestStoppingEntryAnswersOrRefusesPeerQueries(t *testing.T) {
 	env := start(t, envConfig{engines: 1, entries: 2})
 	leaving, asking := env.entries[0].process, env.entries[1].process
 	to := peer.Address{VM: "entry-1", Addr: leaving.server.Addr()}
--- a/wholepath/hole_test.go
+++ b/wholepath/hole_test.go
@@ -8,7 +8,7 @@
 // A chunk of an engine's response is lost or duplicated; the other chunks arrive in order
 // and the stream ends properly. The caller would get a text with a gap. The token count
 // that the engine reports reveals it, so the result must be a complete response or an error.
-func TestAnswerWithAHolePassesForNoWholeOne(t *testing.T) {
+func TestResponseWithGapIsNotTakenAsComplete(t *testing.T) {
 	cases := []struct {
 		name   string
 		tamper tamperFunc
--- a/wholepath/input_test.go
+++ b/wholepath/input_test.go
@@ -57,7 +57,7 @@
 
 // A caller sends an invalid request. The refusal must say what is wrong, in a message and
 // in a code that a program can act on, and nothing may have run.
-func TestBadInputIsRefusedWithItsKind(t *testing.T) {
+func TestInvalidInputErrorCodes(t *testing.T) {
 	const (
 		completionsPath = "/v1/completions"
 		chatPath        = "/v1/chat/completions"
--- a/wholepath/path_test.go
+++ b/wholepath/path_test.go
@@ -9,7 +9,7 @@
 // A program calls a path or method that does not exist. Client libraries parse errors in
 // one format only, and finding the cause needs the request id, so this refusal must
 // have the same form as every other.
-func TestUnknownPathIsRefusedLikeAllElse(t *testing.T) {
+func TestUnknownPathErrorFormat(t *testing.T) {
 	env := start(t, envConfig{engines: 1})
 	cases := []struct{ name, method, path string }{
 		{"unknown path", "GET", "/v1/no-such"},
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -80,7 +80,7 @@
 // Processes and stand-ins are stopped gracefully while long responses are streaming
 // and bookings are in flight. If a stop cut off requests, every ordinary restart
 // would break responses.
-func TestPlannedStopCutsOffNoRequest(t *testing.T) {
+func TestGracefulStopCutsOffNoRequest(t *testing.T) {
 	cases := []struct {
 		name string
 		stop []func(env *testEnv)
@@ -187,7 +187,7 @@
 // The platform lists an engine's VM as leaving while requests keep arriving. An entry
 // that went on sending requests to it after reading that list would have them cut off
 // when the VM is removed.
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	env := start(t, envConfig{engines: 2, entries: 2})
 	leaving := env.engines[0]
 	env.sendJSON(http.MethodPut, env.vmListURL+"/vms/"+leaving.vm, vm.VM{
@@ -217,7 +217,7 @@
 // An entry stops while callers keep sending requests and bookings on their open
 // connections, until the balancer directs them to another entry. A caller whose connection
 // is closed during a request would get neither a response nor a refusal.
-func TestLeavingEntryAnswersWhoeverKeepsAConnection(t *testing.T) {
+func TestStoppingEntryServesOpenConnections(t *testing.T) {
 	const bookingClients, completionClients = 6, 6
 
 	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 1})
--- a/wholepath/swapped_test.go
+++ b/wholepath/swapped_test.go
@@ -16,7 +16,7 @@
 // Two callers send prompts at the same time, and the engine, or a proxy before it,
 // swaps the two responses. Each caller must get its own response or an error: the
 // response to another request may disclose private data.
-func TestCrossedAnswersReachNobody(t *testing.T) {
+func TestSwappedResponsesAreNotDelivered(t *testing.T) {
 	const tokens = 6
 
 	var (
