--- a/docs/measures/idle.sh
+++ b/docs/measures/idle.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures what entries and side processes use while nobody asks anything:
+# Measures what entries and side processes use while no requests come:
 #
 #   docs/measures/idle.sh PROGRAM ENTRIES TARGETS [SECONDS]
 #
