--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -234,11 +234,11 @@
 	}
 }
 
-// Tell announces to all entries, this one included, that a target which this entry orders to
-// load a version is about to load it or has loaded it.
-func (e *gatewayProcess) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
+// AnnounceVersion announces to all entries, this one included, that a target which this entry
+// orders to load a version is about to load it or has loaded it.
+func (e *gatewayProcess) AnnounceVersion(ctx context.Context, address, model string, version int64, loaded bool) {
 	e.onAnnouncement(time.Now(), exchange.VersionAnnouncement{Address: address, Model: model, Version: version, Loaded: loaded})
-	e.client.Tell(ctx, address, model, version, loaded)
+	e.client.AnnounceVersion(ctx, address, model, version, loaded)
 }
 
 // runRegistration registers this entry's address for other processes in the log.
--- a/loader/bringer.go
+++ b/loader/bringer.go
@@ -41,7 +41,7 @@
 // reload announces the load to the entries, so that they send their requests to other
 // engines, and then orders it.
 func (r *reloader) reload(ctx context.Context, self string, n DesiredVersion) {
-	r.entries.Tell(ctx, r.address, n.Model, n.Version, false)
+	r.entries.AnnounceVersion(ctx, r.address, n.Model, n.Version, false)
 
 	if pause.For(ctx, announceLead) {
 		r.orderAndWait(ctx, self, n)
@@ -77,7 +77,7 @@
 		switch {
 		case ok && s.Versions[n.Model] >= n.Version && !s.Busy:
 			event.Log(r.log, event.VersionLoaded, "model", n.Model, "version", s.Versions[n.Model], "after_ms", now.Sub(started).Milliseconds())
-			r.entries.Tell(ctx, r.address, n.Model, s.Versions[n.Model], true)
+			r.entries.AnnounceVersion(ctx, r.address, n.Model, s.Versions[n.Model], true)
 
 			return
 		case ok && !s.Busy && now.Sub(orderedAt) > orderRetryInterval && r.mayOrder(now):
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -103,9 +103,9 @@
 
 // Entries announces loads to all entries.
 type Entries interface {
-	// Tell announces that the engine at an address is about to load a version, or,
-	// with loaded set, that it has loaded it.
-	Tell(ctx context.Context, address, model string, version int64, loaded bool)
+	// AnnounceVersion announces that the engine at an address is about to load a
+	// version, or, with loaded set, that it has loaded it.
+	AnnounceVersion(ctx context.Context, address, model string, version int64, loaded bool)
 }
 
 // Config configures a Loader.
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -166,7 +166,7 @@
 	announcements []string
 }
 
-func (e *fakeEntries) Tell(_ context.Context, _, _ string, version int64, loaded bool) {
+func (e *fakeEntries) AnnounceVersion(_ context.Context, _, _ string, version int64, loaded bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
--- a/loader/standby.go
+++ b/loader/standby.go
@@ -256,7 +256,7 @@
 
 	switch {
 	case state.Versions[n.Model] >= n.Version:
-		s.cfg.Entries.Tell(ctx, e.Address, n.Model, state.Versions[n.Model], true)
+		s.cfg.Entries.AnnounceVersion(ctx, e.Address, n.Model, state.Versions[n.Model], true)
 
 		return
 	case state.Busy:
--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -269,15 +269,16 @@
 	return req, nil
 }
 
-// announceTimeout is how long Tell waits for responses. Otherwise a paused entry would delay the
-// announced load of weights, and engines in later rollout slots would load at the same time.
+// announceTimeout is how long AnnounceVersion waits for responses. Otherwise a paused entry would
+// delay the announced load of weights, and engines in later rollout slots would load at the same
+// time.
 const announceTimeout = 50 * time.Millisecond
 
-// Tell announces to all entries that the engine at an address is about to load a version of a
-// model's weights or, if loaded is set, has loaded it. It returns after announceTimeout at the
+// AnnounceVersion announces to all entries that the engine at an address is about to load a version
+// of a model's weights or, if loaded is set, has loaded it. It returns after announceTimeout at the
 // latest. An entry that doesn't receive the message learns of the change from the engine's refusals
 // and responses.
-func (c *Client) Tell(ctx context.Context, address, model string, version int64, loaded bool) {
+func (c *Client) AnnounceVersion(ctx context.Context, address, model string, version int64, loaded bool) {
 	done := make(chan struct{})
 
 	go func() {
@@ -310,7 +311,7 @@
 
 	for _, a := range c.members.LiveAndSeeds(time.Now()) {
 		wg.Go(func() {
-			//nolint:errcheck,gosec // see Tell and TellCrash
+			//nolint:errcheck,gosec // see AnnounceVersion and ReportCrash
 			c.call(ctx, http.MethodPost, a, path, body, 0)
 		})
 	}
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -155,10 +155,10 @@
 	c := NewClient(NewMembers("", []string{e.address, unresponsiveEntry(t)}))
 	began := time.Now()
 
-	c.Tell(context.Background(), "10.0.0.1:80", "m", 2, false)
+	c.AnnounceVersion(context.Background(), "10.0.0.1:80", "m", 2, false)
 
 	if took := time.Since(began); took > callTimeout {
-		t.Errorf("got a return of Tell after %v, want at most %v", took, announceTimeout)
+		t.Errorf("got a return of AnnounceVersion after %v, want at most %v", took, announceTimeout)
 	}
 
 	for range 500 {
