--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -325,8 +325,8 @@
 	return c.members.Watchers(time.Now())
 }
 
-// Ask requests the changes of stores since the given positions from an entry.
-func (c *Client) Ask(ctx context.Context, peer string, positions []vault.Position) ([]vault.Update, error) {
+// StoreUpdates requests the changes of stores since the given positions from an entry.
+func (c *Client) StoreUpdates(ctx context.Context, peer string, positions []vault.Position) ([]vault.Update, error) {
 	body, err := cbor.Marshal(positions)
 	if err != nil {
 		return nil, err
--- a/mirror/exchange/compress_test.go
+++ b/mirror/exchange/compress_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 
-	got, err := NewClient(NewMembers("", nil)).Ask(context.Background(), e.address, positions)
+	got, err := NewClient(NewMembers("", nil)).StoreUpdates(context.Background(), e.address, positions)
 	if err != nil || len(got) != storeCount || got[storeCount-1].Epoch != want[storeCount-1].Epoch || !got[storeCount-1].Reachable {
 		t.Errorf("got %d updates, %v, want %d", len(got), err, storeCount)
 	}
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -198,7 +198,7 @@
 	e.vaults.Configure([]vault.Store{{Address: "s1"}})
 	e.vaults.ApplyListing(time.Now(), "s1", vault.Listing{Epoch: 3, Clock: 5, Held: []vault.Held{{Part: vault.Part{Salt: "x", ID: "a"}, Tokens: 7}}})
 
-	u, err := NewClient(NewMembers("", nil)).Ask(context.Background(), e.address, []vault.Position{{Address: "s1"}, {Address: "s2"}})
+	u, err := NewClient(NewMembers("", nil)).StoreUpdates(context.Background(), e.address, []vault.Position{{Address: "s1"}, {Address: "s2"}})
 	if err != nil || len(u) != 2 || !u[0].Reachable || len(u[0].Events) != 1 || u[0].Events[0].Tokens != 7 || u[1].Reachable {
 		t.Errorf("got %+v %v", u, err)
 	}
--- a/vault/peers_test.go
+++ b/vault/peers_test.go
@@ -19,13 +19,13 @@
 	mu                sync.Mutex
 	dead              map[string]bool
 	storesUnreachable bool           // they follow the stores, but the stores do not answer
-	asks              map[string]int // calls of Ask, by process
+	asks              map[string]int // calls of StoreUpdates, by process
 	reachable         map[string]bool
 }
 
 func (*fakeReporters) Watchers() ([]string, bool) { return []string{"one", "two"}, false }
 
-func (p *fakeReporters) Ask(_ context.Context, peer string, positions []Position) ([]Update, error) {
+func (p *fakeReporters) StoreUpdates(_ context.Context, peer string, positions []Position) ([]Update, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -112,7 +112,7 @@
 
 				const rounds = 16 // of 300 ms in four seconds, with a margin
 				if got := peers.asks["one"]; got > rounds {
-					t.Errorf("got %d calls of Ask, want at most %d", got, rounds)
+					t.Errorf("got %d calls of StoreUpdates, want at most %d", got, rounds)
 				}
 			})
 		})
@@ -239,14 +239,14 @@
 
 const askTimeout = 400 * time.Millisecond
 
-func (p *hangingReporters) Ask(ctx context.Context, peer string, positions []Position) ([]Update, error) {
+func (p *hangingReporters) StoreUpdates(ctx context.Context, peer string, positions []Position) ([]Update, error) {
 	if p.hanging[peer] {
 		time.Sleep(askTimeout)
 
 		return nil, context.DeadlineExceeded
 	}
 
-	return p.fakeReporters.Ask(ctx, peer, positions)
+	return p.fakeReporters.StoreUpdates(ctx, peer, positions)
 }
 
 // Guards against an unresponsive peer delaying updates until they are too old to be passed on,
--- a/vault/start_test.go
+++ b/vault/start_test.go
@@ -95,7 +95,7 @@
 	return others, false
 }
 
-func (p *fleetPeers) Ask(_ context.Context, peer string, positions []Position) ([]Update, error) {
+func (p *fleetPeers) StoreUpdates(_ context.Context, peer string, positions []Position) ([]Update, error) {
 	time.Sleep(time.Millisecond)
 
 	var i int
--- a/vault/watcher.go
+++ b/vault/watcher.go
@@ -70,8 +70,8 @@
 	// Watchers returns the processes to ask about the stores, in order of preference. Self
 	// reports whether this process follows the stores directly.
 	Watchers() (others []string, self bool)
-	// Ask requests a process's updates since the positions.
-	Ask(ctx context.Context, peer string, positions []Position) ([]Update, error)
+	// StoreUpdates requests a process's updates since the positions.
+	StoreUpdates(ctx context.Context, peer string, positions []Position) ([]Update, error)
 	// Registered reads from the log which processes may use RegisteredGrace.
 	Registered(ctx context.Context) ([]string, error)
 	// Knows reports whether a process has read the operators' topic up to and including an
@@ -354,7 +354,7 @@
 			return
 		}
 
-		updates, err := w.cfg.Peers.Ask(ctx, peer, w.positions(remaining))
+		updates, err := w.cfg.Peers.StoreUpdates(ctx, peer, w.positions(remaining))
 		if err != nil {
 			w.peerFailedAt[peer] = time.Now()
 
--- a/vault/watcher_test.go
+++ b/vault/watcher_test.go
@@ -29,7 +29,9 @@
 
 func (*fakePeers) Watchers() ([]string, bool) { return nil, true }
 
-func (*fakePeers) Ask(context.Context, string, []Position) ([]Update, error) { return nil, nil }
+func (*fakePeers) StoreUpdates(context.Context, string, []Position) ([]Update, error) {
+	return nil, nil
+}
 
 func (p *fakePeers) Registered(context.Context) ([]string, error) {
 	p.mu.Lock()
