--- a/entry/links.go
+++ b/entry/links.go
@@ -50,12 +50,12 @@
 	}
 }
 
-// Way implements route.Links.
-func (l *linkTable) Way(now time.Time, from, to string) (time.Duration, float64) {
+// WaitAndRate implements route.Links.
+func (l *linkTable) WaitAndRate(now time.Time, from, to string) (time.Duration, float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return l.table.Way(now, from, to)
+	return l.table.WaitAndRate(now, from, to)
 }
 
 // reservation identifies a reserved window on a link; the zero reservation is none.
--- a/experiment/choose.go
+++ b/experiment/choose.go
@@ -355,8 +355,8 @@
 	bytesPerSecond float64
 }
 
-// Way returns the latency and the full rate. It implements route.Links.
-func (f idleLinks) Way(time.Time, string, string) (wait time.Duration, bytesPerSecond float64) {
+// WaitAndRate returns the latency and the full rate. It implements route.Links.
+func (f idleLinks) WaitAndRate(time.Time, string, string) (wait time.Duration, bytesPerSecond float64) {
 	return f.latency, f.bytesPerSecond
 }
 
--- a/link/table.go
+++ b/link/table.go
@@ -45,10 +45,10 @@
 	t.links[direction{b, a}] = New(cfg)
 }
 
-// Way returns the latency of the link from one data centre to another plus the
-// time that a new import would wait for earlier transfers, and the link's rate
+// WaitAndRate returns the latency of the link from one data centre to another plus
+// the time that a new import would wait for earlier transfers, and the link's rate
 // in bytes per second.
-func (t *Table) Way(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64) {
+func (t *Table) WaitAndRate(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64) {
 	l := t.Between(from, to)
 
 	return l.cfg.Latency + l.Wait(now), l.Rate(now)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,7 +13,7 @@
 // fixedLink is a link with a fixed wait.
 type fixedLink time.Duration
 
-func (f fixedLink) Way(time.Time, string, string) (time.Duration, float64) {
+func (f fixedLink) WaitAndRate(time.Time, string, string) (time.Duration, float64) {
 	return time.Duration(f), 1e9
 }
 
--- a/route/way.go
+++ b/route/way.go
@@ -4,9 +4,10 @@
 
 // Links estimates the load of the links between data centres.
 type Links interface {
-	// Way returns how long a new import from one data centre to another would wait for
-	// transfers that are already reserved, and the link's rate in bytes per second.
-	Way(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64)
+	// WaitAndRate returns how long a new import from one data centre to another would
+	// wait for transfers that are already reserved, and the link's rate in bytes per
+	// second.
+	WaitAndRate(now time.Time, from, to string) (wait time.Duration, bytesPerSecond float64)
 }
 
 // MaxSources is the maximum number of sources that a Decision evaluates; further ones
@@ -37,7 +38,7 @@
 		}
 	}
 
-	wait, rate := s.q.Links.Way(s.now, s.q.Sources[source].DataCentre, to)
+	wait, rate := s.q.Links.WaitAndRate(s.now, s.q.Sources[source].DataCentre, to)
 	w := linkEstimate{to: to, wait: seconds(wait)}
 
 	if rate > 0 {
