--- a/claim/claim.go
+++ b/claim/claim.go
@@ -84,7 +84,7 @@
 type Ticket struct {
 	// Outcome is the recorded outcome, which is to be replayed without a run. If
 	// it is nil, the request may run and the ticket must then be passed to
-	// Settle, Withdraw or Lose.
+	// Complete, Withdraw or MarkUnknown.
 	Outcome *Outcome
 	// Unlogged reports that the request runs before its claim is in the log.
 	Unlogged bool
--- a/claim/home.go
+++ b/claim/home.go
@@ -130,9 +130,9 @@
 }
 
 // Claim asks for permission to run q once. A Ticket without an Outcome permits
-// the run; it must then be passed to Settle, Withdraw or Lose. The error kinds
-// are NotReady (this process doesn't own the key's shard; Owner returns the
-// process that does), KeyBusy, KeyReused, KeyExpired, BadRequest,
+// the run; it must then be passed to Complete, Withdraw or MarkUnknown. The
+// error kinds are NotReady (this process doesn't own the key's shard; Owner
+// returns the process that does), KeyBusy, KeyReused, KeyExpired, BadRequest,
 // OutcomeUnknown, LogUnavailable and QueueFull, and Cancelled if ctx is
 // cancelled. They are about this call; LogUnavailable and QueueFull also mean
 // that no earlier call with the key has run.
@@ -175,9 +175,9 @@
 	}
 }
 
-// Settle records the outcome of a run. Retried requests get it from now on; it
+// Complete records the outcome of a run. Retried requests get it from now on; it
 // is written to the log asynchronously.
-func (h *Deduplicator) Settle(_ context.Context, t Ticket, o Outcome) error {
+func (h *Deduplicator) Complete(_ context.Context, t Ticket, o Outcome) error {
 	return h.finish(t, func(c *Coordinator) { c.Complete(t.run, o) })
 }
 
@@ -187,10 +187,10 @@
 	return h.finish(t, func(c *Coordinator) { c.Withdraw(t.run) })
 }
 
-// Lose records that the outcome of a run will never be known, since its target
-// crashed or became unresponsive. Retried requests are answered as
+// MarkUnknown records that the outcome of a run will never be known, since its
+// target crashed or became unresponsive. Retried requests are answered as
 // OutcomeUnknown.
-func (h *Deduplicator) Lose(_ context.Context, t Ticket) error {
+func (h *Deduplicator) MarkUnknown(_ context.Context, t Ticket) error {
 	return h.finish(t, func(c *Coordinator) { c.MarkUnknown(t.run) })
 }
 
@@ -240,8 +240,8 @@
 	}
 }
 
-// Homes returns the numbers of the shards that this process owns.
-func (h *Deduplicator) Homes() []int {
+// OwnedShards returns the numbers of the shards that this process owns.
+func (h *Deduplicator) OwnedShards() []int {
 	var owned []int
 
 	for _, s := range h.followedShards() {
@@ -267,7 +267,7 @@
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
-	for len(h.Homes()) > 0 {
+	for len(h.OwnedShards()) > 0 {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -204,7 +204,7 @@
 	s.mu.Unlock()
 
 	if !dead {
-		_ = p.dedup.Settle(s.ctx, ticket, Outcome{Status: n})
+		_ = p.dedup.Complete(s.ctx, ticket, Outcome{Status: n})
 	}
 }
 
@@ -338,7 +338,7 @@
 			continue
 		}
 
-		for _, n := range p.dedup.Homes() {
+		for _, n := range p.dedup.OwnedShards() {
 			owners[n]++
 		}
 	}
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -45,7 +45,7 @@
 
 		time.Sleep(5 * time.Second)
 
-		if got, want := len(h.Homes()), 2; got != want {
+		if got, want := len(h.OwnedShards()), 2; got != want {
 			t.Fatalf("owned shards: got %d, want %d", got, want)
 		}
 
@@ -60,7 +60,7 @@
 			t.Errorf("claim while running: got %v, want key busy", err)
 		}
 
-		if err := h.Settle(ctx, ticket, Outcome{Status: 201}); err != nil {
+		if err := h.Complete(ctx, ticket, Outcome{Status: 201}); err != nil {
 			t.Fatal(err)
 		}
 
@@ -71,8 +71,8 @@
 			t.Errorf("claim after the run: got %+v %v, want the outcome", ticket, err)
 		}
 
-		if err := h.Drain(ctx); err != nil || len(h.Homes()) != 0 {
-			t.Errorf("drain: got %v and owned shards %v, want none", err, h.Homes())
+		if err := h.Drain(ctx); err != nil || len(h.OwnedShards()) != 0 {
+			t.Errorf("drain: got %v and owned shards %v, want none", err, h.OwnedShards())
 		}
 
 		cancel()
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -56,7 +56,7 @@
 	owner := map[int]*Deduplicator{}
 
 	for _, h := range all {
-		for _, n := range h.Homes() {
+		for _, n := range h.OwnedShards() {
 			owner[n] = h
 		}
 	}
@@ -82,7 +82,7 @@
 
 			time.Sleep(200 * time.Millisecond)
 
-			_ = h.Settle(ctx, t, Outcome{Status: 201, Body: make([]byte, 256)})
+			_ = h.Complete(ctx, t, Outcome{Status: 201, Body: make([]byte, 256)})
 		})
 	}
 
@@ -202,7 +202,7 @@
 		panic(err)
 	}
 
-	_ = h.Settle(ctx, t, Outcome{Status: 201, ContentType: "application/json", Body: make([]byte, body)})
+	_ = h.Complete(ctx, t, Outcome{Status: 201, ContentType: "application/json", Body: make([]byte, body)})
 
 	time.Sleep(time.Second)
 	cancel()
--- a/side/call.go
+++ b/side/call.go
@@ -100,7 +100,7 @@
 
 	switch {
 	case err == nil:
-		settleErr := s.cfg.Claims.Settle(ctx, ticket, claim.Outcome{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body})
+		settleErr := s.cfg.Claims.Complete(ctx, ticket, claim.Outcome{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body})
 		if settleErr != nil {
 			event.Fail(s.cfg.Log, settleErr, event.ReportLost, "request_id", m.RequestID)
 		}
@@ -115,7 +115,7 @@
 
 		return reply, failure.Wrap(failure.Unavailable, err, "the service is down").WithRetryAfter(time.Second)
 	default:
-		if loseErr := s.cfg.Claims.Lose(ctx, ticket); loseErr != nil {
+		if loseErr := s.cfg.Claims.MarkUnknown(ctx, ticket); loseErr != nil {
 			event.Fail(s.cfg.Log, loseErr, event.ReportLost, "request_id", m.RequestID)
 		}
 
--- a/side/side.go
+++ b/side/side.go
@@ -56,11 +56,11 @@
 // Claims records the runs of non-idempotent calls; see package claim.
 type Claims interface {
 	Claim(ctx context.Context, now time.Time, q claim.Request) (claim.Ticket, error)
-	Settle(ctx context.Context, t claim.Ticket, o claim.Outcome) error
+	Complete(ctx context.Context, t claim.Ticket, o claim.Outcome) error
 	Withdraw(ctx context.Context, t claim.Ticket) error
-	Lose(ctx context.Context, t claim.Ticket) error
-	// Homes returns the claim shards whose home is this process.
-	Homes() []int
+	MarkUnknown(ctx context.Context, t claim.Ticket) error
+	// OwnedShards returns the claim shards whose home is this process.
+	OwnedShards() []int
 }
 
 // Opener sends requests to peers; *peer.Dialer implements it.
@@ -268,7 +268,7 @@
 	s.orders.fillState(now, &st)
 
 	if s.cfg.Claims != nil {
-		st.OwnedShards = s.cfg.Claims.Homes()
+		st.OwnedShards = s.cfg.Claims.OwnedShards()
 	}
 
 	return st
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -17,7 +17,7 @@
 	e.t.Helper()
 
 	for _, p := range e.plainServices {
-		for _, s := range p.deduplicator.Homes() {
+		for _, s := range p.deduplicator.OwnedShards() {
 			if s == shard {
 				return p
 			}
