--- a/ctl/client.go
+++ b/ctl/client.go
@@ -16,7 +16,7 @@
 
 // Requester sends a request to a process and returns its reply; *peer.Dialer is one.
 type Requester interface {
-	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
+	Call(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
 // Client reads views from the processes of a fleet. It connects to the addresses, and by the
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
-	reply, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.DocumentRequest{Name: name, Query: query})
+	reply, err := r.Peers.Call(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.DocumentRequest{Name: name, Query: query})
 	if err != nil {
 		return nil, err
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,11 +53,11 @@
 	Current() *publication.Published
 }
 
-// PeerClient opens streams to peers (Open) and sends single requests to them (Ask).
+// PeerClient opens streams to peers (Open) and sends single requests to them (Call).
 // *peer.Dialer implements it.
 type PeerClient interface {
 	Open(ctx context.Context, a peer.Address) (*peer.Stream, error)
-	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
+	Call(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
 // Lister returns the platform's current list of VMs. *vm.Follower implements it.
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 
-	m, err := e.cfg.Peers.Ask(ctx, owner, message.Locate{Anchor: anchor, Chain: chain})
+	m, err := e.cfg.Peers.Call(ctx, owner, message.Locate{Anchor: anchor, Chain: chain})
 	if err == nil {
 		var l message.Located
 
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 
-	if _, err := e.cfg.Peers.Ask(ctx, owner, m); err != nil && ctx.Err() == nil {
+	if _, err := e.cfg.Peers.Call(ctx, owner, m); err != nil && ctx.Err() == nil {
 		event.Fail(e.cfg.Log.V(1), err, event.OwnerSilent, "owner", owner.VM)
 	}
 }
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -40,7 +40,7 @@
 
 // PeerClient sends single requests to peers. *peer.Dialer implements it.
 type PeerClient interface {
-	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
+	Call(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
 // Lister returns the platform's current list of VMs. *vm.Follower implements it.
@@ -284,7 +284,7 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 
-	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.StateRequest{})
+	response, err := l.cfg.Peers.Call(ctx, sideAddress(m), message.StateRequest{})
 	if err != nil {
 		return
 	}
@@ -347,7 +347,7 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 
-	response, err := l.cfg.Peers.Ask(ctx, sideAddress(m), message.Order{
+	response, err := l.cfg.Peers.Call(ctx, sideAddress(m), message.Order{
 		Fence:   o.Fence,
 		Number:  o.Number,
 		Kind:    string(o.Kind),
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -81,7 +81,7 @@
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
 
-			_, _ = e.cfg.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.Locate{})
+			_, _ = e.cfg.Peers.Call(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.Locate{})
 		}()
 
 		return
@@ -136,7 +136,7 @@
 		return e.queryDirectState(ctx, t)
 	}
 
-	m, err := e.cfg.Peers.Ask(ctx, sideAddress(t), message.StateRequest{SettingsVersion: e.version()})
+	m, err := e.cfg.Peers.Call(ctx, sideAddress(t), message.StateRequest{SettingsVersion: e.version()})
 	if err != nil {
 		return message.State{}, err
 	}
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -61,7 +61,7 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		if _, err := d.Ask(ctx, Address{VM: "p", Addr: s.Addr()}, message.StateRequest{}); err != nil {
+		if _, err := d.Call(ctx, Address{VM: "p", Addr: s.Addr()}, message.StateRequest{}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -59,9 +59,9 @@
 	return newStream(q, d.cfg, func(err error) { d.dropConn(s, a, c, err) }), nil
 }
 
-// Ask opens a stream, sends m and returns the single response. When ctx ends first,
+// Call opens a stream, sends m and returns the single response. When ctx ends first,
 // the stream is cancelled.
-func (d *Dialer) Ask(ctx context.Context, a Address, m message.Message) (message.Message, error) {
+func (d *Dialer) Call(ctx context.Context, a Address, m message.Message) (message.Message, error) {
 	s, err := d.Open(ctx, a)
 	if err != nil {
 		return nil, err
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
-	m, err := d.Ask(ctx, a, message.StateRequest{})
+	m, err := d.Call(ctx, a, message.StateRequest{})
 	if err != nil {
 		return err
 	}
--- a/setting/exchange/exchange.go
+++ b/setting/exchange/exchange.go
@@ -18,7 +18,7 @@
 
 // Requester sends requests to peers; *peer.Dialer implements it.
 type Requester interface {
-	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
+	Call(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
 // VMLister returns the platform's VM list; *vm.Follower implements it.
@@ -43,7 +43,7 @@
 		return publication.Update{}, err
 	}
 
-	m, err := p.Requester.Ask(ctx, to, message.SettingsRequest{After: after})
+	m, err := p.Requester.Call(ctx, to, message.SettingsRequest{After: after})
 	if err != nil {
 		return publication.Update{}, err
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 
-	m, err := p.Requester.Ask(ctx, to, message.Settings{Version: u.Version(), Body: u.Encode()})
+	m, err := p.Requester.Call(ctx, to, message.Settings{Version: u.Version(), Body: u.Encode()})
 	if err != nil {
 		return err
 	}
--- a/side/report.go
+++ b/side/report.go
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 
-	got, err := s.cfg.Peers.Ask(ctx, to, m)
+	got, err := s.cfg.Peers.Call(ctx, to, m)
 	if err == nil {
 		_, err = message.Expect[message.Ack](got)
 	}
--- a/side/side.go
+++ b/side/side.go
@@ -65,7 +65,7 @@
 
 // Opener sends requests to peers; *peer.Dialer implements it.
 type Opener interface {
-	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
+	Call(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
 
 // Lister returns the platform's list of VMs; *vm.Follower implements it.
--- a/target/wire_test.go
+++ b/target/wire_test.go
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 
-	if _, err := d.Ask(ctx, peer.Address{VM: state.VM, Addr: addr}, message.StateRequest{SettingsVersion: 8123}); err != nil {
+	if _, err := d.Call(ctx, peer.Address{VM: state.VM, Addr: addr}, message.StateRequest{SettingsVersion: 8123}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -41,7 +41,7 @@
 func (e *testEnv) inFlight(t *target) int {
 	e.t.Helper()
 
-	m, err := e.entries[0].process.dialer.Ask(e.t.Context(), peer.Address{VM: t.vm, Addr: t.process.server.Addr()}, message.StateRequest{})
+	m, err := e.entries[0].process.dialer.Call(e.t.Context(), peer.Address{VM: t.vm, Addr: t.process.server.Addr()}, message.StateRequest{})
 	if err != nil {
 		e.t.Fatal(err)
 	}
--- a/wholepath/context_test.go
+++ b/wholepath/context_test.go
@@ -38,7 +38,7 @@
 	n := e.entries[0]
 	scope := prompt.Scope{Salt: "organisation/" + owner, Model: model, Version: "v1"}
 
-	m, err := n.process.dialer.Ask(e.t.Context(), peer.Address{VM: "entry-1", Addr: n.process.server.Addr()}, message.Locate{
+	m, err := n.process.dialer.Call(e.t.Context(), peer.Address{VM: "entry-1", Addr: n.process.server.Addr()}, message.Locate{
 		Anchor: directory.Anchor(scope, text[:min(len(text), 1024)]),
 		Chain:  scope.Chain(text, prompt.DefaultBlockTokens),
 	})
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -148,7 +148,7 @@
 	leaving, asking := env.entries[0].process, env.entries[1].process
 	to := peer.Address{VM: "entry-1", Addr: leaving.server.Addr()}
 
-	if _, err := asking.dialer.Ask(t.Context(), to, message.Locate{}); err != nil {
+	if _, err := asking.dialer.Call(t.Context(), to, message.Locate{}); err != nil {
 		t.Fatal(err)
 	}
 
