--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -155,10 +155,10 @@
 	c := NewClient(NewMembers("", []string{e.address, unresponsiveEntry(t)}))
 	began := time.Now()
 
-	c.Tell(context.Background(), "10.0.0.1:80", "m", 2, false)
+	c.AnnounceVersion(context.Background(), "10.0.0.1:80", "m", 2, false)
 
 	if took := time.Since(began); took > callTimeout {
-		t.Errorf("got a return of Tell after %v, want at most %v", took, announceTimeout)
+		t.Errorf("got a return of AnnounceVersion after %v, want at most %v", took, announceTimeout)
 	}
 
 	for range 500 {
@@ -198,7 +198,7 @@
 	e.vaults.Configure([]vault.Store{{Address: "s1"}})
 	e.vaults.ApplyListing(time.Now(), "s1", vault.Listing{Epoch: 3, Clock: 5, Held: []vault.Held{{Part: vault.Part{Salt: "x", ID: "a"}, Tokens: 7}}})
 
-	u, err := NewClient(NewMembers("", nil)).Ask(context.Background(), e.address, []vault.Position{{Address: "s1"}, {Address: "s2"}})
+	u, err := NewClient(NewMembers("", nil)).StoreUpdates(context.Background(), e.address, []vault.Position{{Address: "s1"}, {Address: "s2"}})
 	if err != nil || len(u) != 2 || !u[0].Reachable || len(u[0].Events) != 1 || u[0].Events[0].Tokens != 7 || u[1].Reachable {
 		t.Errorf("got %+v %v", u, err)
 	}
--- a/wholepath/doubt_test.go
+++ b/wholepath/doubt_test.go
@@ -17,7 +17,7 @@
 	e.t.Helper()
 
 	for _, p := range e.plainServices {
-		for _, s := range p.deduplicator.Homes() {
+		for _, s := range p.deduplicator.OwnedShards() {
 			if s == shard {
 				return p
 			}
@@ -148,7 +148,7 @@
 	leaving, asking := env.entries[0].process, env.entries[1].process
 	to := peer.Address{VM: "entry-1", Addr: leaving.server.Addr()}
 
-	if _, err := asking.dialer.Ask(t.Context(), to, message.Locate{}); err != nil {
+	if _, err := asking.dialer.Call(t.Context(), to, message.Locate{}); err != nil {
 		t.Fatal(err)
 	}
 
