--- a/loader/bringer.go
+++ b/loader/bringer.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// askState asks an engine for its state, with callTimeout.
-func askState(ctx context.Context, e Engine, address string) (State, error) {
+// pollState queries the state of an engine, with callTimeout.
+func pollState(ctx context.Context, e Engine, address string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -5,7 +5,7 @@
 //
 // Each side process orders only its own engine, so an engine has one holder by
 // construction and no leader election is needed. The fencing number of an order rises
-// with the version that it names: versions only rise, so a delayed order always has
+// with the version to load: versions only rise, so a delayed order always has
 // the lower number. An order also states how many orders the engine must have accepted
 // before, so that an order that arrives seconds late, after another one, is rejected.
 //
@@ -136,7 +136,7 @@
 )
 
 // updateQueueSize is the number of published versions that are queued while a load is
-// under way; beyond it Name blocks.
+// under way; beyond it SetDesired blocks.
 const updateQueueSize = 64
 
 // DesiredVersion is a weight version that operators published.
@@ -224,9 +224,9 @@
 	}
 }
 
-// state queries the engine and logs when it stops answering and when it answers again.
+// state queries the engine and logs when it stops responding and when it responds again.
 func (l *Loader) state(ctx context.Context) (State, bool) {
-	s, err := askState(ctx, l.cfg.Engine, l.cfg.Address)
+	s, err := pollState(ctx, l.cfg.Engine, l.cfg.Address)
 	if err != nil && ctx.Err() != nil {
 		return State{}, false
 	}
--- a/loader/standby.go
+++ b/loader/standby.go
@@ -86,7 +86,7 @@
 // rollout is the schedule by which the engines load a version of a model.
 type rollout struct {
 	desired    DesiredVersion
-	learnedAt  time.Time            // when this process learnt of the version
+	learnedAt  time.Time            // when this process learned of the version
 	slotStarts map[string]time.Time // by engine
 }
 
@@ -247,7 +247,7 @@
 func (s *Standby) reload(ctx context.Context, j job) {
 	e, n := j.engine, j.desired
 
-	state, err := askState(ctx, s.cfg.Engine, e.Address)
+	state, err := pollState(ctx, s.cfg.Engine, e.Address)
 	if err != nil {
 		event.Fail(s.cfg.Log, err, event.StandbyUnheard, "target", e.ID, "model", n.Model, "version", n.Version)
 
@@ -268,7 +268,7 @@
 	r := reloader{
 		engine: s.cfg.Engine, entries: s.cfg.Entries, address: e.Address, holder: s.cfg.Holder, pollInterval: standbyLoadPollInterval, window: j.window + 1, rank: j.rank, orderUntil: j.orderUntil, log: s.cfg.Log,
 		queryState: func(ctx context.Context) (State, bool) {
-			state, err := askState(ctx, s.cfg.Engine, e.Address)
+			state, err := pollState(ctx, s.cfg.Engine, e.Address)
 
 			return state, err == nil
 		},
--- a/loader/turn.go
+++ b/loader/turn.go
@@ -130,8 +130,9 @@
 }
 
 // spread interleaves the two halves of the order, so that engines next to each other
-// in it don't load in the same slot. Something else may use the same order, for example
-// by a hash of the id, and would lose neighbouring engines at the same time.
+// in it don't load in the same slot. Other code may rank the engines in the same order,
+// for example by a hash of the id, and several neighbours would be unavailable to it at
+// the same time.
 func spread(ids []string) []string {
 	half := (len(ids) + 1) / 2
 	out := make([]string, 0, len(ids))
--- a/pulse/beacon.go
+++ b/pulse/beacon.go
@@ -15,7 +15,7 @@
 
 // Engine queries the engine of this side process.
 type Engine interface {
-	// Report queries the engine at address. The Reporter sets Engine, Sequence and Start.
+	// Report queries the engine at address. The Reporter sets Engine, Sequence and SourceStart.
 	Report(ctx context.Context, address string) (Report, error)
 }
 
@@ -39,7 +39,7 @@
 	Restarted func()
 }
 
-// Reporter sends an engine's load reports to its subscribers. Use NewBeacon.
+// Reporter sends an engine's load reports to its subscribers. Use NewReporter.
 type Reporter struct {
 	cfg  ReporterConfig
 	conn *net.UDPConn
@@ -136,7 +136,7 @@
 	}
 }
 
-// loadIn returns Pulse.LoadInMs of the next load report.
+// loadIn returns Report.LoadInMs of the next load report.
 func (r *Reporter) loadIn(now time.Time) int64 {
 	if r.cfg.LoadIn == nil {
 		return 0
@@ -227,7 +227,7 @@
 
 	if g := r.cfg.SlowStart; g != nil {
 		p.ColdMs, p.Warm = g.Remaining(now).Milliseconds(), g.Warm(now)
-		permits = g.Permits(now, claims(to))
+		permits = g.Permits(now, demands(to))
 	}
 
 	plain := encode(p)
@@ -247,8 +247,8 @@
 	}
 }
 
-// claims returns the subscribers' claims to the permits of a cold engine.
-func claims(to []subscriber) []slowstart.Entry {
+// demands returns the subscribers' demands for the permits of a cold engine.
+func demands(to []subscriber) []slowstart.Entry {
 	all := make([]slowstart.Entry, len(to))
 	for i, s := range to {
 		all[i] = slowstart.Entry{Name: s.address.String(), Demand: s.demand}
--- a/pulse/listener.go
+++ b/pulse/listener.go
@@ -98,12 +98,12 @@
 		l.interval.Store(int64(interval))
 
 		s := Subscription{IntervalMs: interval.Milliseconds()}
-		every := subscribeInterval
+		renewInterval := subscribeInterval
 
 		if l.cfg.Demand != nil {
 			var shared bool
 			if s.Demand, shared = l.cfg.Demand(time.Now()); shared {
-				every = demandInterval
+				renewInterval = demandInterval
 			}
 		}
 
@@ -121,10 +121,10 @@
 
 		if len(engines) == 0 {
 			// The register has not been read yet.
-			every = MinInterval
+			renewInterval = MinInterval
 		}
 
-		if !pause.For(ctx, every) {
+		if !pause.For(ctx, renewInterval) {
 			return
 		}
 	}
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -2,7 +2,7 @@
 //
 // # Model
 //
-// Answers carry an engine's load too, but an entry gets one from each engine only about
+// Responses carry an engine's load too, but an entry gets one from each engine only about
 // once a second, and they don't include memory use, which long prompts wait for. The side
 // process can query its engine at no cost. An entry therefore subscribes to the engines
 // that it may route to, with one UDP datagram a second. The side process sends its engine's
@@ -17,7 +17,7 @@
 //
 // # Example
 //
-//	l, err := pulse.Listen(pulse.ListenerConfig{Address: "10.0.0.1:7712", Port: 7712, OnPulse: …})
+//	l, err := pulse.Listen(pulse.ListenerConfig{Address: "10.0.0.1:7712", Port: 7712, OnReport: …})
 //	go l.Run(ctx)
 package pulse
 
@@ -32,7 +32,7 @@
 	// Engine is the engine's address.
 	Engine string `cbor:"1,keyasint"`
 	// Sequence increases by one with each load report since the start of the side
-	// process; Start is the time of that start, in ns of its clock.
+	// process; SourceStart is the time of that start, in ns of its clock.
 	Sequence    uint64 `cbor:"2,keyasint"`
 	SourceStart int64  `cbor:"3,keyasint"`
 	// Running and Waiting are the numbers of the engine's running and queued requests.
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -5,14 +5,15 @@
 // A retry helps one request, but in a fault that affects many it doubles the load on the
 // remaining targets. So a Budget limits retries and hedges to a ratio of the first attempts
 // in a window, plus a small floor: an outage adds no more load than that, however many
-// requests fail. May reports whether the rules allow a retry at all: an idempotent request
-// may be retried on another target; any other only when it is certain that nothing ran.
+// requests fail. MayRetry reports whether the rules allow a retry at all: an idempotent
+// request may be retried on another target; any other only when it is certain that nothing
+// ran.
 //
 // # Example
 //
-//	b.First(now)
+//	b.CountFirstAttempt(now)
 //	…
-//	if retry.May(attempt) && b.Allow(now) {
+//	if retry.MayRetry(attempt) && b.Allow(now) {
 //		wait := cfg.Backoff(attempt.Number, rng)
 //	}
 package retry
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -13,13 +13,13 @@
 // listed again shortly after the log returns. A drop that is read during an outage, or
 // within Config.DropDelay of it, therefore takes effect only after that time.
 //
-// Weight versions are learned from the register, from answers, from refusals and from
+// Weight versions are learned from the register, from responses, from refusals and from
 // side processes. The highest one is current, since an engine never loads an older one.
 //
 // # Example
 //
 //	r := roster.New(roster.Config{Self: "entry-1", DataCentre: "yvr-east"})
-//	r.List(now, listing)
+//	r.ObserveListing(now, listing)
 //	for _, c := range r.Candidates(now, "boragehub-llm", "shuttle-8b") { … }
 package roster
 
@@ -61,7 +61,7 @@
 	Offset int64
 }
 
-// equal reports whether l and o agree in everything but ID, DataCentre, Cold and Offset.
+// equal reports whether l and o agree in everything but ID, DataCentre, ColdFor and Offset.
 func (l Listing) equal(o Listing) bool {
 	if l.Service != o.Service || l.Address != o.Address || l.Draining != o.Draining || l.Slots != o.Slots || l.StartedMs != o.StartedMs || len(l.Versions) != len(o.Versions) {
 		return false
@@ -118,19 +118,19 @@
 	// Loading reports whether the target is taken to be loading weights and to refuse
 	// work.
 	Loading bool
-	// LoadScheduled reports whether a weight load is scheduled, LoadsIn after the call; zero
+	// LoadScheduled reports whether a weight load is scheduled, LoadIn after the call; zero
 	// when it is due.
 	LoadScheduled bool
 	LoadIn        time.Duration
 	// Report is the last load report received directly from the target's side process,
-	// PulseAge its age. Fresh reports whether it is recent enough to be used.
+	// ReportAge its age. Fresh reports whether it is recent enough to be used.
 	Report    pulse.Report
 	ReportAge time.Duration
 	Fresh     bool
 	// SentSince counts the requests that this process sent to the target after that report.
 	SentSince Sent
 	// HeartbeatMissing reports whether the target is suspected of having failed: neither load
-	// reports nor answers have arrived from it for several checks.
+	// reports nor responses have arrived from it for several checks.
 	HeartbeatMissing bool
 	// ColdFor is the time until the target is warm; zero when it is warm or has no limit.
 	ColdFor time.Duration
@@ -181,7 +181,7 @@
 	registrations     map[string][]registration // by address, sorted by id
 	reporting         map[string]bool           // addresses from which a load report was ever received
 	dropsDelayedUntil time.Time                 // until when drops are delayed
-	logUnavailable    bool                      // as last set by Away
+	logUnavailable    bool                      // as last set by SetLogUnavailable
 	pausedUntil       time.Time                 // until when some target is taken to be paused
 	lastSeen          time.Time                 // when any target was last seen
 	evacuated         map[string]bool           // data centres whose targets get no work
@@ -433,22 +433,22 @@
 	}
 }
 
-// Sent records that a request is sent to a target. Reading is the number of tokens that
-// the target has to prefill, memory the number of KV cache tokens that the request takes.
-func (r *Roster) Sent(now time.Time, id string, reading, memory int) target.Attempt {
+// Sent records that a request is sent to a target. PrefillTokens is the number of tokens
+// that the target has to prefill, cacheTokens the number of KV cache tokens that the request takes.
+func (r *Roster) Sent(now time.Time, id string, prefillTokens, cacheTokens int) target.Attempt {
 	r.mu.Lock()
 	r.syncTable(now)
 
 	if e, ok := r.engines[id]; ok {
 		e.lastSentAt = now
 		e.sentSince.Requests++
-		e.sentSince.PrefillTokens += reading
-		e.sentSince.CacheTokens += memory
+		e.sentSince.PrefillTokens += prefillTokens
+		e.sentSince.CacheTokens += cacheTokens
 	}
 
 	r.mu.Unlock()
 
-	return r.table.Sent(now, id, reading)
+	return r.table.Sent(now, id, prefillTokens)
 }
 
 // Done records the outcome of a request.
@@ -458,7 +458,7 @@
 	}
 }
 
-// ObserveLoad records the load that a target reported on an answer, in requests.
+// ObserveLoad records the load that a target reported on a response, in requests.
 func (r *Roster) ObserveLoad(now time.Time, id string, running, waiting int) {
 	r.table.ObserveLoad(now, id, target.Load{Running: running, Waiting: waiting})
 }
@@ -489,7 +489,7 @@
 	}
 }
 
-// ObserveReplaced records that another target answers at a target's address. The target counts as
+// ObserveReplaced records that another target responds at a target's address. The target counts as
 // loading for Config.MaxLoadTime, so that it gets no work until the register has changed.
 func (r *Roster) ObserveReplaced(now time.Time, id string) {
 	r.ObserveRefusal(now, id, r.cfg.MaxLoadTime)
--- a/roster/silence.go
+++ b/roster/silence.go
@@ -7,9 +7,9 @@
 )
 
 // A paused VM keeps its connections open and accepts new ones, so requests to it neither fail
-// nor get an answer. An entry detects it by the absence of load reports and answer bytes from
+// nor get a response. An entry detects it by the absence of load reports and response bytes from
 // one target while they arrive from others. Requests sent to it regardless would wait until
-// their callers disconnect, and the target would process them for nobody once it resumes.
+// their callers disconnect, and the target would process them in vain once it resumes.
 
 // Numbers of consecutive checks, one per call of Tick, in which a target was not seen, at
 // the shortest report interval. Checks are counted instead of time, since time also passes
@@ -29,7 +29,7 @@
 // VM sends its reports slightly late. A single lost report makes the target overdue too.
 const reportOverdueAfter = 150 * time.Millisecond
 
-// liveness is what is known of when a target was last seen, by its load reports and answers.
+// liveness is what is known of when a target was last seen, by its load reports and responses.
 type liveness struct {
 	everReported bool      // a load report was received since its start, so that missing ones count
 	seen         bool      // since the last check
@@ -61,7 +61,7 @@
 	return e.liveness.missedChecks >= unresponsiveChecks+e.extraChecks(unresponsiveChecks)
 }
 
-// ObserveAnswer records that bytes of an answer arrived from a target.
+// ObserveAnswer records that bytes of a response arrived from a target.
 func (r *Roster) ObserveAnswer(now time.Time, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,13 +134,13 @@
 // When none was seen, this process itself was paused or is disconnected, and nothing is
 // counted. The caller holds mu.
 func (r *Roster) checkLiveness(now time.Time) {
-	anyone := false
+	anySeen := false
 
 	for _, e := range r.engines {
-		anyone = anyone || e.liveness.seen
+		anySeen = anySeen || e.liveness.seen
 	}
 
-	if !anyone {
+	if !anySeen {
 		return
 	}
 
--- a/roster/silence_test.go
+++ b/roster/silence_test.go
@@ -15,11 +15,11 @@
 	const a, b = "10.0.0.1:80", "10.0.0.2:80"
 
 	tests := []struct {
-		name          string
-		setup         func(r *Roster)
-		meanwhile     func(r *Roster, ms int)
-		checks        int
-		quiet, silent bool
+		name                    string
+		setup                   func(r *Roster)
+		meanwhile               func(r *Roster, ms int)
+		checks                  int
+		suspected, unresponsive bool
 	}{
 		{"one check", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 2, false, false},
 		{"two checks", func(r *Roster) { report(r, 0, a) }, func(r *Roster, ms int) { report(r, ms, b) }, 3, true, false},
@@ -41,12 +41,12 @@
 				r.Tick(at(250*i + 1))
 			}
 
-			if got := candidatesByID(r, at(250*tt.checks))["a"].HeartbeatMissing; got != tt.quiet {
-				t.Errorf("got quiet %v, want %v", got, tt.quiet)
+			if got := candidatesByID(r, at(250*tt.checks))["a"].HeartbeatMissing; got != tt.suspected {
+				t.Errorf("got suspected %v, want %v", got, tt.suspected)
 			}
 
-			if got := len(r.Unresponsive()) > 0; got != tt.silent {
-				t.Errorf("got silent %v, want %v", got, tt.silent)
+			if got := len(r.Unresponsive()) > 0; got != tt.unresponsive {
+				t.Errorf("got unresponsive %v, want %v", got, tt.unresponsive)
 			}
 
 			report(r, 250*tt.checks, a)
@@ -87,7 +87,7 @@
 			tt.meanwhile(r)
 
 			if got := r.ReportOverdue("a"); got != tt.want {
-				t.Errorf("got late %v, want %v", got, tt.want)
+				t.Errorf("got overdue %v, want %v", got, tt.want)
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 	r.ObserveAnswer(at(1000), "b")
 
 	if r.ReportOverdue("a") || r.ReportOverdue("nobody") {
-		t.Error("got a target late that never reported, want it not late")
+		t.Error("got an overdue report of a target that never reported, want none")
 	}
 }
 
@@ -109,7 +109,7 @@
 
 	for i := range 4 {
 		if got, want := r.AnyPaused(at(250*i)), i > 2; got != want {
-			t.Errorf("after %d checks: got still %v, want %v", i, got, want)
+			t.Errorf("after %d checks: got paused %v, want %v", i, got, want)
 		}
 
 		r.ObserveReport(at(250*i), pulse.Report{Engine: b})
@@ -120,7 +120,7 @@
 	r.Tick(at(1000))
 
 	if !r.AnyPaused(at(1500)) || r.AnyPaused(at(1800)) {
-		t.Errorf("got still %v and %v, want it for a second", r.AnyPaused(at(1500)), r.AnyPaused(at(1800)))
+		t.Errorf("got paused %v and %v, want it for a second", r.AnyPaused(at(1500)), r.AnyPaused(at(1800)))
 	}
 
 	// It is paused again, and the register drops it since its heartbeats are missing there too.
@@ -132,6 +132,6 @@
 	r.ObserveRemoval(at(4000), "a")
 
 	if !r.AnyPaused(at(9000)) || r.AnyPaused(at(10_100)) {
-		t.Errorf("after the drop: got still %v and %v, want it for six seconds", r.AnyPaused(at(9000)), r.AnyPaused(at(10_100)))
+		t.Errorf("after the drop: got paused %v and %v, want it for six seconds", r.AnyPaused(at(9000)), r.AnyPaused(at(10_100)))
 	}
 }
--- a/roster/start.go
+++ b/roster/start.go
@@ -13,8 +13,8 @@
 //
 // A restarted target has lost its requests, contexts and orders, and may have other weights. If
 // the old state were kept, the target would be sent prompts for contexts that it has to prefill
-// again, requests would wait for answers that never arrive, and failures of its earlier start
-// would keep work from it. The register and the load reports announce the same start at different
+// again, requests would wait for responses that never arrive, and failures of its earlier start
+// would keep work from it. The register and the load reports show the same start at different
 // times, so only a later start time counts.
 func (r *Roster) observeStart(now time.Time, id, service string, e *engine, startedMs int64) (restarted bool) {
 	if startedMs <= e.startedMs {
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -45,12 +45,12 @@
 		t.Errorf("got %+v, want no state of the earlier start", got)
 	}
 
-	// News of the earlier start arrives late, from the register and in a load report.
+	// Information about the earlier start arrives late, from the register and in a load report.
 	r.ObserveListing(at(40), withStart(testListing("a", "10.0.0.1:80", 2), 5000))
 	r.ObserveReport(at(50), pulse.Report{Engine: "10.0.0.1:80", Running: 9, Model: "m", Version: 2, StartedMs: 5000})
 
 	if got := candidatesByID(r, at(50))["a"]; got.Version != 1 || got.Report.Running != 0 {
-		t.Errorf("after late news: got version %d and %d running, want 1 and none", got.Version, got.Report.Running)
+		t.Errorf("after late information: got version %d and %d running, want 1 and none", got.Version, got.Report.Running)
 	}
 
 	r.ObserveListing(at(60), withStart(testListing("a", "10.0.0.1:80", 1), 6000))
@@ -67,8 +67,8 @@
 // Another program registers an entry of a service that is not configured at the address of an
 // engine. The engine must keep getting work.
 func TestUnconfiguredServiceTakesNoAddress(t *testing.T) {
-	named := map[string]bool{"llm": true}
-	r := New(Config{Self: "entry-1", DataCentre: "east", Configured: func(s string) bool { return named[s] }, Log: logr.Discard()})
+	configured := map[string]bool{"llm": true}
+	r := New(Config{Self: "entry-1", DataCentre: "east", Configured: func(s string) bool { return configured[s] }, Log: logr.Discard()})
 	r.ObserveListing(at(0), testListing("a", "10.0.0.1:80", 1))
 
 	foreign := testListing("z", "10.0.0.1:80", 1)
@@ -84,7 +84,7 @@
 	}
 
 	// Once the service is configured, the later registration holds the address.
-	named["unheard of"] = true
+	configured["unheard of"] = true
 
 	if id, _ := r.ByAddress("10.0.0.1:80"); id != "z" {
 		t.Errorf("once configured: got %q, want z", id)
--- a/route/call.go
+++ b/route/call.go
@@ -18,7 +18,7 @@
 	// Running and Waiting are the numbers of calls in the load report. SentRequests is
 	// the number of calls that this entry has sent since then.
 	Running, Waiting, SentRequests int
-	// InFlight is the number of calls of this entry that are not answered yet,
+	// InFlight is the number of calls of this entry that have no response yet,
 	// regardless of when they were sent.
 	InFlight int
 	// CallTime is the mean duration of a call; a short default is used when zero.
@@ -28,7 +28,7 @@
 }
 
 // DecideCall returns the target for a call of a plain service: the one with the
-// least estimated time to its answer. As in Decide, seed randomises the penalty for
+// least estimated time to its response. As in Decide, seed randomises the penalty for
 // old load reports.
 func DecideCall(now time.Time, cfg Config, seed uint64, candidates []CallCandidate) CallDecision {
 	cfg = cfg.withDefaults()
@@ -54,7 +54,7 @@
 type CallCost struct {
 	// Excluded is the reason why the target was not evaluated.
 	Excluded Exclusion
-	// Seconds is the estimated time until the answer, with the penalty for an old load report.
+	// Seconds is the estimated time until the response, with the penalty for an old load report.
 	Seconds float32
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-// estimateSeconds returns the estimated seconds until an answer. A load report that
+// estimateSeconds returns the estimated seconds until a response. A load report that
 // is older than the duration of a call describes calls that have ended by now, so its
 // weight falls with its age in favour of the entry's own calls in flight, whose number
 // is exact.
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -157,9 +157,9 @@
 
 func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
 
-// copyChance returns the probability that a copy last known at learned still exists.
-func copyChance(now, learned time.Time, halfLife time.Duration) float64 {
-	age := max(now.Sub(learned), 0)
+// copyChance returns the probability that a copy last seen at lastSeen still exists.
+func copyChance(now, lastSeen time.Time, halfLife time.Duration) float64 {
+	age := max(now.Sub(lastSeen), 0)
 
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
--- a/route/opening.go
+++ b/route/opening.go
@@ -34,8 +34,8 @@
 	// Suspected says that the engine failed recently; it is chosen only when all
 	// others are excluded or overloaded.
 	Suspected bool
-	// OldWeights says that the engine's weights are older than those that operators set; its
-	// answers have less value.
+	// OldWeights says that the engine's weights are older than those that operators
+	// published; its answers have less value.
 	OldWeights bool
 	// Running and Waiting are the numbers of its requests; Prefilling is the number of
 	// running requests whose prompt is still in prefill.
@@ -48,13 +48,13 @@
 	// HasPrefix says that the engine holds the shared prefix or is prefilling it.
 	HasPrefix bool
 	// PrefixFetchable says that a store or another engine holds the prefix for the engine's
-	// weights, so that an engine without it imports it instead of computing it.
+	// weights, so that an engine without it fetches it instead of computing it.
 	PrefixFetchable bool
 	// FetchWait is the wait until the link to that holder is free, FetchTime the time that
-	// the import then takes on it.
+	// the fetch then takes on it.
 	FetchWait, FetchTime time.Duration
 	// NewPrefix says that the prefix was most likely never computed for the engine's
-	// weights: no store holds it, although one had room.
+	// weights: no store holds it, although one had free space.
 	NewPrefix bool
 	// Slots is the number of requests that the engine runs concurrently; no limit when zero.
 	Slots int
@@ -103,7 +103,7 @@
 	return v
 }
 
-// PrefixDecision is the outcome of DecideOpening.
+// PrefixDecision is the outcome of DecidePrefix.
 type PrefixDecision struct {
 	target    int
 	home      int
@@ -163,7 +163,7 @@
 // so that all entries agree on the first, the home engine, without communication;
 // the home engine holds the prefix unless it has evicted it.
 func DecidePrefix(cfg PrefixConfig, r PrefixRequest, candidates []PrefixCandidate) PrefixDecision {
-	learned := cfg // admission uses measured values only, not defaults
+	measured := cfg // admission uses measured values only, not defaults
 	cfg = cfg.withDefaults()
 	d := PrefixDecision{target: -1, home: homeIndex(r, candidates)}
 
@@ -176,7 +176,7 @@
 		cost := c.totalCostMs(cfg, r, i == d.home)
 		if d.target < 0 || cost < d.costMs {
 			d.target, d.costMs, d.waitMs = i, cost, c.queueWaitMs(cfg, r)
-			d.admission = learned.admit(r, d.Wait(), c.hasShortPrefill(cfg, r))
+			d.admission = measured.admit(r, d.Wait(), c.hasShortPrefill(cfg, r))
 		}
 	}
 
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -47,9 +47,9 @@
 func TestShortPromptsAvoidEnginesInPrefill(t *testing.T) {
 	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 4500}
 
-	for reading := range 11 {
+	for prefilling := range 11 {
 		all := engines(12)
-		for i := range reading + 1 {
+		for i := range prefilling + 1 {
 			all[i].Prefilling, all[i].Running = 1, 1
 		}
 
@@ -58,7 +58,7 @@
 			r.PrefixUnreported = true
 
 			if d := DecidePrefix(cfg, r, all); all[d.Target()].Prefilling > 0 {
-				t.Fatalf("%d of 12 in prefill: got %s, want one without prefill", reading+1, all[d.Target()].Name)
+				t.Fatalf("%d of 12 in prefill: got %s, want one without prefill", prefilling+1, all[d.Target()].Name)
 			}
 		}
 	}
@@ -90,10 +90,10 @@
 	cfg := PrefixConfig{TokensPerMs: 100, PromptTokens: 4000, ShortPromptTokens: 500}
 
 	tests := []struct {
-		name             string
-		r                PrefixRequest
-		reading, waiting int
-		want             time.Duration
+		name                string
+		r                   PrefixRequest
+		prefilling, waiting int
+		want                time.Duration
 	}{
 		{"short prompt, ten queued", shortPrompt(1), 0, 10, 50 * time.Millisecond},
 		{"long prompt, ten queued", longPrompt(1), 0, 10, 400 * time.Millisecond},
@@ -102,7 +102,7 @@
 
 	for _, tt := range tests {
 		all := engines(1)
-		all[0].Prefilling, all[0].Waiting = tt.reading, tt.waiting
+		all[0].Prefilling, all[0].Waiting = tt.prefilling, tt.waiting
 
 		if got := DecidePrefix(cfg, tt.r, all).Wait(); got != tt.want {
 			t.Errorf("%s: got a wait of %v, want %v", tt.name, got, tt.want)
@@ -149,7 +149,7 @@
 			t.Errorf("%v tokens per ms: got home %v, want %v: elsewhere the prefix costs three times its 12,800 tokens", tt.tokensPerMs, got, tt.home)
 		}
 
-		// An import from a store takes 100 ms, independent of the prefill speed.
+		// A fetch from a store takes 100 ms, independent of the prefill speed.
 		for i := range all {
 			all[i].PrefixFetchable, all[i].FetchTime = true, 100*time.Millisecond
 		}
@@ -309,9 +309,9 @@
 func TestShortPromptsUseOldWeightsWhileNewEnginesPrefill(t *testing.T) {
 	cfg := PrefixConfig{TokensPerMs: 51, PromptTokens: 1000}
 	tests := []struct {
-		name    string
-		reading int // prompts in prefill on each engine with new weights
-		old     bool
+		name       string
+		prefilling int // prompts in prefill on each engine with new weights
+		old        bool
 	}{
 		{"new engines idle", 0, false},
 		{"one prompt in prefill on each new engine", 1, true},
@@ -322,7 +322,7 @@
 		for i := range all {
 			all[i].HasPrefix, all[i].OldWeights = true, i >= 12
 			if !all[i].OldWeights {
-				all[i].Prefilling, all[i].Running = tt.reading, tt.reading
+				all[i].Prefilling, all[i].Running = tt.prefilling, tt.prefilling
 			}
 		}
 
--- a/route/pace.go
+++ b/route/pace.go
@@ -15,11 +15,11 @@
 	TooLate
 )
 
-// String returns the snake-case name of p.
-func (p Admission) String() string { return [...]string{"send_now", "hold", "too_late"}[p] }
+// String returns the snake-case name of a.
+func (a Admission) String() string { return [...]string{"send_now", "hold", "too_late"}[a] }
 
-// longPromptQueueShare is the part of QuickAim that the prefill queue of an engine may
-// take for a long prompt to be sent there.
+// longPromptQueueShare is the part of ShortPromptAim that the prefill queue of an engine
+// may take for a long prompt to be sent there.
 const longPromptQueueShare = 0.25
 
 // admit returns whether a prompt is sent to an engine that has a prefill queue of the
@@ -33,7 +33,7 @@
 // Long prompts mostly have long aims. If they were sent as long as they are on time,
 // engines would always have that much to prefill, and every short prompt, whose aim is
 // shorter, would be late or refused. So prompts without a short prefill are held while
-// the queue is longer than longPromptQueueShare of QuickAim.
+// the queue is longer than longPromptQueueShare of ShortPromptAim.
 //
 // Until the speed of the engines is measured, prompts are admitted without a check: the
 // default speed is that of the slowest engines and would refuse too many.
--- a/route/route.go
+++ b/route/route.go
@@ -6,7 +6,7 @@
 // For each engine that may take the prompt, Decide estimates the seconds until
 // the first token:
 //
-//	delay + max(queue wait, import) + prefill of the missing tokens
+//	round trip + max(queue wait, import) + prefill of the missing tokens
 //
 // for each strategy by which the engine can get the prompt's context: it is warm
 // (in the engine's cache), it is imported from a store or another engine, or it is
@@ -51,9 +51,9 @@
 	Import
 )
 
-// String returns the snake-case name of h.
-func (h Strategy) String() string {
-	switch h {
+// String returns the snake-case name of s.
+func (s Strategy) String() string {
+	switch s {
 	case Warm:
 		return "warm"
 	case Import:
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -40,7 +40,7 @@
 		q          Request
 		candidates []Candidate
 		target     int
-		how        Strategy
+		strategy   Strategy
 	}{
 		{"no candidates", Config{}, Request{Tokens: 8000}, nil, -1, Recompute},
 		{"new prompt goes to the idle engine", Config{}, Request{Tokens: 8000}, []Candidate{busy(engine("a"), 4000), engine("b")}, 1, Recompute},
@@ -62,8 +62,8 @@
 				t.Fatalf("target: got %d, want %d", got, want)
 			}
 
-			if got, want := d.Strategy(), c.how; got != want {
-				t.Errorf("how: got %v, want %v", got, want)
+			if got, want := d.Strategy(), c.strategy; got != want {
+				t.Errorf("strategy: got %v, want %v", got, want)
 			}
 		})
 	}
--- a/target/candidate.go
+++ b/target/candidate.go
@@ -13,7 +13,7 @@
 
 // unresponsiveAfter is how long a target may send no state or load report. It is at least
 // maxMissedRounds polling rounds, since a target that was not polled reports nothing:
-// with a few hundred targets a round takes longer than SilentAfter, and all targets
+// with a few hundred targets a round takes longer than UnresponsiveAfter, and all targets
 // would be suspected although all are up.
 func (t *Table) unresponsiveAfter() time.Duration {
 	return max(t.cfg.UnresponsiveAfter, maxMissedRounds*time.Duration(t.subsetSize)*t.cfg.PollInterval)
@@ -47,7 +47,7 @@
 //
 // A suspicion may be the fault of this entry (its cable, its clock). So when suspected
 // targets are more than MaxSuspectedShare of the pool, they are appended too, with
-// Doubted set.
+// Suspected set.
 func (t *Table) AppendCandidates(now time.Time, dst []Target, service string) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/target/table.go
+++ b/target/table.go
@@ -22,7 +22,7 @@
 	// UnresponsiveAfter is the time without a report after which a target in the subset is
 	// suspected, or two polling rounds if those take longer. 30 s when zero.
 	UnresponsiveAfter time.Duration
-	// PollInterval is the time between two polls of side processes (NextToAsk). 500 ms when zero.
+	// PollInterval is the time between two polls of side processes (NextToPoll). 500 ms when zero.
 	PollInterval time.Duration
 	// EjectAfterFailures is the number of consecutive failures that eject a target. 3 when zero.
 	EjectAfterFailures int
@@ -111,7 +111,7 @@
 	oldBoots                     [4]string // newest first
 	lastSeen                     time.Time
 	refusedAt                    time.Time // last refusal as draining
-	polledAt                     time.Time // when NextToAsk last returned it
+	polledAt                     time.Time // when NextToPoll last returned it
 
 	load      Load
 	loadAt    time.Time
@@ -180,7 +180,7 @@
 	}
 }
 
-// ObserveLoad applies the load reported on an answer. The side process that reported it is
+// ObserveLoad applies the load reported on a response. The side process that reported it is
 // up, so this counts as seeing a target that has sent a state report before, and postpones
 // the next poll.
 func (t *Table) ObserveLoad(now time.Time, vm string, l Load) {
@@ -262,8 +262,8 @@
 
 // NextToPoll returns the target in the subset that was seen or polled least recently, if
 // that was at least after ago, and records it as polled. Polling in a fixed order instead
-// would spend most polls on targets that have just reported their load on an answer, and
-// with a few hundred targets a round would take longer than SilentAfter.
+// would spend most polls on targets that have just reported their load on a response, and
+// with a few hundred targets a round would take longer than UnresponsiveAfter.
 func (t *Table) NextToPoll(now time.Time, after time.Duration) (Target, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/target/table_test.go
+++ b/target/table_test.go
@@ -61,7 +61,7 @@
 }
 
 // A target restarts and its first report is that it drains; a report of the boot before
-// arrives late. Found by TestWordsAgainstTruth with seed 12414.
+// arrives late. Found by TestTableAgainstOracle with seed 12414.
 func TestLateReportOfEarlierBootDoesNotRestoreLeavingTarget(t *testing.T) {
 	tab := newTable("b")
 	tab.ObserveState(epoch, StateReport{VM: "a", BootID: "2", Started: epoch, Sequence: 1, State: Draining, Service: service})
@@ -248,7 +248,8 @@
 }
 
 // Guards against losing the side process's address when a report without addresses arrives:
-// the target was then treated as having no side process, and its silence went unnoticed.
+// the target was then treated as having no side process, and its missing reports went
+// unnoticed.
 func TestUnresponsiveTargetIsSuspected(t *testing.T) {
 	tab := newTable("a", "b", "c")
 	later := epoch.Add(time.Minute)
@@ -263,7 +264,7 @@
 
 	for _, c := range tab.Candidates(later.Add(time.Minute), service) {
 		if !c.Suspected {
-			t.Errorf("%s: got offered without suspicion, want doubted: none reports", c.VM)
+			t.Errorf("%s: got offered without suspicion, want suspected: none reports", c.VM)
 		}
 	}
 
@@ -294,7 +295,7 @@
 	}{{2 * time.Minute, false}, {4 * time.Minute, true}} {
 		got, _ := tab.Target(epoch.Add(c.after), "engine-000")
 		if got.Suspected != c.want {
-			t.Errorf("after %v: got doubted %v, want %v", c.after, got.Suspected, c.want)
+			t.Errorf("after %v: got suspected %v, want %v", c.after, got.Suspected, c.want)
 		}
 	}
 }
--- a/target/target.go
+++ b/target/target.go
@@ -4,7 +4,7 @@
 //
 // A Table combines four sources, none of which is reliable alone: the VM list, which
 // is complete but lags; the reports of a target's side process, which are prompt but
-// may stop; the load reported on answers, which becomes stale; and the outcomes of the
+// may stop; the load reported on responses, which becomes stale; and the outcomes of the
 // entry's own requests.
 //
 // A leaving target is removed from the candidates as soon as any of three sources shows
@@ -20,7 +20,7 @@
 //
 //	t := target.NewTable(target.TableConfig{Self: "entry-1", DataCentre: "yvr-east"})
 //	t.ObserveList(now, vms)
-//	t.ObserveHello(now, hello)
+//	t.ObserveState(now, report)
 //	for _, c := range t.Candidates(now, "boragehub-llm") { … }
 //	s := t.Sent(now, c.VM, tokens)
 //	t.Done(now, s, target.Succeeded)
@@ -67,7 +67,7 @@
 	// Neutral says nothing about the target, e.g. a request cancelled by the caller or
 	// refused for lack of capacity.
 	Neutral Outcome = iota
-	// Succeeded means that the whole answer was received.
+	// Succeeded means that the complete response was received.
 	Succeeded
 	// Failed means that the target or the connection to it failed or became unresponsive.
 	Failed
--- a/target/truth_test.go
+++ b/target/truth_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// oracle is the reference model of TestWordsAgainstTruth: the real state of the targets and
+// oracle is the reference model of TestTableAgainstOracle: the real state of the targets and
 // the reports that reached the entry. It is independent of the implementation of the table.
 type oracle struct {
 	vms             []string
@@ -56,7 +56,7 @@
 	return w
 }
 
-// knownLeaving reports whether any source told the entry that vm is leaving.
+// knownLeaving reports whether any source reported to the entry that vm is leaving.
 func (w *oracle) knownLeaving(vm string) bool {
 	if w.reportedDrain[vm] {
 		return true
--- a/target/wire_test.go
+++ b/target/wire_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// state is the answer of an engine's side process to a poll.
+// state is the response of an engine's side process to a poll.
 var state = message.State{
 	VM: "engine-0007", Boot: "0192f1c8-7b1e-7c3a-9d52-3f0a6f1e2b4d", Service: "boragehub-llm", Model: "shuttle-8b", Version: "v12",
 	BlockTokens: 16, Ready: true, Load: message.Load{Running: 12, Waiting: 3, WaitingTokens: 4096, AgeMS: 180},
@@ -296,7 +296,7 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkListOnTheWire measures the platform's whole list: the time to decode it and its
+// BenchmarkListOnTheWire measures the platform's complete list: the time to decode it and its
 // size plain and compressed.
 func BenchmarkListOnTheWire(b *testing.B) {
 	for _, vms := range []int{36, 360, 2400} {
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -9,7 +9,7 @@
 // stopped, and the same view always gives the same orders.
 //
 // Concurrent loads slow each other down and the weight store is rate-limited, so
-// at most Config.Loads run at once in a data centre. An engine doesn't serve while
+// at most Config.MaxLoads run at once in a data centre. An engine doesn't serve while
 // it loads, so a ready one is ordered to load only if Wanted.MinReady others stay ready.
 // A rollout starts with one canary engine and continues after Config.CanaryPeriod.
 // When the version fails on Config.FailureThreshold engines the rollout stops, or,
@@ -30,11 +30,11 @@
 // # Example
 //
 //	inventory := weights.NewInventory(weights.InventoryConfig{})
-//	inventory.Hear(now, report)
+//	inventory.RecordReport(now, report)
 //	r := weights.Plan(now, cfg, inventory.View(now, wanted, lease.Offset, lease.At))
 //	for _, o := range r.Orders {
-//		inventory.Ordered(now, o)
-//		inventory.Answered(now, o, send(o))
+//		inventory.RecordOrder(now, o)
+//		inventory.RecordReply(now, o, send(o))
 //	}
 package weights
 
--- a/weights/view.go
+++ b/weights/view.go
@@ -6,7 +6,7 @@
 type Config struct {
 	// MaxLoads is the maximum number of concurrent loads in one data centre. 2 when zero.
 	MaxLoads int
-	// MaxLoadsByDataCentre overrides Loads for single data centres.
+	// MaxLoadsByDataCentre overrides MaxLoads for single data centres.
 	MaxLoadsByDataCentre map[string]int
 	// SettleTimeout is how long a new leader waits for lost engines to confirm its fence
 	// before it orders in their data centre. It must be longer than an order can be in
