--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -262,7 +262,7 @@
 
 // Knows reports whether an entry has read the operators' topic up to an offset.
 func (p storePeers) Knows(ctx context.Context, peer string, offset int64) bool {
-	return p.Client.HasRead(ctx, peer, platform.OperatorTopic, offset)
+	return p.Client.Knows(ctx, peer, platform.OperatorTopic, offset)
 }
 
 // tick runs periodic work until ctx ends.
--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -363,9 +363,9 @@
 	return err
 }
 
-// HasRead reports whether an entry has read a topic up to and including an offset. It returns false
+// Knows reports whether an entry has read a topic up to and including an offset. It returns false
 // if the entry doesn't respond.
-func (c *Client) HasRead(ctx context.Context, peer, topic string, offset int64) bool {
+func (c *Client) Knows(ctx context.Context, peer, topic string, offset int64) bool {
 	b, err := c.fetchRecords(ctx, peer, topic, offset, 0)
 
 	return err == nil && b.End > offset
