--- a/engine/client.go
+++ b/engine/client.go
@@ -47,7 +47,7 @@
 	// PrefillRate and DecodeRate are in tokens per second.
 	PrefillRate float64 `json:"prefill_tokens_per_second"`
 	DecodeRate  float64 `json:"decode_tokens_per_second"`
-	// MaxRunning is the maximum of requests that run concurrently.
+	// MaxRunning is the maximum number of requests that run concurrently.
 	MaxRunning int `json:"max_running"`
 	// CacheBlocks is the capacity of the KV cache in blocks.
 	CacheBlocks int `json:"cache_blocks"`
--- a/event/gateway.go
+++ b/event/gateway.go
@@ -27,7 +27,7 @@
 	DataCentreEvacuated = register(2319, "data_centre_evacuated", "Operators excluded the targets of a data centre from new work, or ended that: `data_centre`, `evacuated`, `known` (false if no data centre has that name).")
 	EngineRestarted     = register(2314, "engine_restarted", "A target restarted under the same ID; the state known of it is dropped, and the attempts that wait for it are abandoned: `target`, `born`.")
 	EngineDropped       = register(2311, "engine_dropped", "The register no longer lists a target; it gets no new work: `target`, `reason`.")
-	EngineLoading       = register(2312, "engine_loading", "A target reported that it loads a weight version and gets no work until then: `target`, `version`.")
+	EngineLoading       = register(2312, "engine_loading", "A target announced the load of a weight version; it gets no work until the load ends or its maximum duration has passed: `target`, `version`.")
 	EngineVersion       = register(2313, "engine_version", "The weight version of a target changed: `target`, `version`, `basis`.")
 	LinesLeftOut        = register(2320, "lines_left_out", "Log lines were dropped to bound their volume: `lines` since the last such line.")
 )
@@ -47,6 +47,6 @@
 var (
 	VaultLost     = register(2500, "vault_lost", "A context store is unreachable; nothing is fetched from it.")
 	VaultRegained = register(2501, "vault_regained", "A context store is reachable: `vault`, `held`, `room`, `parts`.")
-	VaultFreed    = register(2502, "vault_freed", "Contexts of an old weight version were freed: `vault`, `parts`, `tokens`, `model`, `before`.")
+	VaultFreed    = register(2502, "vault_freed", "Stored parts of an old weight version were released: `vault`, `parts`, `tokens`, `model`, `before`.")
 	VaultGap      = register(2503, "vault_gap", "A store's events have a gap or a new epoch; its list of parts is read again.")
 )
--- a/event/journal.go
+++ b/event/journal.go
@@ -2,7 +2,7 @@
 
 // Events of the log service's client.
 var (
-	JournalUnreachable     = register(1300, "journal_unreachable", "A stream of the log can't be read; the reader keeps retrying. `behind` is the time since when.")
+	JournalUnreachable     = register(1300, "journal_unreachable", "A stream of the log can't be read; the reader keeps retrying. `behind` is the time since the reader was last known to be at the end of the stream, or since its start.")
 	JournalReached         = register(1301, "journal_reached", "A stream of the log can be read again after an outage.")
 	JournalTrimmed         = register(1302, "journal_trimmed", "Records that a reader still needed were trimmed; it looks for a snapshot.")
 	JournalRestored        = register(1303, "journal_restored", "A reader restored a snapshot and continues with the records after it.")
--- a/event/recorder/recorder.go
+++ b/event/recorder/recorder.go
@@ -3,11 +3,11 @@
 // logs of every VM.
 //
 // The sink that Sink returns sits between logr and the real sink: it passes every
-// line on and records those with a request ID. Memory is bounded by a maximum of
-// requests and of lines per request; the requests logged about least recently are
-// evicted.
+// line on and records those with a request ID. Memory is bounded by a maximum
+// number of requests and of lines per request; the requests logged about least recently
+// are evicted.
 //
-//	r := recorder.New(4096)
+//	r := recorder.New("e1", 4096)
 //	log := logr.New(r.Sink(zerologr.NewLogSink(&z)))
 //	lines := r.Lines("request id")
 package recorder
@@ -23,8 +23,8 @@
 // requestKey is the key of the request ID in a line.
 const requestKey = "request_id"
 
-// maxLinesPerRequest is the maximum of lines recorded for one request; later lines are
-// dropped.
+// maxLinesPerRequest is the maximum number of lines recorded for one request; later
+// lines are dropped.
 const maxLinesPerRequest = 64
 
 // Line is one line about a request.
--- a/failure/kind.go
+++ b/failure/kind.go
@@ -3,21 +3,21 @@
 //
 // # Model
 //
-// A Kind names what happened. Kind.Answer returns, for each Kind, the HTTP status,
+// A Kind names what happened. Kind.Response returns, for each Kind, the HTTP status,
 // the type and code of an OpenAI error object, and whether the request may have
-// run. A response with NotRun promises that it did not and will not, so code may use
+// run. A response with NotRun guarantees that it did not and will not, so code may use
 // a NotRun kind only while nothing has been sent that could still run.
 //
 // # Example
 //
-//	err := failure.New(failure.QueueFull, "all engines of %s are full", model).After(2 * time.Second)
+//	err := failure.New(failure.QueueFull, "all engines of %s are full", model).WithRetryAfter(2 * time.Second)
 //	kind := failure.KindOf(err) // failure.QueueFull
 package failure
 
 // Kind is one reason for which a request fails. The zero Kind is Internal.
 type Kind uint8
 
-// The closed list of kinds. Kind.Answer maps each of them to its response.
+// The closed list of kinds. Kind.Response maps each of them to its response.
 const (
 	// Internal means an error within boragehub; whether the request ran is unknown.
 	Internal Kind = iota
@@ -69,7 +69,7 @@
 	LogUnavailable
 	// OutcomeUnknown means that a non-idempotent request may have run and will not be run again.
 	OutcomeUnknown
-	// TargetLost means that a target died, was unreachable or became unresponsive, and
+	// TargetLost means that a target crashed, was unreachable or became unresponsive, and
 	// no retry succeeded.
 	TargetLost
 	// Timeout means that the deadline passed while the request was running.
--- a/journal/client_test.go
+++ b/journal/client_test.go
@@ -109,5 +109,5 @@
 	}
 }
 
-// connKey is the key of a request's connKey in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
--- a/journal/lease/lease.go
+++ b/journal/lease/lease.go
@@ -6,8 +6,8 @@
 // service. The offset of the record that took a lease is its fencing number, so
 // that a later holder always has a higher one. Which records count follows from
 // the order of the stream and the service's timestamps, and is thus the same for
-// every reader: a record that takes a lease counts when nobody ever took it,
-// when it was released, or when its last renewal is at least the lease's
+// every reader: a record that takes a lease counts when no process ever took
+// it, when it was released, or when its last renewal is at least the lease's
 // duration ago by the service's clock.
 //
 // The holder measures the duration by its own monotonic clock, from before it
--- a/journal/memory/log.go
+++ b/journal/memory/log.go
@@ -4,7 +4,7 @@
 // a client of that service must tolerate. It keeps no state outside the process:
 //
 //	log := memory.New()
-//	log.Set(memory.Faults{Down: true})
+//	log.SetFaults(memory.Faults{Down: true})
 package memory
 
 import (
@@ -25,11 +25,11 @@
 	// Delay is the time until a call takes effect. A caller times out after
 	// CallTimeout, but its append takes effect all the same.
 	Delay time.Duration
-	// LoseResponse reports whether the response to append n is lost after the append took
-	// effect; n counts the appends to all streams from 1. Nil loses none.
+	// LoseResponse reports whether the response to append n is lost after the append
+	// took effect; n counts the appends to all streams from 1. Nil loses none.
 	LoseResponse func(n uint64) bool
-	// DelayEffect returns the time until append n takes effect; if it is not zero, the
-	// response is lost at once. Nil delays none.
+	// DelayEffect returns the time until append n takes effect; if it is not zero,
+	// the response is lost at once. Nil delays none.
 	DelayEffect func(n uint64) time.Duration
 }
 
--- a/link/link.go
+++ b/link/link.go
@@ -53,8 +53,8 @@
 	MaxWindows int
 	// ChunkBytes is the maximum size of a chunk of ReserveChunks; 1 GiB when zero.
 	ChunkBytes int64
-	// MinMeasuredBytes is the minimum size of a transfer by which the rate is measured,
-	// in bytes; 8 MiB when zero.
+	// MinMeasuredBytes is the minimum size of a transfer by which the rate is
+	// measured, in bytes; 8 MiB when zero.
 	MinMeasuredBytes int64
 	// Overrun is how much longer than expected a transfer may take before it is
 	// regarded as lost, as a multiple of the expected time; 2 when zero.
@@ -63,11 +63,11 @@
 
 // The default values of Config.
 const (
-	defaultRate       = 1.25e9
-	defaultMaxWindows = 256
-	defaultChunkBytes = 1 << 30
-	defaultOverrun    = 2
-	defaultMeasurable = 8 << 20
+	defaultRate             = 1.25e9
+	defaultMaxWindows       = 256
+	defaultChunkBytes       = 1 << 30
+	defaultOverrun          = 2
+	defaultMinMeasuredBytes = 8 << 20
 )
 
 // Request describes a transfer for which to reserve a window.
@@ -138,7 +138,7 @@
 	}
 
 	if cfg.MinMeasuredBytes <= 0 {
-		cfg.MinMeasuredBytes = defaultMeasurable
+		cfg.MinMeasuredBytes = defaultMinMeasuredBytes
 	}
 
 	if cfg.Overrun <= 0 {
--- a/message/message.go
+++ b/message/message.go
@@ -10,23 +10,23 @@
 // so that incompatible releases report it and don't misread each other's
 // messages.
 //
-// # Conversations
+// # Exchanges
 //
-// Every conversation has its own stream. The process that opens it sends one
-// request and reads responses up to the final one:
+// Every exchange has its own stream. The process that opens it sends one request
+// and reads responses up to the final one:
 //
-//	Run      → Imported Token… Done, or Refused, after Crashed if the target crashed
-//	Call     → Reply            or Refused
-//	Locate   → Located          or Refused
-//	Learn    → Ack              or Refused
-//	Ask      → State            or Refused
-//	Fetch    → Settings         or Refused
-//	Settings → Ack              or Refused
-//	Crashed  → Ack              or Refused
-//	Order    → Ack              or Refused
-//	View     → Viewed           or Refused
+//	Run             → Imported Token… Done, or Refused, after CrashReport if the target crashed
+//	Call            → Reply            or Refused
+//	Locate          → Located          or Refused
+//	HoldingUpdate   → Ack              or Refused
+//	StateRequest    → State            or Refused
+//	SettingsRequest → Settings         or Refused
+//	Settings        → Ack              or Refused
+//	CrashReport     → Ack              or Refused
+//	Order           → Ack              or Refused
+//	DocumentRequest → Document         or Refused
 //
-// Either end may send a Beat, a heartbeat, at any time.
+// Either end may send a Heartbeat at any time.
 package message
 
 import (
@@ -72,7 +72,7 @@
 	Type() Type
 }
 
-// Heartbeat is a heartbeat: it shows that the sender is alive.
+// Heartbeat shows that the sender is alive.
 type Heartbeat struct{}
 
 // Run asks a side process to run a prompt on its engine.
@@ -93,7 +93,7 @@
 	Prompt string `cbor:"8,keyasint"`
 	// ResumeText is the part of the completion that the caller already received.
 	ResumeText string `cbor:"9,keyasint,omitempty"`
-	// ResumeTokens is the number of tokens in Resume.
+	// ResumeTokens is the number of tokens in ResumeText.
 	ResumeTokens int `cbor:"10,keyasint,omitempty"`
 	// MaxTokens bounds the length of the completion.
 	MaxTokens int `cbor:"11,keyasint"`
@@ -157,7 +157,7 @@
 	Bytes int64 `cbor:"1,keyasint"`
 }
 
-// Refused ends a conversation without a result.
+// Refused ends an exchange without a result.
 type Refused struct {
 	// Kind is the kind of failure.
 	Kind failure.Kind `cbor:"1,keyasint"`
@@ -256,12 +256,13 @@
 	Holdings []Holding `cbor:"1,keyasint"`
 }
 
-// HoldingUpdate reports to the owner of an anchor that a holding was added or removed.
+// HoldingUpdate reports to the owner of an anchor that a holding was added or
+// removed.
 type HoldingUpdate struct {
 	// Anchor is the hash of the context up to the end of its first user message;
 	// see directory.Anchor.
 	Anchor prompt.Hash `cbor:"1,keyasint"`
-	// Chain is the chain of the blocks held; empty when Gone is set.
+	// Chain is the chain of the blocks held; empty when Removed is set.
 	Chain prompt.Chain `cbor:"2,keyasint,omitempty"`
 	// Holding is the holding that was added or removed.
 	Holding Holding `cbor:"3,keyasint"`
@@ -327,8 +328,8 @@
 	Accepted uint64 `cbor:"24,keyasint,omitempty"`
 	// UpMS is the time since the start of this incarnation, in milliseconds.
 	UpMS int64 `cbor:"25,keyasint,omitempty"`
-	// TargetGone says that nothing listens at the target's address. The side process
-	// has then already reported the requests that ran when it crashed.
+	// TargetGone says that nothing listens at the target's address. The side
+	// process has then already reported the requests that ran when it crashed.
 	TargetGone bool `cbor:"26,keyasint,omitempty"`
 }
 
@@ -338,12 +339,12 @@
 	After uint64 `cbor:"1,keyasint"`
 }
 
-// Settings is the response to Fetch. Sent as a request, it offers the published
-// settings to a peer.
+// Settings is the response to SettingsRequest. Sent as a request, it offers the
+// published settings to a peer.
 type Settings struct {
 	// Version is the version at the sender; zero when it has none.
 	Version uint64 `cbor:"1,keyasint"`
-	// Body is an encoded publication.Handover: the changes after the version of
+	// Body is an encoded publication.Update: the changes after the version of
 	// the receiver, none if it has the newest.
 	Body []byte `cbor:"2,keyasint,omitempty"`
 }
@@ -378,7 +379,7 @@
 	Query string `cbor:"2,keyasint,omitempty"`
 }
 
-// Document is the response to View.
+// Document is the response to DocumentRequest.
 type Document struct {
 	// JSON is the document, encoded as JSON.
 	JSON []byte `cbor:"1,keyasint"`
--- a/organisation/register.go
+++ b/organisation/register.go
@@ -7,10 +7,10 @@
 // to rotate one, publish the hash of the new key in addition to the old one, hand out
 // the new key, and publish the settings again without the old hash.
 //
-// A Register is built from one version of the settings and is immutable, so that a
+// A KeyRegistry is built from one version of the settings and is immutable, so that a
 // request in flight keeps the organisation that it was authenticated with.
 //
-//	r := organisation.NewRegister(tree)
+//	r := organisation.NewKeyRegistry(tree)
 //	name, err := r.Authenticate(credential)
 package organisation
 
@@ -37,7 +37,7 @@
 )
 
 // KeyRegistry finds organisations by their callers' keys. It is immutable and safe for
-// concurrent use. Use NewRegister.
+// concurrent use. Use NewKeyRegistry.
 type KeyRegistry struct {
 	seed maphash.Seed
 	// keyHolders are indexed by a seeded hash of the key's hash. The seed is secret, so
@@ -52,7 +52,7 @@
 	organisation string
 }
 
-// NewKeyRegistry returns the Register for the organisations in t.
+// NewKeyRegistry returns the KeyRegistry for the organisations in t.
 func NewKeyRegistry(t *setting.Tree) *KeyRegistry {
 	r := &KeyRegistry{
 		seed:       maphash.MakeSeed(),
--- a/organisation/register_test.go
+++ b/organisation/register_test.go
@@ -14,7 +14,7 @@
 	"boragehub/setting"
 )
 
-func newTestRegister(t testing.TB, text string) *KeyRegistry {
+func newTestRegistry(t testing.TB, text string) *KeyRegistry {
 	t.Helper()
 
 	tree, err := setting.Parse("test", []byte(text))
@@ -26,7 +26,7 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	r := newTestRegister(t, fmt.Sprintf(`
+	r := newTestRegistry(t, fmt.Sprintf(`
 [[service]]
 name = "llm"
 kind = "engine"
@@ -92,7 +92,7 @@
 	z := zerolog.New(&out)
 
 	log := zerologr.New(&z)
-	r := newTestRegister(t, "")
+	r := newTestRegistry(t, "")
 	_, err := r.Authenticate(secret)
 	event.Fail(log, err, event.ProcessFailed, "error", err)
 
@@ -122,7 +122,7 @@
 
 func TestNewKeyIsAccepted(t *testing.T) {
 	key, hash := NewKey()
-	r := newTestRegister(t, fmt.Sprintf("[[organisation]]\nname = \"o\"\nkeys = [%q]\n", hash))
+	r := newTestRegistry(t, fmt.Sprintf("[[organisation]]\nname = \"o\"\nkeys = [%q]\n", hash))
 
 	if got, err := r.Authenticate(key); got != "o" || err != nil {
 		t.Errorf("got %q %v, want o", got, err)
@@ -136,7 +136,7 @@
 		fmt.Fprintf(&text, "[[organisation]]\nname = \"o%d\"\nkeys = [%q, %q]\n", i, HashKey(fmt.Sprint("a", i)), HashKey(fmt.Sprint("b", i)))
 	}
 
-	r := newTestRegister(b, text.String())
+	r := newTestRegistry(b, text.String())
 
 	b.ReportAllocs()
 
--- a/parking/parking.go
+++ b/parking/parking.go
@@ -15,7 +15,7 @@
 //
 //	d := parking.Decide(now, cfg, ctx, view)
 //	if d.Export() {
-//		copyTo(view.Stores[d.First()].Name)
+//		copyTo(view.Stores[d.StoreIndex()].Name)
 //	}
 package parking
 
@@ -86,8 +86,8 @@
 
 // View is the state of the engine and the stores on which a decision is based.
 type View struct {
-	// EngineRetention is how long the engine is expected to keep the context before it
-	// evicts it.
+	// EngineRetention is how long the engine is expected to keep the context before
+	// it evicts it.
 	EngineRetention time.Duration
 	// Stores are the stores; only the first MaxStores are considered.
 	Stores []Store
@@ -133,8 +133,8 @@
 // Reason returns the reason of the decision.
 func (d Decision) Reason() Reason { return d.reason }
 
-// StoreIndex returns the index in View.Stores of the store for the copy; -1 if there
-// is to be no copy.
+// StoreIndex returns the index in View.Stores of the store for the copy; -1 if no
+// copy is to be made.
 func (d Decision) StoreIndex() int { return d.store }
 
 // Saving returns the expected saving of the copy in seconds of prefill; zero for
@@ -223,13 +223,13 @@
 
 // Saving returns the expected saving of a copy of c in seconds of prefill: the
 // prefill time of its tokens that no store has, times the probability that it
-// returns after the engine evicted it. The engine keeps it for stays.
-func Saving(c Context, stays time.Duration) float64 {
+// returns after the engine evicted it. The engine keeps it for engineRetention.
+func Saving(c Context, engineRetention time.Duration) float64 {
 	if c.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
 
-	return float64(c.Tokens-c.StoredTokens) / c.PrefillTokensPerSecond * c.Gaps.ReturnProbabilityAfter(stays)
+	return float64(c.Tokens-c.StoredTokens) / c.PrefillTokensPerSecond * c.Gaps.ReturnProbabilityAfter(engineRetention)
 }
 
 // Density returns the value of a stored copy per byte and second; a full store
--- a/parking/parking_test.go
+++ b/parking/parking_test.go
@@ -25,11 +25,11 @@
 		return r
 	}
 	cases := []struct {
-		name   string
-		c      Context
-		stays  time.Duration
-		stores []Store
-		want   Reason
+		name            string
+		c               Context
+		engineRetention time.Duration
+		stores          []Store
+		want            Reason
 	}{
 		{"worth a copy", longContext(), time.Minute, []Store{emptyStore}, Worthwhile},
 		{"short", Context{Tokens: 100, PrefillTokensPerSecond: 1}, 0, []Store{emptyStore}, TooShort},
@@ -45,13 +45,13 @@
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := Decide(epoch, Config{}, c.c, View{EngineRetention: c.stays, Stores: c.stores})
+			d := Decide(epoch, Config{}, c.c, View{EngineRetention: c.engineRetention, Stores: c.stores})
 			if got := d.Reason(); got != c.want {
 				t.Fatalf("reason: got %v, want %v", got, c.want)
 			}
 
 			if got, want := d.StoreIndex() >= 0, c.want == Worthwhile; got != want {
-				t.Errorf("first: got %d, want a store %v", d.StoreIndex(), want)
+				t.Errorf("store index: got %d, want a store %v", d.StoreIndex(), want)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 }
 
 // Two stores with the same transfer time are full. The copy must go to the one
-// whose evicted copies are worth less. Otherwise one store would evict copies
+// whose evicted copies are less valuable. Otherwise one store would evict copies
 // that are more valuable than those that the other keeps.
 func TestFullStoreWithLeastValueIsChosen(t *testing.T) {
 	stores := []Store{{Total: 1 << 50, Density: 1e-15}, {Total: 1 << 50, Density: 1e-16}}
--- a/pause/patient.go
+++ b/pause/idle.go
@@ -21,8 +21,8 @@
 	stopped bool
 }
 
-// WithIdleTimeout returns a context that is cancelled when no progress was reported for idle
-// (see Moves), or after total in any case.
+// WithIdleTimeout returns a context that is cancelled when no progress was reported for
+// idle (see ReportProgress), or after total in any case.
 //
 // A fixed timeout for a whole transfer has to be long enough for the largest message
 // over the slowest link, and is then too long to detect an unresponsive connection. One
@@ -40,8 +40,9 @@
 	}
 }
 
-// ReportProgress reports progress to ctx and all enclosing contexts made by Patient: each gets
-// its full idle time again, up to its total limit. It does nothing for other contexts.
+// ReportProgress reports progress to ctx and all enclosing contexts made by
+// WithIdleTimeout: each gets its full idle time again, up to its total limit. It does
+// nothing for other contexts.
 func ReportProgress(ctx context.Context) {
 	t, _ := ctx.Value(idleTimeoutKey{}).(*idleTimeout)
 
@@ -68,8 +69,8 @@
 	t.timer.Stop()
 }
 
-// ProgressReader returns a reader of r that reports progress to ctx (Moves) at each read that
-// yields data.
+// ProgressReader returns a reader of r that calls ReportProgress with ctx at each read
+// that yields data.
 func ProgressReader(ctx context.Context, r io.Reader) io.Reader { return progressReader{ctx, r} }
 
 type progressReader struct {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -6,7 +6,7 @@
 // A Server accepts streams and a Dialer opens them. Each Stream carries one
 // exchange, as frames of package message. Both ends send heartbeats on every open
 // stream, from a separate goroutine, so that a peer that is busy for long can be
-// told from one that is gone.
+// distinguished from one that is gone.
 //
 // # Unresponsive connections
 //
@@ -17,7 +17,7 @@
 // dials a new one from a new UDP port, which a middlebox treats as a new flow.
 //
 //	s, err := dialer.Open(ctx, peer.Address{VM: "e1", Addr: "127.0.0.1:7001"})
-//	err = s.Send(message.Ask{})
+//	err = s.Send(message.StateRequest{})
 //	m, err := s.Receive()
 package peer
 
@@ -62,7 +62,7 @@
 	StreamTimeout time.Duration
 	// DialTimeout bounds dialling, handshake included; zero is DefaultDialTimeout.
 	DialTimeout time.Duration
-	// MaxStreams is the maximum of streams that a peer may have open on one
+	// MaxStreams is the maximum number of streams that a peer may have open on one
 	// connection; zero is DefaultMaxStreams.
 	MaxStreams int64
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -361,7 +361,7 @@
 	}
 }
 
-// A process dies and another listens on its address. The dialer still holds the old
+// A process ends and another listens on its address. The dialer still holds the old
 // connection and must replace it.
 func TestRestartedPeerIsReached(t *testing.T) {
 	a := newAuthority(t)
--- a/peer/server.go
+++ b/peer/server.go
@@ -30,8 +30,8 @@
 	sessions map[*session]struct{}
 }
 
-// Listen binds addr, an IP address and UDP port. No other process can bind it while
-// this one lives, even while it is paused. Errors are failure.BadSettings.
+// Listen binds addr, an IP address and UDP port. No other process can bind it until
+// this one ends, even while this one is paused. Errors are failure.BadSettings.
 func Listen(cfg Config, addr string, log logr.Logger) (*Server, error) {
 	cfg = cfg.withDefaults()
 
--- a/peer/session.go
+++ b/peer/session.go
@@ -12,7 +12,7 @@
 // whose responses the peer may not have received.
 //
 // Closing a connection discards both the requests that arrived and were not
-// accepted, and the responses that were sent and not delivered. The peer can't tell
+// accepted, and the responses that were sent and not delivered. The peer can't distinguish
 // one from the other, nor either from a crashed process, and has to assume for each
 // request that it may have run. A closing session therefore first stops accepting,
 // then waits until the peer has all responses; a request without a response then was
--- a/peer/stop_test.go
+++ b/peer/stop_test.go
@@ -69,7 +69,7 @@
 	return stopped
 }
 
-// nameSet holds the names of the views that a handler received requests for.
+// nameSet holds the names of the documents that a handler received requests for.
 type nameSet struct {
 	mu   sync.Mutex
 	seen map[string]bool
@@ -89,9 +89,9 @@
 	return n.seen[name]
 }
 
-// viewHandler returns a Handler that records the name in a message.View in n and then
-// responds with it.
-func viewHandler(n *nameSet) Handler {
+// documentHandler returns a Handler that records the name in a message.DocumentRequest
+// in n and then responds with it.
+func documentHandler(n *nameSet) Handler {
 	return func(_ context.Context, _ Identity, s *Stream) {
 		m, err := s.Receive()
 		if err != nil {
@@ -109,9 +109,9 @@
 	}
 }
 
-// requestView requests a view by name; opened is false if no stream could be opened,
+// requestDocument requests a document by name; opened is false if no stream could be opened,
 // so that nothing was sent.
-func requestView(d *Dialer, a Address, name string) (opened bool, err error) {
+func requestDocument(d *Dialer, a Address, name string) (opened bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 
@@ -148,7 +148,7 @@
 
 	a := newAuthority(t)
 	ran := &nameSet{seen: map[string]bool{}}
-	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), viewHandler(ran))
+	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), documentHandler(ran))
 	to := Address{VM: "engine-1", Addr: s.Addr()}
 
 	var warm, all sync.WaitGroup
@@ -162,7 +162,7 @@
 				for n := 0; ; n++ {
 					name := fmt.Sprintf("booking %d of worker %d of entry %d", n, j, i)
 
-					opened, err := requestView(d, to, name)
+					opened, err := requestDocument(d, to, name)
 					if n == 0 {
 						warm.Done()
 					}
@@ -195,11 +195,11 @@
 func TestStreamAfterLastOneIsRefused(t *testing.T) {
 	a := newAuthority(t)
 	ran := &nameSet{seen: map[string]bool{}}
-	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), viewHandler(ran))
+	s := serveUntilStopped(t, testConfig(tlsConfigFor(t, a, "engine-1", "side")), documentHandler(ran))
 	to := Address{VM: "engine-1", Addr: s.Addr()}
 	d := newTestDialer(t, testConfig(tlsConfigFor(t, a, "entry-1", "entry")))
 
-	if _, err := requestView(d, to, "first"); err != nil {
+	if _, err := requestDocument(d, to, "first"); err != nil {
 		t.Fatal(err)
 	}
 
@@ -211,7 +211,7 @@
 	refused := make(chan error, 1)
 
 	go func() {
-		opened, err := requestView(d, to, "second")
+		opened, err := requestDocument(d, to, "second")
 		if opened && err != nil && failure.KindOf(err).Response().Ran != failure.NotRun {
 			refused <- err
 
@@ -255,7 +255,7 @@
 	result := make(chan error, 1)
 
 	go func() {
-		_, err := requestView(d, Address{VM: "engine-1", Addr: proxy.front.LocalAddr().String()}, "the booking")
+		_, err := requestDocument(d, Address{VM: "engine-1", Addr: proxy.front.LocalAddr().String()}, "the booking")
 		result <- err
 	}()
 
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -79,9 +79,9 @@
 	return t.classifyError(err)
 }
 
-// Receive returns the next message other than message.Beat. If neither a message nor a
-// heartbeat arrives within StreamTimeout, it returns failure.TargetLost and closes
-// the connection.
+// Receive returns the next message other than message.Heartbeat. If no message, not
+// even a heartbeat, arrives within StreamTimeout, it returns failure.TargetLost and
+// closes the connection.
 func (t *Stream) Receive() (message.Message, error) {
 	for {
 		if err := t.s.SetReadDeadline(time.Now().Add(t.cfg.StreamTimeout)); err != nil {
@@ -154,8 +154,8 @@
 }
 
 // sendHeartbeats sends a heartbeat every HeartbeatInterval until the stream ends.
-// Without heartbeats, a peer could not tell a process that takes long to respond from
-// a dead one.
+// Without heartbeats, a peer could not distinguish a process that takes long to
+// respond from a crashed one.
 func (t *Stream) sendHeartbeats() {
 	tick := time.NewTicker(t.cfg.HeartbeatInterval)
 	defer tick.Stop()
--- a/setting/exchange/exchange.go
+++ b/setting/exchange/exchange.go
@@ -1,7 +1,7 @@
 // Package exchange transfers published settings between boragehub processes, so
 // that not every process has to poll the log.
 //
-// Peers is the client side, for a publication.Follower. Answer is the server side,
+// Peers is the client side, for a publication.Follower. Respond is the server side,
 // which the roles call for messages that they don't handle themselves.
 package exchange
 
--- a/setting/publication/history.go
+++ b/setting/publication/history.go
@@ -100,9 +100,9 @@
 	ID string `json:"id"`
 }
 
-// ReadHistory returns the version in force according to the log, and the newest changes,
-// at most limit of them, oldest first. The version is nil if nothing was published
-// yet, and also if this release can't parse it, with an error.
+// ReadHistory returns the version in force according to the log, and the newest
+// changes, at most maxEntries of them, oldest first. The version is nil if nothing was
+// published yet, and also if this release can't parse it, with an error.
 func ReadHistory(ctx context.Context, log Log, maxEntries int) (*Published, []Entry, error) {
 	var entries []Entry
 
--- a/setting/publication/passing_test.go
+++ b/setting/publication/passing_test.go
@@ -20,7 +20,7 @@
 	"boragehub/setting"
 )
 
-var errUnresponsive = errors.New("silent")
+var errUnresponsive = errors.New("the process is unresponsive")
 
 // blockingLog is a fakeLog whose reads wait for records, as the real ones do.
 type blockingLog struct {
--- a/setting/publication/publication_test.go
+++ b/setting/publication/publication_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Two operators edit the same version. If both were told that their change is in
+// Two operators edit the same version. If both got the result that their change is in
 // force, the first one's change would be lost unnoticed.
 func TestConflictHasVersionToRebaseOn(t *testing.T) {
 	log := newFakeLog()
--- a/setting/publication/publish.go
+++ b/setting/publication/publish.go
@@ -60,12 +60,12 @@
 	Author string
 	Note   string
 	At     time.Time
-	// Changes are the keys that differ from Based to InForce; nil if the log no
-	// longer keeps Based, or this release can't parse one of the texts.
+	// Changes are the keys that differ from BaseVersion to InForce; nil if the log
+	// no longer keeps BaseVersion, or this release can't parse one of the texts.
 	Changes []setting.Change
 	// Text is the text of InForce.
 	Text []byte
-	// BaseText is the text of Based; nil if the log no longer keeps it.
+	// BaseText is the text of BaseVersion; nil if the log no longer keeps it.
 	BaseText []byte
 }
 
--- a/setting/publication/stateful_test.go
+++ b/setting/publication/stateful_test.go
@@ -316,7 +316,7 @@
 }
 
 // A record is damaged in the log. That may lose the change, but must neither bring a
-// text into force that nobody published nor end the process.
+// text into force that no operator published nor end the process.
 func TestDamagedRecordsAreRefused(t *testing.T) {
 	texts := []string{"share = 2.0\n", "share = 3.0\nrequest_burst = 17\n"}
 
