--- a/claim/claim.go
+++ b/claim/claim.go
@@ -36,12 +36,12 @@
 // issued later run. The issue time of a key is known if the key is a UUIDv7;
 // any other key counts as issued before.
 //
-// State and Coordinator decide and do no I/O. Home connects them to the log;
-// its Run method must run in the background:
+// State and Coordinator decide and do no I/O. Deduplicator connects them to the
+// log; its Run method must run in the background:
 //
-//	h := claim.NewHome(claim.HomeConfig{Log: log, Service: "booking-api", VM: vm})
-//	go h.Run(ctx)
-//	t, err := h.Claim(ctx, time.Now(), claim.Request{Organisation: o, Key: key})
+//	d := claim.NewDeduplicator(claim.DeduplicatorConfig{Log: log, Service: "booking-api", VM: vm, VMList: list})
+//	go d.Run(ctx)
+//	t, err := d.Claim(ctx, time.Now(), claim.Request{Organisation: o, Key: key})
 package claim
 
 import (
--- a/claim/home.go
+++ b/claim/home.go
@@ -23,7 +23,7 @@
 	DefaultRebalanceDelay = time.Minute
 	// DefaultSnapshotRecords is the number of records between two snapshots.
 	DefaultSnapshotRecords = 50000
-	// tickInterval is the interval at which a Home checks its shards.
+	// tickInterval is the interval at which a Deduplicator checks its shards.
 	tickInterval = 50 * time.Millisecond
 	// pollWait is how long a shard's poll waits for a record; it is below
 	// logTimeout.
@@ -38,7 +38,7 @@
 	maxRecordsPerRun = 2
 )
 
-// DeduplicatorConfig configures a Home.
+// DeduplicatorConfig configures a Deduplicator.
 type DeduplicatorConfig struct {
 	// Log is the log service.
 	Log journal.Log
@@ -88,13 +88,13 @@
 	MaxBodyBytes int
 	// Clock returns the time; nil means time.Now.
 	Clock func() time.Time
-	// Logger gets the Home's events; its zero value discards them.
+	// Logger gets the Deduplicator's events; its zero value discards them.
 	Logger logr.Logger
 }
 
-// Deduplicator deduplicates the requests of the shards that this process owns, and is a
-// standby for others. Run must run in the background. It is safe for concurrent
-// use.
+// Deduplicator deduplicates the requests of the shards that this process owns,
+// and is a standby for others. Run must run in the background. It is safe for
+// concurrent use.
 type Deduplicator struct {
 	cfg DeduplicatorConfig
 
@@ -106,7 +106,8 @@
 	ranksVersion uint64 // the version of the list; both are used only by Run's goroutine
 }
 
-// NewDeduplicator returns a Home for cfg. It reads nothing until Run is called.
+// NewDeduplicator returns a Deduplicator for cfg. It reads nothing until Run is
+// called.
 func NewDeduplicator(cfg DeduplicatorConfig) *Deduplicator {
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
@@ -225,9 +226,9 @@
 }
 
 // SetKeyLifetime sets how long keys are remembered from now on, also for shards
-// that are followed later. With a shorter time, keys claimed before are still
-// remembered for their own time; a longer one never makes a forgotten key
-// usable again.
+// that are followed later. Keys claimed before keep their expiry time, also when
+// the new lifetime is shorter; a longer one never makes a forgotten key usable
+// again.
 func (h *Deduplicator) SetKeyLifetime(lifetime time.Duration) {
 	h.mu.Lock()
 	h.cfg.State.KeyLifetime = lifetime
--- a/claim/home_stateful_test.go
+++ b/claim/home_stateful_test.go
@@ -38,7 +38,7 @@
 	stepKinds
 )
 
-// sideProcess is a side process with its Home.
+// sideProcess is a side process with its Deduplicator.
 type sideProcess struct {
 	vm     string
 	dedup  *Deduplicator
@@ -46,8 +46,8 @@
 	dead   bool
 }
 
-// testService is a running service on virtual time, with real Homes, writers
-// and readers.
+// testService is a running service on virtual time, with real Deduplicators,
+// writers and readers.
 type testService struct {
 	ctx   context.Context
 	wg    sync.WaitGroup
@@ -350,10 +350,10 @@
 	return nil
 }
 
-// Real Homes, writers and readers are killed, replaced and drained while the
-// log is down, unresponsive or slow, loses responses or delays appends. Callers
-// retry their calls at any process. The test guards against a second run of a
-// key, a response that belongs to another run, and a shard without an owner.
+// Real Deduplicators, writers and readers are killed, replaced and drained while
+// the log is down, unresponsive or slow, loses responses or delays appends.
+// Callers retry their calls at any process. The test guards against a second run
+// of a key, a response that belongs to another run, and a shard without an owner.
 func TestDeduplicatorsUnderFailure(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var steps []step
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -25,7 +25,7 @@
 	return u.String()
 }
 
-// start runs a Home until ctx ends.
+// start runs a Deduplicator until ctx ends.
 func start(ctx context.Context, wg *sync.WaitGroup, cfg DeduplicatorConfig) *Deduplicator {
 	h := NewDeduplicator(cfg)
 	wg.Go(func() { h.Run(ctx) })
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// applyRenewal records that the owner is still there. A reader that lacks the
+// applyRenewal records that the owner still runs. A reader that lacks the
 // owner record learns that there is an owner, and from a later snapshot which
 // process it is.
 func (s *State) applyRenewal(r record) {
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -104,8 +104,8 @@
 		const shards, interval = 8, 100 * time.Millisecond
 
 		appends, _ := runLoad(t.Context(), shards, interval, 5*time.Second, 2)
-		if most := shards * (1 + float64(time.Second/interval)); appends > most {
-			t.Errorf("got %.0f appends a second, want at most %.0f", appends, most)
+		if limit := shards * (1 + float64(time.Second/interval)); appends > limit {
+			t.Errorf("got %.0f appends a second, want at most %.0f", appends, limit)
 		}
 	})
 }
--- a/claim/outage/outage.go
+++ b/claim/outage/outage.go
@@ -85,9 +85,9 @@
 	Served int
 	// Refused is how many were refused, or got no response, until their timeout.
 	Refused int
-	// Unknown is how many were told that it is unknown whether they ran.
+	// Unknown is how many got the response that it is unknown whether they ran.
 	Unknown int
-	// Ran is how many ran, whatever their callers were told.
+	// Ran is how many ran, whatever response their callers got.
 	Ran int
 	// RanTwice is how many ran more than once.
 	RanTwice int
--- a/claim/outage/outage_test.go
+++ b/claim/outage/outage_test.go
@@ -12,10 +12,10 @@
 	const length, crashAfter = 3 * time.Minute, time.Minute
 
 	cases := []struct {
-		name  string
-		cfg   Config
-		least float64 // the minimum share of calls served
-		most  float64
+		name     string
+		cfg      Config
+		minShare float64 // the minimum share of calls served
+		maxShare float64
 	}{
 		// Callers of the last half minute still retry when the log is back.
 		{"refuse in outage", Config{Outage: length}, 0, 0.17},
@@ -29,8 +29,8 @@
 			got := Run(c.cfg)
 			share := float64(got.Served) / float64(got.Calls)
 
-			if share < c.least || share > c.most || got.RanTwice != 0 {
-				t.Errorf("got %+v (share %.3f), want a share from %v to %v and none that ran twice", got, share, c.least, c.most)
+			if share < c.minShare || share > c.maxShare || got.RanTwice != 0 {
+				t.Errorf("got %+v (share %.3f), want a share from %v to %v and none that ran twice", got, share, c.minShare, c.maxShare)
 			}
 
 			if again := Run(c.cfg); got != again {
--- a/claim/silence.go
+++ b/claim/silence.go
@@ -64,7 +64,7 @@
 }
 
 // certainlyOwner reports whether no other process can have become the owner
-// since this one last read the whole log.
+// since this one last read the log to its end.
 //
 // A process that finds no owner in the kept part of the log becomes the owner.
 // An owner is therefore certain only while the log must still keep the record
@@ -92,7 +92,7 @@
 }
 
 // outageError returns the error for a request while the log is unresponsive.
-// LogUnavailable promises that the key has not run at all, which a process that
+// LogUnavailable states that the key has not run at all, which a process that
 // may no longer be the owner can't know.
 func (c *Coordinator) outageError(now time.Time) error {
 	if c.certainlyOwner(now) {
--- a/claim/stateful_test.go
+++ b/claim/stateful_test.go
@@ -361,8 +361,8 @@
 	}
 
 	p := w.processes[i]
-	if least := p.pausedSince.Add(DefaultMaxPause + time.Second); p.unlisted && w.now.Before(least) {
-		w.now = least
+	if earliest := p.pausedSince.Add(DefaultMaxPause + time.Second); p.unlisted && w.now.Before(earliest) {
+		w.now = earliest
 	}
 
 	p.pausedSince = time.Time{}
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -277,7 +277,7 @@
 	}
 }
 
-// tick does what a Home does at each tick.
+// tick does what a Deduplicator does at each tick.
 func (w *testEnv) tick(p *process) {
 	now := w.clock(p)
 
--- a/directory/table.go
+++ b/directory/table.go
@@ -13,7 +13,7 @@
 // with the chain of the prompt.
 //
 // A Holding may be out of date: the engine may have evicted blocks since, or the
-// store may have failed. The holder itself is asked before a Holding is used, so
+// store may have failed. The holder itself is queried before a Holding is used, so
 // an outdated one leads to recomputation but never to a wrong response. The table
 // is soft state: it is lost when its process ends and rebuilt from the reports of
 // side processes.
@@ -26,7 +26,7 @@
 // search. Holdings of one context share the memory of their samples.
 //
 //	t := directory.NewTable(directory.Config{MaxContexts: 10_000})
-//	t.Learn(now, anchor, chain, directory.Holding{Name: "engine-3", Blocks: len(chain)})
+//	t.Record(now, anchor, chain, directory.Holding{Name: "engine-3", Blocks: len(chain)})
 //	held := t.Lookup(now, anchor, longer, nil)
 package directory
 
--- a/drain/balancer.go
+++ b/drain/balancer.go
@@ -23,7 +23,7 @@
 // nearly always take longer than needed; while many processes are restarted one after the
 // other, more of them would be out of service at once, and callers would find none.
 //
-// It is an http.Handler. Create it with NewBalancer.
+// It is an http.Handler. Create it with NewHealthCheck.
 type HealthCheck struct {
 	ready func() bool
 
@@ -33,8 +33,8 @@
 	lastRefusal time.Time // time of the last failed check
 }
 
-// NewHealthCheck returns a Balancer. Until Leave is called, ready reports whether callers may
-// be sent to this process.
+// NewHealthCheck returns a HealthCheck. Until StartDrain is called, ready reports whether
+// callers may be sent to this process.
 func NewHealthCheck(ready func() bool) *HealthCheck { return &HealthCheck{ready: ready} }
 
 // StartDrain begins a drain: all health checks fail from now on.
--- a/drain/conn.go
+++ b/drain/conn.go
@@ -54,8 +54,8 @@
 	c.lastRead.Store(0)
 }
 
-// pending reports whether a request, or part of one, has reached this machine and is not
-// being served yet.
+// pending reports whether a request, or part of one, has reached this VM and is not being
+// served yet.
 func (c *conn) pending(now time.Time) bool {
 	return phase(c.phase.Load()) != phaseBusy && (c.partlyRead(now) || socket.Peek(c.TCPConn) == socket.Readable)
 }
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -11,7 +11,7 @@
 // response, as are all requests on connections opened shortly before.
 //
 // A Server therefore announces the close to callers. Each response states how long its
-// connection may stay unused (Keep-Alive); after Leave each response states that its
+// connection may stay unused (Keep-Alive); after StartDrain each response states that its
 // connection closes (Connection: close). Drain closes a connection only when its caller knows
 // by one of these that it must not be used any more.
 //
@@ -110,10 +110,11 @@
 type Options struct {
 	// Deregistered reports whether, as far as is known, no new callers are sent here any more.
 	Deregistered func(now time.Time) bool
-	// OnDeregistered is called once Released is true and KeepAlive has passed, so that all callers
-	// can know of the drain, or when ctx has ended: later requests may be refused.
+	// OnDeregistered is called once Deregistered is true and KeepAlive has passed, so that all
+	// callers can know of the drain, or when ctx has ended: later requests may be refused.
 	OnDeregistered func()
-	// MayClosePort reports whether all requests in flight end soon, so that the port may be closed.
+	// MayClosePort reports whether all requests in flight end soon, so that the port may be
+	// closed.
 	MayClosePort func(now time.Time) bool
 }
 
@@ -121,20 +122,20 @@
 // response, and then closes the port and all connections. If ctx ends earlier, all connections
 // are closed with the requests in flight. It returns the states of the connections just before
 // they were closed.
-func (s *Server) Drain(ctx context.Context, stop Options) Count {
+func (s *Server) Drain(ctx context.Context, options Options) Count {
 	s.StartDrain()
 
 	keepAliveEnd := time.Now().Add(s.keepAlive())
-	s.waitUntil(ctx, 1, func(now time.Time) bool { return !now.Before(keepAliveEnd) && isMet(stop.Deregistered, now) })
+	s.waitUntil(ctx, 1, func(now time.Time) bool { return !now.Before(keepAliveEnd) && isMet(options.Deregistered, now) })
 
-	if stop.OnDeregistered != nil {
-		stop.OnDeregistered()
+	if options.OnDeregistered != nil {
+		options.OnDeregistered()
 	}
 
 	// A response whose header was sent before the drain has announced that its connection may
 	// be used again. The port stays open as long as there are such connections.
 	s.waitUntil(ctx, 1, func(now time.Time) bool {
-		return isMet(stop.MayClosePort, now) && !s.conns.mayReceive(now, s.keepAlive()) && s.refuseConns()
+		return isMet(options.MayClosePort, now) && !s.conns.mayReceive(now, s.keepAlive()) && s.refuseConns()
 	})
 	s.closePort()
 
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -120,28 +120,28 @@
 // Callers reuse connections. If the server does not announce that it closes one, a caller may
 // send the next request just as it is closed, and gets no response.
 func TestResponsesAnnounceKeepAliveOrClose(t *testing.T) {
-	silent := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	empty := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	closing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
 	tests := []struct {
 		name      string
 		handler   http.Handler
 		keepAlive time.Duration
-		leaves    bool
+		draining  bool
 		want      string
 		closes    bool
 	}{
 		{"keep-alive", okHandler, 2 * time.Second, false, "timeout=2", false},
 		{"no keep-alive time", okHandler, 0, false, "", false},
-		{"empty response", silent, 2 * time.Second, false, "timeout=2", false},
+		{"empty response", empty, 2 * time.Second, false, "timeout=2", false},
 		{"the handler closes", closing, 2 * time.Second, false, "", true},
 		{"draining", okHandler, 2 * time.Second, true, "", true},
-		{"draining, empty response", silent, 2 * time.Second, true, "", true},
+		{"draining, empty response", empty, 2 * time.Second, true, "", true},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := startServer(t, tt.handler, tt.keepAlive)
-			if tt.leaves {
+			if tt.draining {
 				s.StartDrain()
 			}
 
@@ -419,17 +419,17 @@
 	b := NewHealthCheck(func() bool { return true })
 
 	if b.Deregistered(t0.Add(time.Hour)) {
-		t.Error("without a drain: got released")
+		t.Error("without a drain: got deregistered")
 	}
 
-	ask := func() int {
+	check := func() int {
 		w := httptest.NewRecorder()
 		b.ServeHTTP(w, nil)
 
 		return w.Code
 	}
 
-	if got := ask(); got != http.StatusOK {
+	if got := check(); got != http.StatusOK {
 		t.Errorf("before the drain: got %d, want 200", got)
 	}
 
@@ -437,10 +437,10 @@
 
 	for n := 1; n <= minRefusals; n++ {
 		if got, want := b.Deregistered(t0.Add(time.Second)), false; got != want {
-			t.Errorf("after %d refusals: got released %v, want %v", n-1, got, want)
+			t.Errorf("after %d refusals: got deregistered %v, want %v", n-1, got, want)
 		}
 
-		if got := ask(); got != http.StatusServiceUnavailable {
+		if got := check(); got != http.StatusServiceUnavailable {
 			t.Errorf("refusal %d: got %d, want 503", n, got)
 		}
 	}
@@ -459,14 +459,14 @@
 		}
 	}
 
-	unasked := NewHealthCheck(func() bool { return true })
-	unasked.StartDrain(t0)
+	unchecked := NewHealthCheck(func() bool { return true })
+	unchecked.StartDrain(t0)
 
 	for _, s := range []struct {
 		after time.Duration
 		want  bool
 	}{{maxHealthCheckWait - 1, false}, {maxHealthCheckWait, true}} {
-		if got := unasked.Deregistered(t0.Add(s.after)); got != s.want {
+		if got := unchecked.Deregistered(t0.Add(s.after)); got != s.want {
 			t.Errorf("no health check for %v: got %v, want %v", s.after, got, s.want)
 		}
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -243,7 +243,7 @@
 		Organisation:  j.organisation,
 		Workload:      j.workload,
 		Fingerprint:   j.fingerprint,
-		Suspect:       j.standing == quarantine.Suspect,
+		Suspect:       j.status == quarantine.Suspect,
 		Model:         j.model,
 		Version:       r.lookup.version,
 		Salt:          j.salt(),
@@ -294,7 +294,7 @@
 		return
 	}
 
-	j.e.updates.Offer(directoryUpdate{learn: message.HoldingUpdate{
+	j.e.updates.Offer(directoryUpdate{holding: message.HoldingUpdate{
 		Anchor: r.lookup.anchor,
 		Chain:  chain,
 		Holding: message.Holding{
--- a/entry/direct.go
+++ b/entry/direct.go
@@ -23,14 +23,14 @@
 //   - parking and imports: an evicted context is recomputed;
 //   - crash reports: only the entry whose connection broke suspects a crash;
 //   - the fence that protects orders;
-//   - calls that must run at most once: they are refused because no process is the
-//     home of their idempotency keys.
+//   - calls that must run at most once: they are refused because no process owns the
+//     shards of their idempotency keys.
 
 // maxDirectResponseBytes is the maximum size of a plain service's response body; the
 // rest is cut off.
 const maxDirectResponseBytes = 4 << 20
 
-// queryDirectState asks the target itself for its state.
+// queryDirectState requests the state from the target itself.
 func (e *Entry) queryDirectState(ctx context.Context, t target.Target) (message.State, error) {
 	c := engine.Client{Address: t.Address, HTTP: e.directClient}
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -12,7 +12,7 @@
 //
 // # Background tasks
 //
-//	pollTargets    asks side processes for the state of their targets, at a limited rate
+//	pollTargets    polls side processes for the state of their targets, at a limited rate
 //	sendUpdates    reports to directory owners which contexts engines hold
 //
 // Every entry also owns a part of the context directory, which records the engines
@@ -105,7 +105,7 @@
 	metrics      *metrics
 	owned        *ownedContexts
 	engines      engineTable
-	homes        *shardHomes
+	shardOwners  *shardOwners
 	links        *linkTable
 	serviceTimes *serviceTimes
 	directClient *http.Client // for targets without a side process
@@ -141,7 +141,7 @@
 		metrics:      newMetrics(),
 		owned:        newOwnedContexts(directory.Config{}),
 		engines:      engineTable{byVM: map[string]engineInfo{}},
-		homes:        newShardHomes(),
+		shardOwners:  newShardOwners(),
 		connected:    map[string]string{},
 		links:        newLinkTable(),
 		serviceTimes: newServiceTimes(),
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -68,10 +68,10 @@
 // one and a target is available.
 func (c *call) hedgeTarget(ctx context.Context, waited time.Duration, first target.Target) (target.Target, bool) {
 	now := time.Now()
-	standing, _ := c.e.crashes.Check(now, c.message.Fingerprint)
+	status, _ := c.e.crashes.Check(now, c.message.Fingerprint)
 	allowed := retry.MayHedge(retry.Hedge{
 		Idempotent:  true,
-		Suspect:     standing != quarantine.Clear,
+		Suspect:     status != quarantine.Clear,
 		Waited:      waited,
 		TypicalWait: c.values.HedgeAfter,
 		TimeLeft:    time.Until(c.request.arrived.Add(c.values.Timeout)),
--- a/entry/job.go
+++ b/entry/job.go
@@ -30,7 +30,7 @@
 	maxTokens    int
 	sampling     engine.Sampling
 	fingerprint  quarantine.Fingerprint
-	standing     quarantine.Status
+	status       quarantine.Status
 	seed         uint64
 	arrived      time.Time
 	sink         sink
@@ -112,12 +112,12 @@
 	}
 }
 
-// checkQuarantine updates j.standing and returns an error if j is quarantined because it
+// checkQuarantine updates j.status and returns an error if j is quarantined because it
 // crashed targets.
 func (j *job) checkQuarantine(now time.Time) error {
 	var err error
 
-	j.standing, err = j.e.crashes.Check(now, j.fingerprint)
+	j.status, err = j.e.crashes.Check(now, j.fingerprint)
 
 	return err
 }
@@ -166,7 +166,7 @@
 	}
 
 	wait := retry.BackoffConfig{}.Backoff(j.attempt, rand.New(rand.NewPCG(j.seed, uint64(j.attempt))))
-	if standing, _ := j.e.crashes.Check(time.Now(), j.fingerprint); standing != quarantine.Clear {
+	if status, _ := j.e.crashes.Check(time.Now(), j.fingerprint); status != quarantine.Clear {
 		wait = max(wait, crashReportDelay)
 	}
 
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -42,7 +42,7 @@
 		prompts:   counter("prompt_tokens_total", "Tokens of the prompts answered.", labels...),
 		cached:    counter("cached_tokens_total", "Prompt tokens that were not computed.", labels...),
 		imported:  counter("imported_tokens_total", "Prompt tokens that were imported from a store for their run.", labels...),
-		responses: counter("answers_total", "Whole answers given.", labels...),
+		responses: counter("answers_total", "Complete responses given.", labels...),
 		failures:  counter("failures_total", "Requests answered with an error, by kind.", "kind"),
 		retries:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Attempts beyond the first."}),
 	}
@@ -57,12 +57,12 @@
 
 	return []prometheus.Collector{
 		m.firstTokens, m.prompts, m.cached, m.imported, m.responses, m.failures, m.retries,
-		gauge("requests_in_work", "Requests in work now.", func() float64 { return float64(e.active.Load()) }),
+		gauge("requests_in_work", "Requests in flight.", func() float64 { return float64(e.active.Load()) }),
 		gauge("places_used", "Places of the gate that are taken.", e.gates.used),
 		gauge("targets_known", "Targets held in the table.", func() float64 { return float64(e.targets.Len()) }),
 		gauge("contexts_owned", "Contexts that this entry keeps for the directory.", func() float64 { return float64(e.owned.contexts()) }),
 		gauge("settings_version", "Version of the settings in force.", func() float64 { return float64(e.version()) }),
-		gauge("learnings_refused_total", "Reports of holdings dropped for want of room.", func() float64 { return float64(e.updates.Refused()) }),
+		gauge("learnings_refused_total", "Reports of holdings dropped because the queue was full.", func() float64 { return float64(e.updates.Refused()) }),
 	}
 }
 
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -153,7 +153,7 @@
 
 // directoryUpdate is an update to be sent to the owner of its anchor.
 type directoryUpdate struct {
-	learn message.HoldingUpdate
+	holding message.HoldingUpdate
 }
 
 // sendUpdates sends the queued directory updates to their owners until ctx ends.
@@ -164,7 +164,7 @@
 			return
 		}
 
-		e.sendUpdate(ctx, update.learn)
+		e.sendUpdate(ctx, update.holding)
 	}
 }
 
--- a/entry/placement/leader.go
+++ b/entry/placement/leader.go
@@ -2,7 +2,7 @@
 //
 // # Model
 //
-// The entries of a data centre share one lease. Its holder, the leader, asks the side
+// The entries of a data centre share one lease. Its holder, the leader, polls the side
 // processes of the data centre's engines for their state, compares it with the settings
 // (package weights) and sends orders that carry the lease's fencing number. A new
 // leader takes over without a handover: it reads all state from the engines, and side
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -238,13 +238,13 @@
 	return "not_allowed"
 }
 
-// route chooses the target. A non-idempotent call goes to the home of its key, the only
-// side process that knows whether it has run.
+// route chooses the target. A non-idempotent call goes to the owner of its key's shard,
+// the only side process that knows whether it has run.
 func (c *call) route(ctx context.Context, now time.Time) (target.Target, bool) {
 	targets := c.e.targets.Candidates(now, c.service.Name)
 
 	if c.message.AtMostOnce {
-		return c.shardHome(ctx, targets)
+		return c.shardOwner(ctx, targets)
 	}
 
 	candidates := make([]route.CallCandidate, len(targets))
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -177,7 +177,7 @@
 		blockTokens:   s.BlockTokens,
 		bytesPerToken: s.BytesPerToken,
 	})
-	e.homes.set(t.Service, t.VM, s.OwnedShards)
+	e.shardOwners.set(t.Service, t.VM, s.OwnedShards)
 	e.logChanges(e.targets.ObserveState(now, target.StateReport{
 		VM:            t.VM,
 		BootID:        s.Boot,
--- a/entry/router.go
+++ b/entry/router.go
@@ -71,7 +71,7 @@
 	return prompt.Scope{Salt: j.salt(), Model: j.model, Version: version}
 }
 
-// lookup returns the lookup of j's context for a version. It asks the owner the first
+// lookup returns the lookup of j's context for a version. It queries the owner the first
 // time and returns the stored result afterwards.
 func (j *job) lookup(ctx context.Context, version string, blockTokens int) *contextLookup {
 	for _, l := range j.lookups {
@@ -151,7 +151,7 @@
 		}
 	}
 
-	if j.standing != quarantine.Suspect {
+	if j.status != quarantine.Suspect {
 		return usable
 	}
 
--- a/mirror/exchange/client.go
+++ b/mirror/exchange/client.go
@@ -122,7 +122,7 @@
 	return best, nil
 }
 
-// randomPeers returns up to n random live entries and seeds, chosen anew on each call.
+// randomPeers returns up to n random live entries and seeds, a new choice on each call.
 func (c *Client) randomPeers(n int) []string {
 	all := c.members.LiveAndSeeds(time.Now())
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -310,7 +310,7 @@
 
 	for _, a := range c.members.LiveAndSeeds(time.Now()) {
 		wg.Go(func() {
-			//nolint:errcheck,gosec // see Tell and TellCrash
+			//nolint:errcheck,gosec // see Tell and ReportCrash
 			c.call(ctx, http.MethodPost, a, path, body, 0)
 		})
 	}
@@ -463,8 +463,8 @@
 	}
 }
 
-// WaitFirstResponse waits until Run has received the members of another entry, the timeout has passed
-// or ctx ends.
+// WaitFirstResponse waits until Run has received the members of another entry, the timeout has
+// passed or ctx ends.
 func (c *Client) WaitFirstResponse(ctx context.Context, timeout time.Duration) {
 	waitForClose(ctx, c.responded, timeout)
 }
--- a/mirror/exchange/exchange.go
+++ b/mirror/exchange/exchange.go
@@ -12,7 +12,7 @@
 // own address with its requests. The responses contain other entries. An entry that is not known to
 // have been alive for a while is removed.
 //
-// Messages are CBOR over HTTP on a port that only the system's machines can reach.
+// Messages are CBOR over HTTP on a port that only the system's VMs can reach.
 package exchange
 
 import (
--- a/mirror/exchange/exchange_test.go
+++ b/mirror/exchange/exchange_test.go
@@ -23,17 +23,17 @@
 	vaults  *vault.Directory
 	address string
 
-	mu      sync.Mutex
-	notices []VersionAnnouncement
-	crashes chan quarantine.Crash
+	mu            sync.Mutex
+	announcements []VersionAnnouncement
+	crashes       chan quarantine.Crash
 }
 
-// received returns the notices received so far.
+// received returns the announcements received so far.
 func (e *testEntry) received() []VersionAnnouncement {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return append([]VersionAnnouncement{}, e.notices...)
+	return append([]VersionAnnouncement{}, e.announcements...)
 }
 
 func newEntry(t *testing.T, seeds ...string) *testEntry {
@@ -49,7 +49,7 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 
-			e.notices = append(e.notices, n)
+			e.announcements = append(e.announcements, n)
 		},
 		OnCrash: func(_ time.Time, c quarantine.Crash) { e.crashes <- c },
 	})
@@ -97,8 +97,8 @@
 	}
 }
 
-// Guards against entries that don't discover each other. Settings contain at most three seeds, which
-// may be outdated; all other entries are discovered through them.
+// Guards against entries that don't discover each other. Settings contain at most three seeds,
+// which may be outdated; all other entries are discovered through them.
 func TestEntriesFindEachOther(t *testing.T) {
 	seed := newEntry(t)
 	a, b := newEntry(t, seed.address), newEntry(t, seed.address)
@@ -170,7 +170,7 @@
 	}
 
 	if got := e.received(); len(got) != 1 || got[0] != (VersionAnnouncement{Address: "10.0.0.1:80", Model: "m", Version: 2}) {
-		t.Errorf("got notices %v", got)
+		t.Errorf("got announcements %v", got)
 	}
 }
 
--- a/mirror/exchange/registration.go
+++ b/mirror/exchange/registration.go
@@ -164,8 +164,8 @@
 	close(batch.done)
 }
 
-// RegisteredAt returns when the log had accepted the entry's address; zero before that. Records read from
-// the log earlier may be older than the registration.
+// RegisteredAt returns when the log had accepted the entry's address; zero before that. Records
+// read from the log earlier may be older than the registration.
 func (r *Registration) RegisteredAt() time.Time {
 	if t := r.since.Load(); t != nil {
 		return *t
@@ -174,8 +174,8 @@
 	return time.Time{}
 }
 
-// Addresses reads the addresses of all entries ever registered from the log, without self. For each name
-// it returns the latest address.
+// Addresses reads the addresses of all entries ever registered from the log, without self. For
+// each name it returns the latest address.
 func (r *Registration) Addresses(ctx context.Context, self string) ([]string, error) {
 	c, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
--- a/mirror/exchange/server.go
+++ b/mirror/exchange/server.go
@@ -17,14 +17,14 @@
 
 // Server serves calls of other processes. It implements http.Handler.
 type Server struct {
-	mux        *http.ServeMux
-	members    *Members
-	topics     map[string]*mirror.Topic
-	notice     func(now time.Time, n VersionAnnouncement)
-	crash      func(now time.Time, c quarantine.Crash)
-	add        func(ctx context.Context, entry Registrant) error
-	vaults     *vault.Directory
-	compressor recordCompressor
+	mux            *http.ServeMux
+	members        *Members
+	topics         map[string]*mirror.Topic
+	onAnnouncement func(now time.Time, n VersionAnnouncement)
+	onCrash        func(now time.Time, c quarantine.Crash)
+	registerEntry  func(ctx context.Context, entry Registrant) error
+	vaults         *vault.Directory
+	compressor     recordCompressor
 }
 
 // ServerConfig configures a Server.
@@ -45,12 +45,12 @@
 
 // NewServer returns a Server with the given configuration.
 func NewServer(cfg ServerConfig) *Server {
-	s := &Server{mux: http.NewServeMux(), members: cfg.Members, topics: cfg.Topics, notice: cfg.OnAnnouncement, crash: cfg.OnCrash, add: cfg.Register, vaults: cfg.Vaults}
+	s := &Server{mux: http.NewServeMux(), members: cfg.Members, topics: cfg.Topics, onAnnouncement: cfg.OnAnnouncement, onCrash: cfg.OnCrash, registerEntry: cfg.Register, vaults: cfg.Vaults}
 	s.mux.HandleFunc("POST "+vaultsPath, s.storeUpdates)
 	s.mux.HandleFunc("GET "+recordsPath, s.records)
 	s.mux.HandleFunc("POST "+entriesPath, s.register)
-	s.mux.HandleFunc("POST "+noticePath, handleMessage(func(n VersionAnnouncement) { s.notice(time.Now(), n) }))
-	s.mux.HandleFunc("POST "+crashPath, handleMessage(func(c quarantine.Crash) { s.crash(time.Now(), c) }))
+	s.mux.HandleFunc("POST "+noticePath, handleMessage(func(n VersionAnnouncement) { s.onAnnouncement(time.Now(), n) }))
+	s.mux.HandleFunc("POST "+crashPath, handleMessage(func(c quarantine.Crash) { s.onCrash(time.Now(), c) }))
 
 	return s
 }
@@ -234,7 +234,7 @@
 		return
 	}
 
-	if s.add == nil || s.add(r.Context(), entry) != nil {
+	if s.registerEntry == nil || s.registerEntry(r.Context(), entry) != nil {
 		http.Error(w, "the entry could not be registered", http.StatusServiceUnavailable)
 
 		return
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -70,8 +70,8 @@
 	Topic *Topic
 	// Source is the log.
 	Source Source
-	// Peers are asked for records at the start and while the log doesn't respond, see also
-	// AskEvery. If nil, only the log and the assigned processes are read.
+	// Records are fetched from Peers at the start and while the log doesn't respond, see also
+	// PeerInterval. If nil, only the log and the assigned processes are read.
 	Peers Peers
 	// Relay assigns the processes that read the log. If nil, this process reads it itself.
 	Relay Relay
@@ -84,15 +84,15 @@
 	Wait time.Duration
 	// ReadPause is the pause between two reads of the log; zero continues at once.
 	ReadPause time.Duration
-	// PeerInterval is the interval at which the Peers are asked while the log responds, unless
-	// the topic is known to have been current within that interval. Zero asks them only
-	// when the log doesn't respond.
+	// PeerInterval is the interval at which records are fetched from Peers while the log
+	// responds, unless the topic is known to have been current within that interval. Zero
+	// fetches them only when the log doesn't respond.
 	PeerInterval time.Duration
 	// OnChanges is called with the changed records in order of offset, one call at a time.
 	OnChanges func(now time.Time, changes []Record)
-	// OnOutage is called with true at the start of an outage, when a read of the log fails, and with
-	// false at its end, when the log or an assigned process returns current records. If nil, it
-	// isn't called.
+	// OnOutage is called with true at the start of an outage, when a read of the log fails, and
+	// with false at its end, when the log or an assigned process returns current records. If
+	// nil, it isn't called.
 	OnOutage func(now time.Time, unavailable bool)
 	// Log receives an event at the start and at the end of an outage.
 	Log logr.Logger
@@ -151,9 +151,9 @@
 // Follower keeps a Topic up to date. Use NewFollower.
 type Follower struct {
 	cfg       FollowerConfig
-	lostSince time.Time // start of the outage, see OnAway; zero outside an outage
+	lostSince time.Time // start of the outage, see OnOutage; zero outside an outage
 
-	mu sync.Mutex // serialises merges and calls of OnNews, which keeps the changes in order
+	mu sync.Mutex // serialises merges and calls of OnChanges, which keeps the changes in order
 
 	backoffUntil map[string]time.Time // until when not to poll a process, by address
 }
@@ -163,9 +163,9 @@
 	return &Follower{cfg: cfg, backoffUntil: make(map[string]time.Time)}
 }
 
-// Run keeps the topic up to date until ctx ends. It asks the peers concurrently with the first
-// read. Otherwise a process that starts during an outage of the log would have no records until
-// the read times out.
+// Run keeps the topic up to date until ctx ends. It fetches from the peers concurrently with the
+// first read. Otherwise a process that starts during an outage of the log would have no records
+// until the read times out.
 func (f *Follower) Run(ctx context.Context) {
 	go f.fetchFromPeers(ctx)
 
@@ -332,8 +332,8 @@
 	f.merge(time.Now(), b)
 }
 
-// fetchPeriodically asks the peers while reads of the log wait, since an unresponsive connection
-// is detected only after Wait. It skips intervals in which the topic was up to date.
+// fetchPeriodically fetches from the peers while reads of the log wait, since an unresponsive
+// connection is detected only after Wait. It skips intervals in which the topic was up to date.
 func (f *Follower) fetchPeriodically(ctx context.Context) {
 	for pause.For(ctx, f.cfg.PeerInterval) {
 		if time.Since(f.cfg.Topic.SyncedAt()) >= f.cfg.PeerInterval {
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -114,7 +114,7 @@
 }
 
 // runFollower runs a Follower in virtual time while body runs. Outage reports the latest state
-// passed to OnAway.
+// passed to OnOutage.
 func runFollower(t *testing.T, log *fakeLog, peers Peers, body func(topic *Topic, outage func() bool)) {
 	t.Helper()
 
--- a/mirror/relay_test.go
+++ b/mirror/relay_test.go
@@ -226,7 +226,7 @@
 		time.Sleep(2 * time.Second)
 
 		if _, ok := topic.Get("version"); ok {
-			t.Fatal("got the record before the peers were asked")
+			t.Fatal("got the record before the first fetch from the peers")
 		}
 
 		time.Sleep(1500 * time.Millisecond)
--- a/mirror/topic.go
+++ b/mirror/topic.go
@@ -261,9 +261,9 @@
 	return t.syncedAt
 }
 
-// LatestUpdateAfter returns a time at which the records of the latest merged change were not yet in the
-// log: the value of Fresh before they were merged. It is zero if the topic had never been up to
-// date before.
+// LatestUpdateAfter returns a time at which the records of the latest merged change were not yet
+// in the log: the value of SyncedAt before they were merged. It is zero if the topic had never
+// been up to date before.
 func (t *Topic) LatestUpdateAfter() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/isolation.go
+++ b/quarantine/isolation.go
@@ -49,12 +49,12 @@
 // caller that sends the request to several entries at once can crash only one target.
 func IsolationVM(f Fingerprint, vms []string) string {
 	seed := binary.LittleEndian.Uint64(f[:])
-	best, most := "", uint64(0)
+	best, highest := "", uint64(0)
 
 	for _, vm := range vms {
 		s := xxh3.HashStringSeed(vm, seed)
-		if best == "" || s > most || (s == most && vm < best) {
-			best, most = vm, s
+		if best == "" || s > highest || (s == highest && vm < best) {
+			best, highest = vm, s
 		}
 	}
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -11,17 +11,17 @@
 // refuses it.
 //
 // Requests that only ran beside the cause are cleared in two ways: a suspect that
-// completes is no longer one (Completed), and a crash does not count for the others once
-// another request that ran in it is quarantined by crashes without them. If a target
-// turns out to be running with the same boot id, its report is withdrawn (Survived): only
-// a connection was broken.
+// completes is no longer one (RecordCompletion), and a crash does not count for the
+// others once another request that ran in it is quarantined by crashes without them. If
+// a target turns out to be running with the same boot id, its report is withdrawn
+// (WithdrawCrash): only a connection was broken.
 //
 // The result depends only on the set of reports and completions and not on their order,
 // so entries that merged the same set agree.
 //
 // # Example
 //
-//	t.Crashed(now, quarantine.Crash{Target: "engine-7", Boot: boot, Running: running})
+//	t.RecordCrash(now, quarantine.Crash{Target: "engine-7", Boot: boot, Running: running})
 //	status, err := t.Check(now, f) // Quarantined: err has kind failure.Quarantined
 package quarantine
 
@@ -38,9 +38,9 @@
 // Fingerprint identifies a request by its organisation and content.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of an organisation's content. It is not a cryptographic
-// hash: a caller that produces a collision harms only its own organisation, whose name is
-// part of the hashed data.
+// FingerprintOf returns the fingerprint of an organisation's content. It is not a
+// cryptographic hash: a caller that produces a collision harms only its own organisation,
+// whose name is part of the hashed data.
 func FingerprintOf(organisation string, content []byte) Fingerprint {
 	h := xxh3.New()
 	_, _ = h.WriteString(organisation)
@@ -66,7 +66,7 @@
 // Status is the status of a fingerprint. The zero Status is Clear.
 type Status uint8
 
-// The values of Standing.
+// The values of Status.
 const (
 	// Clear means that the request may run without restriction.
 	Clear Status = iota
@@ -103,7 +103,7 @@
 	MaxRunning int
 }
 
-// Tracker holds the reported crashes and derives the Standing of fingerprints. Create it
+// Tracker holds the reported crashes and derives the Status of fingerprints. Create it
 // with NewTracker. Its methods may be called concurrently.
 type Tracker struct {
 	cfg TrackerConfig
@@ -242,7 +242,7 @@
 	}
 }
 
-// Check returns the standing of f; for Quarantined also an error of kind
+// Check returns the status of f; for Quarantined also an error of kind
 // failure.Quarantined.
 func (t *Tracker) Check(now time.Time, f Fingerprint) (Status, error) {
 	t.mu.Lock()
@@ -258,7 +258,7 @@
 	return s, nil
 }
 
-// status derives the standing of f from the reports. The caller holds mu.
+// status derives the status of f from the reports. The caller holds mu.
 func (t *Tracker) status(f Fingerprint) Status {
 	total := t.crashCount(f)
 	if total == 0 {
@@ -354,7 +354,7 @@
 	return len(t.byTime), len(t.suspects)
 }
 
-// expire drops the crashes that are older than cfg.Memory.
+// expire drops the crashes that are older than cfg.Retention.
 func (t *Tracker) expire(now time.Time) {
 	for len(t.byTime) > 0 && now.Sub(t.byTime[0].at) > t.cfg.Retention {
 		t.dropOldest()
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// testEnv is the model of TestThirdTargetIsNeverLost: targets, entries that receive crash
-// reports late, and callers that retry at any entry.
+// testEnv is the model of TestCauseNeverCrashesThirdTarget: targets, entries that receive
+// crash reports late, and callers that retry at any entry.
 type testEnv struct {
 	now     time.Time
 	entries []*Tracker
@@ -388,7 +388,7 @@
 func TestEntriesChooseTheSameIsolationVM(t *testing.T) {
 	vms := []string{"engine-1", "engine-2", "engine-3", "engine-4"}
 	permuted := []string{"engine-3", "engine-1", "engine-4", "engine-2"}
-	homes := map[string]int{}
+	chosen := map[string]int{}
 
 	for n := range 400 {
 		got, want := IsolationVM(fingerprint(n), vms), IsolationVM(fingerprint(n), permuted)
@@ -396,11 +396,11 @@
 			t.Errorf("request %d: got VMs %s and %s, want the same", n, got, want)
 		}
 
-		homes[got]++
+		chosen[got]++
 	}
 
 	for _, vm := range vms {
-		if got := homes[vm]; got < 60 || got > 140 {
+		if got := chosen[vm]; got < 60 || got > 140 {
 			t.Errorf("%s: got %d of 400 suspects, want about a quarter", vm, got)
 		}
 	}
--- a/side/park.go
+++ b/side/park.go
@@ -189,16 +189,16 @@
 	}
 
 	for _, m := range stores {
-		room := parking.Store{Name: m.Name, Down: m.State == vm.Leaving}
+		candidate := parking.Store{Name: m.Name, Down: m.State == vm.Leaving}
 
-		if !room.Down {
+		if !candidate.Down {
 			space, err := store.Client{Address: m.Address, HTTP: s.spaceHTTP}.Space(ctx)
-			room.Down = err != nil
-			room.Free = space.TotalBytes - space.UsedBytes
-			room.Total = space.TotalBytes
+			candidate.Down = err != nil
+			candidate.Free = space.TotalBytes - space.UsedBytes
+			candidate.Total = space.TotalBytes
 		}
 
-		view.Stores = append(view.Stores, room)
+		view.Stores = append(view.Stores, candidate)
 	}
 
 	return view, stores
--- a/side/side.go
+++ b/side/side.go
@@ -59,7 +59,7 @@
 	Settle(ctx context.Context, t claim.Ticket, o claim.Outcome) error
 	Withdraw(ctx context.Context, t claim.Ticket) error
 	Lose(ctx context.Context, t claim.Ticket) error
-	// Homes returns the claim shards whose home is this process.
+	// Homes returns the numbers of the shards that this process owns.
 	Homes() []int
 }
 
@@ -223,7 +223,7 @@
 	}
 
 	// The request is cancelled with the stream: once the entry has cancelled or
-	// disconnected, nobody receives the response.
+	// disconnected, the response has no receiver.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
--- a/side/verdict_test.go
+++ b/side/verdict_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// await waits until the far end's last action has arrived: on one machine it has once
+// await waits until the far end's last action has arrived: on one host it has once
 // data sent later on another connection has.
 func await(t *testing.T) {
 	t.Helper()
--- a/side/watchdog.go
+++ b/side/watchdog.go
@@ -17,10 +17,10 @@
 
 // newWatchdog returns a context that ends with ctx, or when the watchdog was not reset
 // for the given time.
-func newWatchdog(ctx context.Context, silence time.Duration) (context.Context, *watchdog) {
+func newWatchdog(ctx context.Context, timeout time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &watchdog{cancel: cancel}
-	d.timer = time.AfterFunc(silence, func() {
+	d.timer = time.AfterFunc(timeout, func() {
 		d.fired.Store(true)
 		cancel()
 	})
@@ -29,7 +29,7 @@
 }
 
 // reset restarts the timer with the given time.
-func (d *watchdog) reset(silence time.Duration) { d.timer.Reset(silence) }
+func (d *watchdog) reset(timeout time.Duration) { d.timer.Reset(timeout) }
 
 // expired reports whether the watchdog cancelled the context.
 func (d *watchdog) expired() bool { return d.fired.Load() }
