--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -274,8 +274,8 @@
 			t.g.crashes.add(time.Now(), c.engine.ID, t.fingerprint)
 		}
 	case errors.Is(why, errUnresponsive), errors.Is(why, errVersionOverdue), errors.Is(why, errCallerTimeout):
-		// Not counted as a failure of the target: an unresponsive one is marked quiet until it is
-		// heard from again, and then still has its requests and its memory.
+		// Not counted as a failure of the target: an unresponsive one is suspected until it reports
+		// again, and then still has its requests and its memory.
 		o.cause, o.targetOutcome = why, target.Neutral
 	case ctx.Err() != nil:
 		// The attempt's timeout may have expired before the caller's deadline.
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -90,7 +90,8 @@
 	return t.choosePlainTarget(now, candidates)
 }
 
-// choosePlainTarget returns the target of a plain service with the least estimated time to a response.
+// choosePlainTarget returns the target of a plain service with the shortest estimated time to a
+// response.
 func (t *task) choosePlainTarget(now time.Time, all []roster.Engine) (choice, error) {
 	calls := make([]route.CallCandidate, len(all))
 
@@ -115,12 +116,12 @@
 	}, nil
 }
 
-// chooseEngine returns the engine with the least estimated time to a prompt's first event, the
+// chooseEngine returns the engine with the shortest estimated time to a prompt's first event, the
 // cost of prefilling a shared prefix again included.
 func (t *task) chooseEngine(now time.Time, all []roster.Engine) (choice, error) {
 	p := t.arrival.Prompt
 	newest := t.g.newest(p.Model)
-	due, required := t.g.versionNamedFor(now, p.Model, oldVersionGrace), t.g.requiredVersion(now, p.Model)
+	due, required := t.g.versionPublishedFor(now, p.Model, oldVersionGrace), t.g.requiredVersion(now, p.Model)
 	candidates := make([]route.PrefixCandidate, len(all))
 	all = assumeRequiredVersion(all, required)
 	l := t.lookup(now, all)
@@ -213,7 +214,7 @@
 }
 
 // checkPace returns an error if a prompt should not be sent now. A stream that has started
-// continues at once wherever it can: late events are worth more to its caller than none.
+// continues at once wherever it can: late events are better for its caller than none.
 func (t *task) checkPace(d route.PrefixDecision) error {
 	if t.stream.started {
 		return nil
@@ -237,16 +238,17 @@
 // enginePriority returns a prompt's priority at its engine. Among prompts of equal rank, those
 // with few tokens to prefill come first: each delays a long one by a few ms, but would wait for
 // it for up to a third of a second.
-func enginePriority(rank int, quick bool) int {
+func enginePriority(rank int, short bool) int {
 	u := 2 * rank
-	if !quick {
+	if !short {
 		u++
 	}
 
 	return min(u, lowestPriority)
 }
 
-// prefixUnreported reports whether the shared prefix is too short for engines to report that they have it.
+// prefixUnreported reports whether the shared prefix is too short for engines to report that they
+// have it.
 func (t *task) prefixUnreported() bool {
 	i := t.longestSharedPart()
 
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -37,7 +37,8 @@
 	return n
 }
 
-// SharedPrefixID returns the id of the shared prefix, which is that of its last part. It is empty if no part is shared.
+// SharedPrefixID returns the id of the shared prefix, which is that of its last part. It is empty
+// if no part is shared.
 func (p *Prompt) SharedPrefixID() string {
 	if len(p.Parts) < 2 {
 		return ""
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -242,7 +242,7 @@
 	registeredSince time.Time
 }
 
-// shortCallerTimeout is the patience of the route "patient".
+// shortCallerTimeout is the event timeout of the route "patient".
 const shortCallerTimeout = 300 * time.Millisecond
 
 // routes has one route of each kind.
--- a/gateway/fleets_test.go
+++ b/gateway/fleets_test.go
@@ -22,9 +22,9 @@
 
 // After a version change no part is cached, and engines have prompts to prefill for longer than
 // callers wait. Guards against sending more: such a prompt is late or lost, and delays all behind
-// it. It is refused at once without having run, with a Retry-After time at which its turn is near.
-// A long prompt waits at the entry while the queue would make short ones late. The aim is 300 ms;
-// five prompts take 100 ms.
+// it. It is refused at once without having run, with a Retry-After time that fits the queue.
+// A long prompt waits at the entry while the queue would make short ones late. The latency target is
+// 300 ms; five prompts take 100 ms.
 func TestPromptThatCanNotBeOnTimeIsRefusedAtOnce(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -71,8 +71,8 @@
 }
 
 // An engine breaks off in the middle of a stream, and the only other one has a long queue and hardly
-// any memory left. Guards against refusing or holding a started stream: late events are worth more
-// to its caller than none.
+// any memory left. Guards against refusing or holding a started stream: late events are better for
+// its caller than none.
 func TestStartedStreamResumesAtBusyEngine(t *testing.T) {
 	broken := newFakeEngine(t, "a", respondAndClose(streamHead+events(0, 1)))
 	busy := newFakeEngine(t, "b", respond(streamHead+events(2, 3)+streamEnd))
@@ -84,20 +84,20 @@
 
 	r := env.request(t, "POST", "/soon/1", "x", "Tokens", "3000")
 	if want := eventText(0) + eventText(1) + eventText(2) + eventText(3); r.status != http.StatusOK || r.err != nil || r.body != want {
-		t.Errorf("got %d %q %v, want the whole stream", r.status, r.body, r.err)
+		t.Errorf("got %d %q %v, want the complete stream", r.status, r.body, r.err)
 	}
 }
 
 func TestShortPrefillsComeFirstAtEqualRank(t *testing.T) {
 	tests := []struct {
 		rank  int
-		quick bool
+		short bool
 		want  int
 	}{{0, true, 0}, {0, false, 1}, {1, true, 2}, {1, false, 3}, {4, false, 9}, {7, true, 9}}
 
 	for _, tt := range tests {
-		if got := enginePriority(tt.rank, tt.quick); got != tt.want {
-			t.Errorf("rank %d, quick %v: got %d, want %d", tt.rank, tt.quick, got, tt.want)
+		if got := enginePriority(tt.rank, tt.short); got != tt.want {
+			t.Errorf("rank %d, short %v: got %d, want %d", tt.rank, tt.short, got, tt.want)
 		}
 	}
 }
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -17,9 +17,9 @@
 
 // attemptTracker tracks the attempts in flight by target. The zero value is empty.
 //
-// The caller of a request at a paused machine leaves after some seconds without a response, and
-// the target then works for nobody. If the attempt is cancelled as soon as no response is
-// expected, the caller gets an error in time.
+// The caller of a request at a paused target leaves after some seconds without a response, and the
+// target then serves a request that no caller waits for. If the attempt is cancelled as soon as no
+// response is expected, the caller gets an error in time.
 type attemptTracker struct {
 	mu       sync.Mutex
 	byTarget map[string]map[*inFlightAttempt]struct{}
--- a/gateway/flights_test.go
+++ b/gateway/flights_test.go
@@ -9,9 +9,9 @@
 )
 
 // An engine is paused while a request waits there. Its caller would leave after some seconds without
-// a response, and the engine would work for nobody when it resumes. Guards against a late error,
-// against sending a request that may have run to a second engine, and against counting the pause as
-// a failure of the first one.
+// a response, and the engine, once resumed, would serve a request that no caller waits for. Guards
+// against a late error, against sending a request that may have run to a second engine, and against
+// counting the pause as a failure of the first one.
 func TestRequestAtPausedEngineFailsAtOnce(t *testing.T) {
 	paused, arrived := newHangingEngine(t, "a", "")
 	env := newTestEnv(t, paused)
@@ -41,7 +41,7 @@
 
 	for _, e := range env.roster.Candidates(time.Now(), "llm", "m") {
 		if e.ID == "llma" && (e.Failures > 0 || !e.HeartbeatMissing) {
-			t.Errorf("got %d failures, quiet %v, want none and quiet", e.Failures, e.HeartbeatMissing)
+			t.Errorf("got %d failures, suspected %v, want none and suspected", e.Failures, e.HeartbeatMissing)
 		}
 	}
 }
@@ -83,9 +83,9 @@
 	}
 }
 
-// New weights are named, and an engine that has yet to load them has a long queue. Guards against a
-// prompt that begins on the replaced weights too late: it is cancelled in time and goes to an engine
-// with the new ones.
+// New weights are published, and an engine that has yet to load them has a long queue. Guards
+// against a prompt that begins on the replaced weights too late: it is cancelled in time and goes to
+// an engine with the new ones.
 func TestRequestsWaitingForReplacedWeightsAreCancelled(t *testing.T) {
 	old, arrived := newHangingEngine(t, "a", "")
 	env := newTestEnv(t, old)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,8 +58,8 @@
 	// ReportCrash reports to the other entries what was on a target when it crashed; nil
 	// reports nothing.
 	ReportCrash func(quarantine.Crash)
-	// RetryRatio and RepeatWindow limit retries to a fraction of the first attempts in a
-	// window; RepeatSlack is the number that all entries together may make beyond it.
+	// RetryRatio and RetryWindow limit retries to a fraction of the first attempts in a
+	// window; RetrySlack is the number that all entries together may make beyond it.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  int
@@ -103,7 +103,7 @@
 	mu              sync.Mutex
 	retryBudgets    map[string]*retry.Budget
 	entries         int // number of entries that share the retry slack
-	versions        map[string][]namedVersion
+	versions        map[string][]publishedVersion
 	versionsKnownAt func() time.Time // when the newest versions were last known for certain
 	registeredSince func() time.Time // since when this process is asked before cached parts are freed
 	crashes         *crashDetector
@@ -122,7 +122,7 @@
 		cfg:             cfg,
 		retryBudgets:    make(map[string]*retry.Budget),
 		entries:         minEntries,
-		versions:        make(map[string][]namedVersion),
+		versions:        make(map[string][]publishedVersion),
 		versionsKnownAt: versionsKnownAt,
 		registeredSince: registeredSince,
 		crashes:         newCrashDetector(cfg.Crashes, cfg.ReportCrash, cfg.Log),
@@ -166,7 +166,8 @@
 // PromptCount returns how many prompts were received since the start.
 func (g *Gateway) PromptCount() int64 { return g.promptCount.Load() }
 
-// SlowStart returns the limit for a service's targets while they are cold. It is zero for an unknown service.
+// SlowStart returns the limit for a service's targets while they are cold. It is zero for an
+// unknown service.
 func (g *Gateway) SlowStart(service string) slowstart.Limit {
 	c := g.current.Load()
 	if c == nil {
@@ -181,8 +182,8 @@
 	return slowstart.NewLimit(s.SlowStart.Duration, s.SlowStart.RequestsPerSecond, g.cfg.SlowStartOverage, g.cfg.SlowStartSlack)
 }
 
-// HasService reports whether a service is in the configuration. Without a configuration, it returns
-// true for any.
+// HasService reports whether a service is in the configuration. Without a configuration, it
+// returns true for any.
 func (g *Gateway) HasService(service string) bool {
 	c := g.current.Load()
 	if c == nil {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -299,8 +299,8 @@
 	}
 }
 
-// The caller disconnects. Guards against a target that keeps working for nobody: its connection has
-// to be closed soon.
+// The caller disconnects. Guards against a target that continues a request that no caller waits
+// for: its connection has to be closed soon.
 func TestCallerDisconnectCancelsTarget(t *testing.T) {
 	stopped := make(chan struct{})
 	e := newFakeEngine(t, "a", func(c net.Conn, _ *http.Request) bool {
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -7,8 +7,9 @@
 	"boragehub/pause"
 )
 
-// A caller closes a stream that shows no event for as long as its route's Patience, without having
-// received an error. It takes about a second to tell a paused machine from a short delay. A caller that has already waited, such as one with a short prompt queued behind a very
+// A caller closes a stream that shows no event for as long as its route's EventTimeout, without
+// having received an error. It takes about a second to distinguish a paused target from a short
+// delay. A caller that has already waited, such as one with a short prompt queued behind a very
 // long one, leaves sooner. Without the check below, callers leave during the first second of a
 // pause, and their requests are still at the target when it resumes.
 
@@ -23,8 +24,8 @@
 )
 
 // watchCallerTimeout cancels an attempt when its caller is about to leave and its target's load
-// report is late. A target that is still heard from has the whole time, since its response may
-// still come.
+// report is late. A target that still reports is not given up early, since its response may still
+// come.
 func (t *task) watchCallerTimeout(ctx context.Context, target string, cancel context.CancelCauseFunc) {
 	for pause.For(ctx, max(t.untilCallerTimeout(time.Now()), callerTimeoutPollInterval)) {
 		if t.untilCallerTimeout(time.Now()) <= 0 && t.g.cfg.Roster.ReportOverdue(target) {
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -42,8 +42,8 @@
 	}()
 }
 
-// An engine prefills a very long prompt while another one waits in its queue, and then the engine's
-// machine is paused. The time until the caller leaves is too short to tell a pause from a delay.
+// An engine prefills a very long prompt while another one waits in its queue, and then the engine
+// is paused. The time until the caller leaves is too short to distinguish a pause from a delay.
 // Guards against a caller that leaves without an error, with its request still at the engine when
 // that resumes. A caller that has part of its stream gets the error too, and may resume elsewhere.
 func TestCallerOfPausedEngineGetsErrorBeforeItLeaves(t *testing.T) {
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -20,11 +20,11 @@
 	return pulse.Report{Engine: e.llmAddress, Model: "m", Version: 1, Running: running, Resident: parts}
 }
 
-// After a version change the stores have no room for the new parts yet, so that only engines have
+// After a version change the stores have no space for the new parts yet, so that only engines have
 // them. Guards against every engine prefilling them again: all engines would be busy for seconds
 // and hardly any response on time.
 func TestPromptGoesToEngineWithItsSharedPrefix(t *testing.T) {
-	opening := resident.Part{Key: resident.Key(sharedPart), Tokens: 4990}
+	prefix := resident.Part{Key: resident.Key(sharedPart), Tokens: 4990}
 	stream := respond(streamHead + events(1, 1) + streamEnd)
 
 	tests := []struct {
@@ -37,9 +37,9 @@
 		at    string
 		fetch bool
 	}{
-		{"has it", []resident.Part{opening}, 0, "b", false},
-		{"has it and is busy", []resident.Part{opening}, 30, "c", true},
-		{"has a piece of it", []resident.Part{{Key: opening.Key, Tokens: 2048}}, 30, "c", false},
+		{"has it", []resident.Part{prefix}, 0, "b", false},
+		{"has it and is busy", []resident.Part{prefix}, 30, "c", true},
+		{"has a piece of it", []resident.Part{{Key: prefix.Key, Tokens: 2048}}, 30, "c", false},
 		{"has another prefix", []resident.Part{{Key: 1, Tokens: 4990}}, 30, "c", false},
 	}
 
--- a/gateway/metrics/metrics.go
+++ b/gateway/metrics/metrics.go
@@ -33,7 +33,7 @@
 	LogAge func() float64
 	// Dials returns the number of connections opened to targets.
 	Dials func() float64
-	// VaultTokens and VaultCapacity return the tokens kept in stores and the stores' capacity.
+	// VaultTokens and VaultCapacity return the tokens held in stores and the stores' capacity.
 	VaultTokens, VaultCapacity func() float64
 	// LinesLeftOut returns the number of log lines left out.
 	LinesLeftOut func() float64
@@ -41,7 +41,7 @@
 	TokensPerMs func() float64
 }
 
-// buckets are upper bounds in seconds, around the latency aims of 0.15, 0.4 and 0.8 s.
+// buckets are upper bounds in seconds, around the latency targets of 0.15, 0.4 and 0.8 s.
 var buckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.2, 2, 4, 8}
 
 // New registers the metrics with r and returns them.
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Operators named new weights long ago, and one engine still has the old ones, as when its side
-// process died. Guards against requests that begin there.
+// Operators published new weights long ago, and one engine still has the old ones, as when its
+// side process died. Guards against requests that begin there.
 func TestEngineWithReplacedWeightsIsExcluded(t *testing.T) {
 	a := newFakeEngine(t, "a", hasVersion("1"))
 	env := newTestEnv(t, a)
@@ -127,8 +127,8 @@
 }
 
 // An entry missed that the engines changed version: it was starting, and no process reported it.
-// Guards against excluding those engines for good: the entry would never learn better and refuse
-// everything while all others serve.
+// Guards against excluding those engines for good: the entry would never learn of the change and
+// refuse everything while all others serve.
 func TestOutdatedEnginesAreAskedForRequiredVersion(t *testing.T) {
 	a := newFakeEngine(t, "a", hasVersion("2"))
 	env := newTestEnv(t, a) // the roster has it with version 1
@@ -144,8 +144,8 @@
 	}
 }
 
-// All entries were killed some seconds after new weights were named, and one engine can't load
-// them. Restarted entries don't know when the weights were named. Guards against counting the
+// All entries were killed some seconds after new weights were published, and one engine can't load
+// them. Restarted entries don't know when the weights were published. Guards against counting the
 // time allowed from the entries' start: requests would begin on replaced weights long after they
 // may.
 func TestWeightsNamedBeforeTheStartAreRequiredSoon(t *testing.T) {
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -76,8 +76,8 @@
 
 	switch {
 	case impliesNotRun(x.Status()) || !a.Signed:
-		// The target doesn't say that the request has not run, but the caller would take
-		// its status for a promise of just that.
+		// The target doesn't say that the request has not run, but the caller would conclude
+		// it from the status.
 	case x.Status() < http.StatusInternalServerError:
 		o.response = &fullResponse{x.Status(), x.Header(), body}
 		o.targetOutcome = target.Succeeded
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -18,7 +18,7 @@
 	// maxQueueLength limits the prompts that wait, and so the memory that they take. Their
 	// maximum wait limits them long before.
 	maxQueueLength = 256
-	// defaultMaxWait is how long a prompt waits if its route sets no aim.
+	// defaultMaxWait is how long a prompt waits if its route sets no latency target.
 	defaultMaxWait = time.Second
 )
 
@@ -57,9 +57,9 @@
 	q.admitted = q.admitted[max(0, len(q.admitted)-admissionsKept):]
 }
 
-// wouldTimeOut reports whether one more prompt, which may wait for up to most, would wait in vain:
+// wouldTimeOut reports whether one more prompt, which may wait for up to maxWait, would time out:
 // more prompts wait before it than leave the queue in that time.
-func (q *waitQueue) wouldTimeOut(now time.Time, most time.Duration) bool {
+func (q *waitQueue) wouldTimeOut(now time.Time, maxWait time.Duration) bool {
 	if len(q.waiting) < minQueueLength {
 		return false
 	}
@@ -73,11 +73,11 @@
 
 	each := now.Sub(q.admitted[0]) / admissionsKept
 
-	return time.Duration(len(q.waiting))*each > most
+	return time.Duration(len(q.waiting))*each > maxWait
 }
 
 // maxWait returns how long the prompt waits for an engine with capacity before it is refused: after
-// its aim it is late in any case, and all prompts behind it would be.
+// its latency target it is late in any case, and all prompts behind it would be.
 func (t *task) maxWait() time.Duration {
 	if t.stream.started && t.route.EventTimeout > 0 {
 		// The caller waits for the rest of the stream.
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against callers that wait for cold engines until their aim has passed, though more prompts
-// wait before them than those engines will take.
+// Guards against callers that wait for cold engines until their latency target has passed, though
+// more prompts wait before them than those engines will take.
 func TestPromptsThatWouldTimeOutInQueueAreRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -13,12 +13,13 @@
 const (
 	// longFactor is the multiple of the mean duration of all responses above which one is long.
 	longFactor = 1.5
-	// maxDurationFactor is how many times its usual duration a response may take, on overloaded engines too.
+	// maxDurationFactor is how many times its usual duration a response may take, on overloaded
+	// engines too.
 	maxDurationFactor = 10
 	// longestRetention is how long the longest duration of a route is remembered.
 	longestRetention = time.Minute
 	// finalWindow is how long before its end an entry may close its port even if long requests
-	// run, so that calls that follow closely on each other end as well. It is also the least
+	// run, so that calls that follow closely on each other end as well. It is also the lowest
 	// limit that maxDuration derives from a route's longest duration.
 	finalWindow = 2 * time.Second
 	// drainRetryAfter is when a caller that a stopping entry refused should retry: another entry
@@ -62,17 +63,17 @@
 // maxDuration returns how long a response may take, given its usual duration (takes) and the age of
 // the route's oldest request in flight. Where a few engines are slow, the mean fits no response: by
 // ten times the mean, no request would be accepted several seconds before the end of a stop. Where
-// a machine is paused, responses that run for seconds are given up and missing from the mean of the
+// a target is paused, responses that run for seconds are given up and missing from the mean of the
 // complete ones, so a duration that was reached once may be reached again.
 func (u *routeDurations) maxDuration(takes, oldest time.Duration) time.Duration {
 	longest := max(u.longest, oldest)
-	most := maxDurationFactor * takes
+	limit := maxDurationFactor * takes
 
 	if longest > 0 {
-		most = min(most, max(time.Duration(longFactor*float64(longest)), finalWindow))
+		limit = min(limit, max(time.Duration(longFactor*float64(longest)), finalWindow))
 	}
 
-	return max(most, takes, longest)
+	return max(limit, takes, longest)
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -143,10 +144,10 @@
 	return !ok || millis(takes) > longFactor*ms
 }
 
-// finishesInTime reports whether a response that takes up to most is complete, or its deadline has
-// passed, when the last responses are sent. The caller holds mu.
-func (d *drainControl) finishesInTime(now, deadline time.Time, most time.Duration) bool {
-	return !deadline.After(d.end) || !now.Add(most).After(d.end)
+// finishesInTime reports whether a response that takes up to maxDuration is complete, or its
+// deadline has passed, when the last responses are sent. The caller holds mu.
+func (d *drainControl) finishesInTime(now, deadline time.Time, maxDuration time.Duration) bool {
+	return !deadline.After(d.end) || !now.Add(maxDuration).After(d.end)
 }
 
 // mayClosePort reports whether the port may close: no long request is in flight, or new requests
@@ -221,6 +222,6 @@
 // responses have to be sent, and requests that still wait for an engine are refused.
 func (g *Gateway) StartDrain(now, end time.Time) { g.drain.start(now, end) }
 
-// MayClosePort reports whether the callers' port may close, as no long request is in flight or no more
-// can be served.
+// MayClosePort reports whether the callers' port may close, as no long request is in flight or no
+// more can be served.
 func (g *Gateway) MayClosePort(now time.Time) bool { return g.drain.mayClosePort(now) }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// A machine is paused, and responses that have run for three seconds are given up or still run.
+// A target is paused, and responses that have run for three seconds are given up or still run.
 // Guards against learning from complete responses only: the entry would accept more requests two
 // seconds before its end and cut off their responses.
 func TestDrainCountsIncompleteResponses(t *testing.T) {
@@ -248,11 +248,11 @@
 
 			late := &task{route: &site.Route{Name: "seat"}, deadline: end.Add(time.Second)}
 			if err := d.admit(end.Add(-time.Millisecond), late); err == nil {
-				t.Error("no time is left: got a quick request accepted, want it refused")
+				t.Error("no time is left: got a short request accepted, want it refused")
 			}
 
 			if !d.mayClosePort(tt.at) {
-				t.Error("a quick request was refused: got false, want true")
+				t.Error("a short request was refused: got false, want true")
 			}
 
 			d.remove(tt.at, x)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// recent returns the requests that broke on a target within the last most, and drops those that
+// recent returns the requests that broke on a target within the last maxAge, and drops those that
 // are older than reportedCrashWindow. The caller holds mu.
-func (d *crashDetector) recent(now time.Time, id string, most time.Duration) []quarantine.Fingerprint {
+func (d *crashDetector) recent(now time.Time, id string, maxAge time.Duration) []quarantine.Fingerprint {
 	var (
 		kept    []brokenRequest
 		running []quarantine.Fingerprint
@@ -88,7 +88,7 @@
 			kept = append(kept, b)
 		}
 
-		if now.Sub(b.at) < most {
+		if now.Sub(b.at) < maxAge {
 			running = append(running, b.fingerprint)
 		}
 	}
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -167,16 +167,16 @@
 }
 
 func (t *task) setDeadline(now time.Time) {
-	most := defaultTimeout
+	timeout := defaultTimeout
 	if t.arrival.Timeout > 0 {
-		most = t.arrival.Timeout
+		timeout = t.arrival.Timeout
 	}
 
 	if t.route.Timeout > 0 {
-		most = min(most, t.route.Timeout)
+		timeout = min(timeout, t.route.Timeout)
 	}
 
-	t.deadline = now.Add(most)
+	t.deadline = now.Add(timeout)
 }
 
 func (t *task) checkQuarantine(now time.Time) error {
--- a/gateway/version.go
+++ b/gateway/version.go
@@ -6,21 +6,22 @@
 	"boragehub/vault"
 )
 
-// namedVersion is a weight version that operators named, for engines to load.
-type namedVersion struct {
+// publishedVersion is a weight version that operators published, for engines to load.
+type publishedVersion struct {
 	version int64
-	// learnedAt is when this process learned of it, set back by Named if that was at its start.
+	// learnedAt is when this process learned of it, set back by VersionNamed if it was published
+	// before the process started.
 	learnedAt time.Time
 	// previousNewestAt is when the previous version was last known for certain to be the newest.
 	previousNewestAt time.Time
 }
 
-// oldVersionGrace is how long after a weight version was named responses from the previous one
+// oldVersionGrace is how long after a weight version was published responses from the previous one
 // count as equally good: operators allow 1.5 s, and a request takes a while.
 const oldVersionGrace = 1200 * time.Millisecond
 
-// Margins before the end of Config.VersionWithin, within which engines with replaced weights may
-// begin requests. An engine that begins later breaks what operators were promised.
+// Margins before the end of Config.VersionDeadline, within which engines with replaced weights may
+// begin requests. An engine that begins one later violates the deployment's limit.
 const (
 	// sendMargin is how long before that end such an engine gets no more requests. They queue there,
 	// under heavy load for more than a second; the last engines are loading by then anyway.
@@ -30,17 +31,17 @@
 	cancelMargin = 400 * time.Millisecond
 )
 
-// maxNamedVersions limits how many versions of a model are remembered.
-const maxNamedVersions = 8
+// maxPublishedVersions limits how many versions of a model are remembered.
+const maxPublishedVersions = 8
 
-// startupGrace is how long after a process start engines may still lack a version that was named
-// before. When it was named is not known: taken for just named, an engine with replaced weights
-// would get requests for as long again.
+// startupGrace is how long after a process start engines may still lack a version that was
+// published before. When it was published is not known: if it counted as just published, an engine
+// with replaced weights would get requests for as long again.
 const startupGrace = 3900 * time.Millisecond
 
-// VersionNamed records that operators named a weight version. Before is when the previous version was
-// last known for certain to be the newest, zero for a version that was there when this process
-// started.
+// VersionNamed records that operators published a weight version. Before is when the previous
+// version was last known for certain to be the newest, zero for a version that was published before
+// this process started.
 func (g *Gateway) VersionNamed(now time.Time, model string, version int64, before time.Time) {
 	if before.IsZero() {
 		now = now.Add(min(startupGrace-g.cfg.VersionDeadline, 0))
@@ -54,11 +55,11 @@
 		return
 	}
 
-	all = append(all, namedVersion{version, now, before})
-	g.versions[model] = all[max(0, len(all)-maxNamedVersions):]
+	all = append(all, publishedVersion{version, now, before})
+	g.versions[model] = all[max(0, len(all)-maxPublishedVersions):]
 }
 
-// newest returns the version of a model that operators named last, zero for none.
+// newest returns the version of a model that operators published last, zero for none.
 func (g *Gateway) newest(model string) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,9 +71,9 @@
 	return 0
 }
 
-// versionNamedFor returns the newest version of a model that was named at least ago before now,
-// zero for none.
-func (g *Gateway) versionNamedFor(now time.Time, model string, ago time.Duration) int64 {
+// versionPublishedFor returns the newest version of a model that was published at least ago before
+// now, zero for none.
+func (g *Gateway) versionPublishedFor(now time.Time, model string, ago time.Duration) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -86,22 +87,24 @@
 	return 0
 }
 
-// minQueuedVersion returns the version of a model below which requests that wait are cancelled, zero for none.
+// minQueuedVersion returns the version of a model below which requests that wait are cancelled,
+// zero for none.
 func (g *Gateway) minQueuedVersion(now time.Time, model string) int64 {
 	if g.cfg.VersionDeadline <= 0 {
 		return 0
 	}
 
-	return g.versionNamedFor(now, model, g.cfg.VersionDeadline-cancelMargin)
+	return g.versionPublishedFor(now, model, g.cfg.VersionDeadline-cancelMargin)
 }
 
-// requiredVersion returns the version of a model below which an engine gets no requests, zero for none.
+// requiredVersion returns the version of a model below which an engine gets no requests, zero for
+// none.
 func (g *Gateway) requiredVersion(now time.Time, model string) int64 {
 	if g.cfg.VersionDeadline <= 0 {
 		return 0
 	}
 
-	return g.versionNamedFor(now, model, g.cfg.VersionDeadline-sendMargin)
+	return g.versionPublishedFor(now, model, g.cfg.VersionDeadline-sendMargin)
 }
 
 // mayFetch reports whether a part that was computed with a version of a model may be fetched from
@@ -109,12 +112,12 @@
 func (g *Gateway) mayFetch(now time.Time, p vault.Part, model string, version int64) bool {
 	current, newest := g.lastKnownNewest(model, version)
 
-	// A process that reads the register after a newer version was named is certain to find this
+	// A process that reads the register after a newer version was published is certain to find this
 	// process there only if it was registered when it last knew of no newer version.
 	since := g.registeredSince()
-	asked := newest && !since.IsZero() && current.After(since)
+	registered := newest && !since.IsZero() && current.After(since)
 
-	return p.MayFetch(now, current, asked)
+	return p.MayFetch(now, current, registered)
 }
 
 // lastKnownNewest returns when a version was last known for certain to be the newest of its
--- a/profile/profile.go
+++ b/profile/profile.go
@@ -5,7 +5,7 @@
 //
 // Deployments differ by a factor of ten in the prefill rate of an engine and in the length
 // of prompts, and neither is configured or reported. A decision between waiting and
-// recomputing needs both, so they are learned from answers: a RateEstimator fits the times
+// recomputing needs both, so they are learned from responses: a RateEstimator fits the times
 // to the first event of prompts whose engine had nothing else to prefill, and a Mean keeps a
 // moving mean. Both report when they have too few values; the decision then uses its own
 // safe default.
--- a/profile/profile_test.go
+++ b/profile/profile_test.go
@@ -40,7 +40,7 @@
 
 // Guards against an estimate that follows outliers: a prompt may have to wait although its
 // engine seemed to be idle, or the engine may have held a part already that was not reported.
-// Following one such answer would make prompts wait for engines that are ten times slower.
+// Following one such response would make prompts wait for engines that are ten times slower.
 func TestPrefillRateIsRobustToOutliers(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 
--- a/resident/resident.go
+++ b/resident/resident.go
@@ -114,7 +114,7 @@
 		cancel()
 
 		if err != nil {
-			// An engine that does not answer may have restarted and lost all parts. The process
+			// An engine that does not respond may have restarted and lost all parts. The process
 			// that sends it orders logs that it is unresponsive.
 			f.Reset()
 			pause.For(ctx, retryDelay)
--- a/resident/resident_test.go
+++ b/resident/resident_test.go
@@ -23,7 +23,7 @@
 func TestLongPartsAreReported(t *testing.T) {
 	tests := []struct {
 		name string
-		// answers are the engine's answers, in order.
+		// answers are the engine's responses, in order.
 		answers []vault.Events
 		want    []Part
 	}{
@@ -69,7 +69,7 @@
 	}
 }
 
-// oneAnswerSource answers the first call and fails all later ones.
+// oneAnswerSource responds to the first call and fails all later ones.
 type oneAnswerSource struct{ calls int }
 
 func (o *oneAnswerSource) Events(context.Context, string, int64, time.Duration) (vault.Events, error) {
@@ -81,7 +81,7 @@
 	return vault.Events{Epoch: 1, Next: 1, Events: []vault.Event{added("a", 5000)}}, nil
 }
 
-// Guards against reporting the parts of an engine that does not answer. An engine loses its
+// Guards against reporting the parts of an engine that does not respond. An engine loses its
 // memory when it dies, and entries that continue to send it prompts with these shared prefixes
 // make it recompute them, although a store may hold them.
 func TestEngineThatDoesNotAnswerHasNothing(t *testing.T) {
@@ -104,7 +104,7 @@
 		synctest.Wait()
 
 		if got := len(f.Parts()); got != 0 {
-			t.Errorf("got %d parts of an engine that does not answer, want 0", got)
+			t.Errorf("got %d parts of an engine that does not respond, want 0", got)
 		}
 	})
 }
--- a/slowstart/guard.go
+++ b/slowstart/guard.go
@@ -48,8 +48,8 @@
 	g.extendCold(now, g.limit.Duration-ago)
 }
 
-// ReportRemaining records how much longer the target stays cold, as it reported; zero means that it is
-// warm.
+// ReportRemaining records how much longer the target stays cold, as it reported; zero means that
+// it is warm.
 func (g *Guard) ReportRemaining(now time.Time, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +124,7 @@
 	return max(g.coldUntil.Sub(now), 0)
 }
 
-// Entry is the claim of one entry to permits.
+// Entry describes one entry for the distribution of permits.
 type Entry struct {
 	// Name is the name of the entry.
 	Name string
@@ -136,18 +136,18 @@
 // Permits issues the permits that have accrued since the last call. It draws the entry that
 // gets each permit at random, in proportion to demand, and returns the number of permits by
 // entry name.
-func (g *Guard) Permits(now time.Time, claims []Entry) map[string]int {
+func (g *Guard) Permits(now time.Time, entries []Entry) map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	if !g.limit.Bounded() || len(claims) == 0 || !now.Before(g.coldUntil.Add(warmPropagationTime)) {
+	if !g.limit.Bounded() || len(entries) == 0 || !now.Before(g.coldUntil.Add(warmPropagationTime)) {
 		return nil
 	}
 
 	g.accrue(now)
 
 	permits := make(map[string]int)
-	l := newLottery(claims)
+	l := newLottery(entries)
 
 	for ; g.accrued >= 1; g.accrued-- {
 		permits[l.next(g.rng)]++
--- a/slowstart/guard_test.go
+++ b/slowstart/guard_test.go
@@ -13,11 +13,11 @@
 )
 
 // issuePermits calls Permits every 100 ms and returns the number of permits by entry.
-func issuePermits(g *Guard, from time.Time, d time.Duration, claims ...Entry) map[string]int {
+func issuePermits(g *Guard, from time.Time, d time.Duration, entries ...Entry) map[string]int {
 	all := make(map[string]int)
 
 	for now := from; now.Before(from.Add(d)); now = now.Add(100 * time.Millisecond) {
-		for name, n := range g.Permits(now, claims) {
+		for name, n := range g.Permits(now, entries) {
 			all[name] += n
 		}
 	}
@@ -27,19 +27,19 @@
 
 func TestPermitsAreHandedOutOnlyWhileTheTargetIsCold(t *testing.T) {
 	g := NewGuard(limit, 1)
-	claim := Entry{"a", 10}
+	entry := Entry{"a", 10}
 
-	if got := issuePermits(g, epoch, time.Second, claim); len(got) != 0 {
+	if got := issuePermits(g, epoch, time.Second, entry); len(got) != 0 {
 		t.Errorf("warm: got %v permits, want none", got)
 	}
 
 	g.Started(epoch, 0)
 
-	if got := issuePermits(g, epoch, 200*time.Millisecond, claim); len(got) != 0 {
+	if got := issuePermits(g, epoch, 200*time.Millisecond, entry); len(got) != 0 {
 		t.Errorf("before entries know that it is cold: got %v permits, want none", got)
 	}
 
-	if got, want := issuePermits(g, epoch.Add(time.Second), 2*time.Second, claim)["a"], 51; got < want || got > 64 {
+	if got, want := issuePermits(g, epoch.Add(time.Second), 2*time.Second, entry)["a"], 51; got < want || got > 64 {
 		t.Errorf("cold: got %d permits in 2 s, want %d to 64", got, want)
 	}
 
@@ -49,7 +49,7 @@
 		t.Error("got a target not known to be warm, want it known")
 	}
 
-	if got := issuePermits(g, epoch.Add(4*time.Second), time.Second, claim); len(got) != 0 {
+	if got := issuePermits(g, epoch.Add(4*time.Second), time.Second, entry); len(got) != 0 {
 		t.Errorf("warm again: got %v permits, want none", got)
 	}
 }
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a target that is taken for warm because of the answers that it gave before it
-// was restarted.
+// Guards against a target that is taken for warm because of what it reported before it was
+// restarted.
 func TestTargetIsAssumedColdUntilItReports(t *testing.T) {
 	g := NewGuard(limit, 1)
 	g.ReportRemaining(epoch, 0)
@@ -117,7 +117,7 @@
 	p.Suspend(true)
 
 	if got := p.nextPath(); got != "" {
-		t.Errorf("on hold: got a check at %q, want none", got)
+		t.Errorf("suspended: got a check at %q, want none", got)
 	}
 
 	p.Suspend(false)
@@ -131,6 +131,6 @@
 	p.checkHealth(t.Context(), p.nextPath())
 
 	if g.Warm(time.Now()) {
-		t.Error("no answer: got a target known to be warm, want it unknown")
+		t.Error("no response: got a target known to be warm, want it unknown")
 	}
 }
--- a/slowstart/limit.go
+++ b/slowstart/limit.go
@@ -14,9 +14,9 @@
 //
 // # Example
 //
-//	g := slowstart.NewGuard(slowstart.Limit{Duration: 3 * time.Second, PerSecond: 32, Most: 53}, seed)
+//	g := slowstart.NewGuard(slowstart.Limit{Duration: 3 * time.Second, PerSecond: 32, MaxPerSecond: 53}, seed)
 //	g.Started(now, 0)
-//	permits := g.Permits(now, claims)
+//	permits := g.Permits(now, entries)
 package slowstart
 
 import "time"
@@ -47,10 +47,10 @@
 	PermitLife = 300 * time.Millisecond
 	// permitDelay is how long a permit and its request may be in flight.
 	permitDelay = 50 * time.Millisecond
-	// reservedShare is the share of Most that is reserved for entries without permits.
+	// reservedShare is the share of MaxPerSecond that is reserved for entries without permits.
 	reservedShare = 0.1
-	// uncoordinatedShare is the share of Most that entries use where no permits are issued:
-	// not all entries know those that have just started.
+	// uncoordinatedShare is the share of MaxPerSecond that entries use where no permits are
+	// issued: not all entries know those that have just started.
 	uncoordinatedShare = 0.8
 )
 
--- a/slowstart/lottery.go
+++ b/slowstart/lottery.go
@@ -12,21 +12,21 @@
 // lottery draws entries in proportion to their demand (lottery scheduling, Waldspurger and
 // Weihl 1994). It carries nothing over between draws, so it follows sudden changes of demand.
 type lottery struct {
-	claims     []Entry
-	cumulative []float64 // sum of the weights up to and including each claim
+	entries    []Entry
+	cumulative []float64 // sum of the weights up to and including each entry
 }
 
-func newLottery(claims []Entry) lottery {
+func newLottery(entries []Entry) lottery {
 	total := 0
-	for _, c := range claims {
+	for _, c := range entries {
 		total += c.Demand
 	}
 
-	minWeight := max(minDemandShare*float64(total)/float64(len(claims)), 1)
-	l := lottery{claims: claims, cumulative: make([]float64, len(claims))}
+	minWeight := max(minDemandShare*float64(total)/float64(len(entries)), 1)
+	l := lottery{entries: entries, cumulative: make([]float64, len(entries))}
 	sum := 0.0
 
-	for i, c := range claims {
+	for i, c := range entries {
 		sum += max(float64(c.Demand), minWeight)
 		l.cumulative[i] = sum
 	}
@@ -38,5 +38,5 @@
 func (l lottery) next(r *rand.Rand) string {
 	x := r.Float64() * l.cumulative[len(l.cumulative)-1]
 
-	return l.claims[sort.SearchFloat64s(l.cumulative, x)].Name
+	return l.entries[sort.SearchFloat64s(l.cumulative, x)].Name
 }
--- a/slowstart/probe.go
+++ b/slowstart/probe.go
@@ -17,7 +17,7 @@
 
 // ProbeConfig configures a Probe.
 type ProbeConfig struct {
-	// Guard receives the target's answers.
+	// Guard receives what the target reports.
 	Guard *Guard
 	// Health checks the target at Address.
 	Health  Health
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 
-	// A target that does not answer is busy or dead; its load reports tell which.
+	// A target that does not respond is busy or dead; its load reports tell which.
 	if cold, err := p.cfg.Health.Health(ctx, p.cfg.Address, path); err == nil {
 		p.cfg.Guard.ReportRemaining(time.Now(), cold)
 	}
--- a/vault/directory.go
+++ b/vault/directory.go
@@ -19,7 +19,7 @@
 	epoch         int64
 	next          int64 // sequence number of the next event
 	listed        bool  // its parts in this epoch are known
-	unreachable   bool  // it does not answer, or was never reached
+	unreachable   bool  // it does not respond, or was never reached
 	parts         map[Part]int
 	tokens        int
 	shortTokens   int // the tokens of short parts
--- a/vault/epoch_test.go
+++ b/vault/epoch_test.go
@@ -33,7 +33,7 @@
 	s.held, s.saving, s.events = make(map[Part]bool), make(map[Part]int64), nil
 }
 
-// message is an answer of the store or of a process that has not been delivered yet.
+// message is a response of the store or of a process that has not been delivered yet.
 type message struct {
 	update  *Update
 	events  Events
@@ -96,7 +96,7 @@
 	s.store.completeSaves(s.clock)
 }
 
-// pollStore returns the store's answer to process i.
+// pollStore returns the store's response to process i.
 func (s *epochSimulation) pollStore(i int) message {
 	next, ok := s.directories[i].NextEvent(storeAddress)
 	if !ok {
@@ -116,7 +116,7 @@
 	return message{events: e}
 }
 
-// askPeer returns the answer of process j to process i.
+// askPeer returns the response of process j to process i.
 func (s *epochSimulation) askPeer(i, j int) message {
 	u := s.directories[j].Updates(s.now(), []Position{s.directories[i].PeerPosition(storeAddress)})
 
--- a/vault/peers_test.go
+++ b/vault/peers_test.go
@@ -18,7 +18,7 @@
 
 	mu                sync.Mutex
 	dead              map[string]bool
-	storesUnreachable bool           // they follow the stores, but the stores do not answer
+	storesUnreachable bool           // they follow the stores, but the stores do not respond
 	asks              map[string]int // calls of Ask, by process
 	reachable         map[string]bool
 }
@@ -230,7 +230,7 @@
 	}
 }
 
-// hangingReporters are reporters of which some never answer, so that calls to them time out.
+// hangingReporters are reporters of which some never respond, so that calls to them time out.
 type hangingReporters struct {
 	fakeReporters
 
--- a/vault/share.go
+++ b/vault/share.go
@@ -19,7 +19,7 @@
 type Update struct {
 	Position
 	// Reachable is set if the reporter follows the store, directly or through another process,
-	// and the store answers.
+	// and the store responds.
 	Reachable bool `cbor:"4,keyasint"`
 	// Epoch is the store's epoch.
 	Epoch int64 `cbor:"5,keyasint"`
@@ -28,7 +28,7 @@
 	Snapshot bool    `cbor:"6,keyasint"`
 	Events   []Event `cbor:"7,keyasint"`
 	// Unreachable is set if the reporter follows the store, directly or through another
-	// process, and the store does not answer.
+	// process, and the store does not respond.
 	Unreachable bool `cbor:"8,keyasint,omitempty"`
 	// Clock is the engines' clock in ms, never ahead of it; zero if the reporter does not
 	// know it.
@@ -146,7 +146,7 @@
 }
 
 // ApplyUpdate applies an update from another process. It returns false if that process does not
-// follow the store or gets no answer from it, or if the store is not configured here.
+// follow the store or gets no response from it, or if the store is not configured here.
 func (d *Directory) ApplyUpdate(now time.Time, u Update) bool {
 	if !u.Reachable {
 		return false
@@ -177,7 +177,7 @@
 	return true
 }
 
-// ApplyUnreachableReport records that a store does not answer the processes that follow it.
+// ApplyUnreachableReport records that a store does not respond to the processes that follow it.
 func (d *Directory) ApplyUnreachableReport(now time.Time, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/vault/vault.go
+++ b/vault/vault.go
@@ -10,7 +10,7 @@
 //   - A part belongs to a Scope: model, weight version and, for isolated organisations,
 //     the organisation. Only parts of replaced weight versions are freed.
 //   - A process allows fetches of a version's parts only until a grace period after the
-//     last time at which it was certain that no newer version was announced (Part.Right).
+//     last time at which it was certain that no newer version was published (Part.MayFetch).
 //     Each granted fetch carries a deadline, at which the engine discards it.
 //   - A process frees a part only when its grace period and the longest fetch have passed
 //     since the process learned of a newer version (Part.FreeAfter). By then, processes
@@ -19,7 +19,7 @@
 //     outage of the log service. A process therefore registers in the log before it uses
 //     a longer grace period, and a process that frees parts first asks all registered
 //     processes whether they know the newer version. The register, read after the
-//     announcement, lists every process that may use the longer period, since each
+//     publication, lists every process that may use the longer period, since each
 //     registered before it last read the log without the newer version.
 //   - A store may restart and lose everything. A process fetches from it only until a
 //     grace period after the store was last known to be in its epoch. It saves nothing in
@@ -34,7 +34,7 @@
 // # Example
 //
 //	d := vault.NewDirectory(time.Now().UnixNano())
-//	d.Learn(now, address, listing)
+//	d.ApplyListing(now, address, listing)
 //	if c, ok := d.Find(now, part, "yvr-east"); ok { … }
 package vault
 
@@ -47,7 +47,7 @@
 )
 
 // Scope limits which requests may use a cached part: only those with the same model,
-// weight version and Wall.
+// weight version and Organisation.
 type Scope struct {
 	// Model is the name of the model.
 	Model string
@@ -105,7 +105,7 @@
 	Added bool `cbor:"4,keyasint"`
 }
 
-// Events is a store's answer to a request for changes.
+// Events is a store's response to a request for changes.
 type Events struct {
 	// Epoch identifies the start of the store; each start has a new one.
 	Epoch int64
@@ -113,7 +113,7 @@
 	Next int64
 	// Lost is set if events before these are missing.
 	Lost bool
-	// Clock is the engines' clock in ms; zero if the answer does not report it.
+	// Clock is the engines' clock in ms; zero if the response does not report it.
 	Clock int64
 	// Events are the changes, in order.
 	Events []Event
@@ -130,7 +130,7 @@
 // Timing of fetches and frees.
 const (
 	// minGrace and maxGrace bound how long a process may still fetch a version's parts after
-	// it was last certain that the version was the newest. While the log service answers,
+	// it was last certain that the version was the newest. While the log service responds,
 	// that was at most two long polls, 2 s, ago. The period differs between parts, so that
 	// the space of replaced parts is freed gradually while engines load the new weights,
 	// which takes about 7 s. Freeing all at once would leave either the engines that have
@@ -174,7 +174,7 @@
 const RegisteredGrace = 15 * time.Second
 
 // MayFetch reports whether the part may be fetched at now. NewestAt is the last time at which
-// the process was certain that no newer version was announced; zero means never.
+// the process was certain that no newer version was published; zero means never.
 // Registered is set if the process is registered and knows of no newer version: nothing
 // is then freed before the process has confirmed the newer version or RegisteredGrace has
 // passed.
@@ -188,7 +188,7 @@
 }
 
 // FreeAfter returns how long after learning of a newer version a process frees the part.
-// Confirmed is set if every registered process has answered that it knows the newer
+// Confirmed is set if every registered process has responded that it knows the newer
 // version. For processes that have not registered or could not be reached, the right to
 // fetch expires by time.
 func (p Part) FreeAfter(confirmed bool) time.Duration {
--- a/vault/vault_test.go
+++ b/vault/vault_test.go
@@ -48,7 +48,7 @@
 		}
 
 		// The process registers at some time. The process that frees parts reads the register
-		// when the version is announced, and asks the registered processes until they know it.
+		// when the version is published, and asks the registered processes until they know it.
 		registeredAt := rapid.Int64Range(0, 60_000).Draw(t, "registers at ms")
 		reached := rapid.Bool().Draw(t, "reached")
 		registered := registeredAt <= replacedAt
@@ -63,7 +63,7 @@
 		}
 
 		// Another process learned of the version immediately, and frees the part as early as it
-		// may: without an answer only if no process is registered.
+		// may: without a response only if no process is registered.
 		freedAt := at(replacedAt).Add(part.FreeAfter(reached || !registered))
 		fetchEnd := at(fetch).Add(MaxFetch)
 
@@ -293,7 +293,7 @@
 			"ask": func(t *rapid.T) {
 				for _, u := range reporter.Updates(now, []Position{follower.PeerPosition("large")}) {
 					if !follower.ApplyUpdate(now, u) {
-						t.Fatal("Adopt returned false, want the update applied")
+						t.Fatal("ApplyUpdate returned false, want the update applied")
 					}
 				}
 
--- a/vault/watcher.go
+++ b/vault/watcher.go
@@ -31,7 +31,7 @@
 	// that stores allow, so an idle store costs one call a second.
 	eventWait = time.Second
 	// clockEventWait replaces eventWait while the process does not know the engines' clock,
-	// which only answers with events report and without which nothing is fetched. With a
+	// which only responses with events report and without which nothing is fetched. With a
 	// wait of 1 s, all prompts were recomputed for the first second after a start. Stores
 	// count a shorter wait as a probe.
 	clockEventWait = 200 * time.Millisecond
@@ -52,7 +52,7 @@
 	// that does not follow the stores for others calls it. When all processes start together,
 	// those that follow the stores need some rounds before they know them.
 	directCallDelay = time.Second
-	// maxPeerFailureAge is how long a process that failed to answer is ranked behind the others.
+	// maxPeerFailureAge is how long a process that failed to respond is ranked behind the others.
 	maxPeerFailureAge = 20 * time.Second
 	// versionPollInterval is the pause between two rounds of asking processes whether they
 	// know a version.
@@ -117,7 +117,7 @@
 	cfg WatcherConfig
 
 	mu       sync.Mutex
-	ctx      context.Context //nolint:containedctx // for the goroutines that Named starts
+	ctx      context.Context //nolint:containedctx // for the goroutines that SetNewestVersion starts
 	stores   []Store
 	stops    map[string]context.CancelFunc // by address, of the stores followed directly
 	replaced map[string][]replacement      // by model, oldest version first
@@ -125,7 +125,7 @@
 	changed  chan struct{}                 // signals that Configure was called
 
 	// Only the pollPeers goroutine may use these.
-	peerFailedAt    map[string]time.Time // last failures to answer, by process
+	peerFailedAt    map[string]time.Time // last failures to respond, by process
 	unreportedSince map[string]time.Time // start of the current period without reports from other processes, by address
 }
 
@@ -258,8 +258,8 @@
 func (w *Watcher) logChange(address string, unreachable bool, err error) {
 	switch {
 	case err == nil && unreachable:
-		held, room, parts := w.cfg.Directory.Usage()
-		event.Log(w.cfg.Log, event.VaultRegained, "vault", address, "held", held, "room", room, "parts", parts)
+		held, capacity, parts := w.cfg.Directory.Usage()
+		event.Log(w.cfg.Log, event.VaultRegained, "vault", address, "held", held, "room", capacity, "parts", parts)
 	case err != nil && !unreachable:
 		event.Fail(w.cfg.Log, err, event.VaultLost, "vault", address)
 	}
@@ -383,7 +383,7 @@
 	}
 }
 
-// peerOrder returns the processes in the order in which to ask them. Those that failed to answer
+// peerOrder returns the processes in the order in which to ask them. Those that failed to respond
 // within maxPeerFailureAge come last, the most recent failure at the end: waiting for the timeout
 // of an unreachable process in each round would make updates too old to be passed on.
 func (w *Watcher) peerOrder(now time.Time, peers []string) []string {
--- a/vault/watcher_test.go
+++ b/vault/watcher_test.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// freedAfter runs a Watcher for 30 s and returns how long after the announcement of a newer
+// freedAfter runs a Watcher for 30 s and returns how long after the publication of a newer
 // version the old part was freed.
 func freedAfter(t *testing.T, peers *fakePeers, meanwhile func(), paused ...func(time.Time) bool) time.Duration {
 	t.Helper()
@@ -201,7 +201,7 @@
 }
 
 // Guards against freeing a part that an unresponsive process is fetching. A registered process
-// that does not answer may be partitioned and still fetching, and its engine would get corrupt KV
+// that does not respond may be partitioned and still fetching, and its engine would get corrupt KV
 // cache.
 func TestReplacedPartsAreKeptWhileARegisteredProcessIsUnresponsive(t *testing.T) {
 	got := freedAfter(t, &fakePeers{knows: map[string]bool{"a": true, "b": false}}, nil)
