--- a/certificate/authority.go
+++ b/certificate/authority.go
@@ -8,8 +8,8 @@
 // as a URI, as in boragehub://entry/e1. A process serves only peers whose
 // certificate was signed by an authority in its ca_file.
 //
-// A Keeper reloads a process's files when they change, so that certificates are
-// rotated without a restart. To rotate the authority itself, add the new
+// A Reloader reloads a process's files when they change, so that certificates
+// are rotated without a restart. To rotate the authority itself, add the new
 // authority's certificate to every ca_file beside the old one, then replace the
 // processes' certificates, then remove the old authority's certificate.
 //
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -13,8 +13,8 @@
 
 const protocol = "test/1"
 
-// newTestReloader writes a certificate for vm, signed by a, into dir and returns a Keeper of it that
-// trusts a and alsoTrusted.
+// newTestReloader writes a certificate for vm, signed by a, into dir and returns a Reloader of it
+// that trusts a and alsoTrusted.
 func newTestReloader(t *testing.T, dir, vm string, a *Authority, alsoTrusted ...*Authority) *Reloader {
 	t.Helper()
 
--- a/certificate/reloader.go
+++ b/certificate/reloader.go
@@ -15,10 +15,10 @@
 	"boragehub/failure"
 )
 
-// DefaultInterval is the default time between two checks of a Keeper's files.
+// DefaultInterval is the default time between two checks of a Reloader's files.
 const DefaultInterval = 10 * time.Second
 
-// ReloaderConfig configures a Keeper.
+// ReloaderConfig configures a Reloader.
 type ReloaderConfig struct {
 	// CAFile, CertificateFile and KeyFile are paths of PEM files. CAFile may hold several
 	// certificates.
@@ -34,7 +34,7 @@
 }
 
 // Reloader holds a process's certificate, key and trusted authorities, and reloads them when their
-// files change. Use NewKeeper; its methods may be called from many goroutines.
+// files change. Use NewReloader; its methods may be called from many goroutines.
 type Reloader struct {
 	cfg     ReloaderConfig
 	current atomic.Pointer[credentials]
@@ -47,7 +47,7 @@
 	pool  *x509.CertPool
 }
 
-// NewReloader returns a Keeper that has loaded its files. The error is a failure.BadSettings.
+// NewReloader returns a Reloader that has loaded its files. The error is a failure.BadSettings.
 func NewReloader(cfg ReloaderConfig) (*Reloader, error) {
 	if cfg.Interval <= 0 {
 		cfg.Interval = DefaultInterval
--- a/cmd/boragehub/gateway.go
+++ b/cmd/boragehub/gateway.go
@@ -95,7 +95,7 @@
 		LogAge:        func() float64 { return time.Since(operators.SyncedAt()).Seconds() },
 		Dials:         func() float64 { return float64(e.pool.Dials()) },
 		VaultTokens:   func() float64 { held, _, _ := directory.Usage(); return float64(held) },
-		VaultCapacity: func() float64 { _, room, _ := directory.Usage(); return float64(room) },
+		VaultCapacity: func() float64 { _, capacity, _ := directory.Usage(); return float64(capacity) },
 		LinesLeftOut:  func() float64 { return float64(lines.Dropped()) },
 		TokensPerMs:   func() float64 { return e.gateway.TokensPerMs() },
 	})
@@ -379,8 +379,9 @@
 }
 
 // drain announces the stop to the balancer and to callers, accepts requests until both have
-// had time to react, and then closes the port as soon as the requests in flight are short. It
-// returns when they have completed, or exitMargin before the end of the grace time.
+// had time to react, and then closes the port as soon as no long request is in flight. It
+// returns when the requests in flight have completed, or exitMargin before the end of the
+// grace time.
 func (e *gatewayProcess) drain(callers *drain.Server) {
 	began := time.Now()
 	end := began.Add(e.cfg.Bounds.Grace - exitMargin)
--- a/cmd/boragehub/platform.go
+++ b/cmd/boragehub/platform.go
@@ -71,7 +71,7 @@
 	headerTimeout = 10 * time.Second
 )
 
-// memoryLimitRatio is the Go runtime's memory limit as a fraction of the machine's memory;
+// memoryLimitRatio is the Go runtime's memory limit as a fraction of the VM's memory;
 // near the limit the garbage collector runs more often.
 const memoryLimitRatio = 0.6
 
@@ -128,7 +128,7 @@
 	return zerologr.New(&z)
 }
 
-// setRuntimeLimits limits the Go runtime to the machine's cores and memory.
+// setRuntimeLimits limits the Go runtime to the VM's cores and memory.
 func setRuntimeLimits(cfg platform.Settings) {
 	runtime.GOMAXPROCS(cfg.Cores)
 
--- a/cmd/boragehub/stop_test.go
+++ b/cmd/boragehub/stop_test.go
@@ -345,8 +345,8 @@
 	e.wantEnd(t)
 }
 
-// A machine pauses during a drain, and callers send requests meanwhile on connections that
-// they keep open. When it resumes, the time to close idle connections has come. Connections
+// An entry is paused during a drain, and callers send requests meanwhile on connections that
+// they keep open. When it is resumed, the time to close idle connections has come. Connections
 // with unread requests must not count as idle, or those requests get no response.
 func TestStoppingEntryRespondsToUnreadRequests(t *testing.T) {
 	const callers = 20
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -2,7 +2,8 @@
 // quantiles of the time to the first token, the requests per second, and the CPU time that
 // given processes spent per request.
 //
-//	measure --name entry --url http://127.0.0.1:9101 --key KEY --streams 64 --requests 2000 --pid entry=4711
+//	measure --name entry --url http://127.0.0.1:9101 --key KEY \
+//	        --streams 64 --requests 2000 --pid entry=4711
 package main
 
 import (
--- a/ctl/client.go
+++ b/ctl/client.go
@@ -14,7 +14,7 @@
 	"boragehub/vm"
 )
 
-// Requester sends a request to a process and returns its reply; *peer.Dialer is one.
+// Requester sends a request to a process and returns its response; *peer.Dialer is one.
 type Requester interface {
 	Ask(ctx context.Context, a peer.Address, m message.Message) (message.Message, error)
 }
@@ -58,12 +58,12 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
-	reply, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.DocumentRequest{Name: name, Query: query})
+	response, err := r.Peers.Ask(ctx, peer.Address{VM: m.Name, Addr: m.SideAddress}, message.DocumentRequest{Name: name, Query: query})
 	if err != nil {
 		return nil, err
 	}
 
-	v, err := message.Expect[message.Document](reply)
+	v, err := message.Expect[message.Document](response)
 
 	return v.JSON, err
 }
--- a/ctl/terminal.go
+++ b/ctl/terminal.go
@@ -11,7 +11,7 @@
 //
 //	menu := ctl.AttachConfig(parent)
 //	flaggy.Parse()
-//	ran, err := menu.Run(ctx, ctl.ConfigConfig{Log: client, Terminal: terminal})
+//	ran, err := menu.Run(ctx, ctl.ConfigOptions{Log: client, Terminal: terminal})
 package ctl
 
 import (
--- a/experiment/drawn/deployment.go
+++ b/experiment/drawn/deployment.go
@@ -1,4 +1,4 @@
-// Package drawn simulates the choice of an engine for a prompt (route.DecideOpening,
+// Package drawn simulates the choice of an engine for a prompt (route.DecidePrefix,
 // with what package profile learns) on randomly drawn deployments.
 //
 // # Model
--- a/experiment/drawn/drawn_test.go
+++ b/experiment/drawn/drawn_test.go
@@ -69,11 +69,11 @@
 	for _, p := range []Policy{Decide, HomeEngine, LeastLoaded} {
 		r := Simulate(Draw(21), p, 21)
 		if r.Prompts == 0 || r.OnTimeCount+r.Late > r.Prompts {
-			t.Errorf("%s: got %+v, want prompts, and no more answered than arrived", p, r)
+			t.Errorf("%s: got %+v, want prompts, and no more first events than prompts", p, r)
 		}
 
 		if p != Decide && r.OnTimeCount+r.Late != r.Prompts {
-			t.Errorf("%s: got %d answered of %d, want all", p, r.OnTimeCount+r.Late, r.Prompts)
+			t.Errorf("%s: got %d first events for %d prompts, want as many", p, r.OnTimeCount+r.Late, r.Prompts)
 		}
 	}
 }
--- a/experiment/drawn/play.go
+++ b/experiment/drawn/play.go
@@ -17,7 +17,7 @@
 
 // The policies.
 const (
-	// Decide is the entries' policy: route.DecideOpening with learned prefill rates.
+	// Decide is the entries' policy: route.DecidePrefix with learned prefill rates.
 	Decide Policy = iota
 	// HomeEngine always chooses the home engine of the shared prefix, which a hash
 	// determines.
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -35,7 +35,7 @@
 	// LinkBusy is the mean fraction of that time during which a link was in use.
 	LinkBusy float64
 	// Strategies counts the attempts by the strategy with which their context was to
-	// get to the engine, indexed by route.How.
+	// get to the engine, indexed by route.Strategy.
 	Strategies [3]int
 	// FailedImports counts imports whose source was unreachable or no longer had the
 	// context.
--- a/incident/engine_test.go
+++ b/incident/engine_test.go
@@ -160,7 +160,7 @@
 
 	// The side process reads the eviction event with a delay. Until then it takes the
 	// context to be cached and imports nothing.
-	s.eventually("an import is given up", func() bool {
+	s.eventually("an import is cancelled", func() bool {
 		s.setFaults(s.engines["engine-1"], map[string]any{"evict_all": true})
 
 		if got := s.prompt(s.entries[0], longPrompt, 10, nil).text; got != want {
--- a/incident/system_test.go
+++ b/incident/system_test.go
@@ -424,7 +424,7 @@
 
 func (s *system) waitReady(url string) {
 	s.t.Helper()
-	s.eventually(url+" answers 200", func() bool { return status(url) == http.StatusOK })
+	s.eventually(url+" responds with 200", func() bool { return status(url) == http.StatusOK })
 }
 
 func status(url string) int {
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,8 +1,8 @@
 // Package ring provides bounded queues between the goroutines of a process.
 //
 // Each task of a process runs in a goroutine of its own and takes its input
-// from one Ring. Adding to a full Ring fails at once, so that an overload is
-// refused with a failure kind where it arises and never becomes a silent wait:
+// from one Queue. Adding to a full Queue fails at once, so that an overload is
+// refused with a failure kind where it arises and never causes a hidden wait:
 //
 //	r := ring.New[Job](256)
 //	if !r.Offer(job) {
@@ -21,13 +21,13 @@
 	refused atomic.Uint64
 }
 
-// New returns an empty Ring with a capacity of n values; an n below 1 counts as 1.
+// New returns an empty Queue with a capacity of n values; an n below 1 counts as 1.
 func New[T any](n int) *Queue[T] {
 	return &Queue[T]{values: make(chan T, max(n, 1))}
 }
 
-// Offer adds v and reports whether there was free space. It never blocks. When the Ring is full, v
-// is not added and counts as refused.
+// Offer adds v and reports whether there was free space. It never blocks. When the Queue is full,
+// v is not added and counts as refused.
 func (r *Queue[T]) Offer(v T) bool {
 	select {
 	case r.values <- v:
@@ -59,5 +59,5 @@
 // Cap returns the capacity in values.
 func (r *Queue[T]) Cap() int { return cap(r.values) }
 
-// Refused returns how many values Offer has refused because the Ring was full.
+// Refused returns how many values Offer has refused because the Queue was full.
 func (r *Queue[T]) Refused() uint64 { return r.refused.Load() }
--- a/site/site.go
+++ b/site/site.go
@@ -66,7 +66,8 @@
 	Kind Kind
 	// Timeout is the maximum time that a caller waits for the response.
 	Timeout time.Duration
-	// LatencyTarget is the latency target: a response, or a stream's first event, is on time within it.
+	// LatencyTarget is the maximum time until a response, or a stream's first event, that is still
+	// on time.
 	LatencyTarget time.Duration
 	// EventGapTarget is the maximum time between two events of a stream that is still on time.
 	EventGapTarget time.Duration
@@ -85,8 +86,7 @@
 	Resumable bool
 }
 
-// Retryable reports whether a request of the route may be retried once it may have
-// run.
+// Retryable reports whether a request of the route may be retried once it may have run.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
@@ -275,8 +275,8 @@
 // Limits returns the limits on callers' requests and connections.
 func (c *Configuration) Limits() Limits { return c.limits }
 
-// RequiresKey reports whether routes that aren't public require an API key: whether any organisation
-// is configured.
+// RequiresKey reports whether routes that aren't public require an API key: whether any
+// organisation is configured.
 func (c *Configuration) RequiresKey() bool { return c.requiresKey }
 
 // Match returns the route with the longest prefix of path for host, which may include a port. It
--- a/socket/socket.go
+++ b/socket/socket.go
@@ -24,7 +24,7 @@
 )
 
 // Peek returns the state of a connection without consuming bytes and without blocking.
-// A connection without a socket, such as a pipe in a test, is Quiet.
+// A connection without a socket, such as a pipe in a test, is Idle.
 func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -4,11 +4,11 @@
 //
 // Up to MaxRunning requests run concurrently; the others wait, ordered by priority. A request
 // first spends time on each prompt token that no cached block covers, one prefill at a time,
-// and then its completion is generated token by token. Whole blocks of prompt and completion
-// are cached and evicted least recently used first.
+// and then its completion is generated token by token. Complete blocks of prompt and
+// completion are cached and evicted least recently used first.
 //
-// The completion is a function of the prompt and the position (Answer), so that a test can
-// tell which prompt a completion belongs to and whether it is complete. A run that uses a
+// The completion is a function of the prompt and the position (CompletionText), so that a test
+// can tell which prompt a completion belongs to and whether it is complete. A run that uses a
 // block altered or truncated on its way through a store gives a different completion.
 //
 //	s := engine.New(engine.Config{Model: "casemodel", WeightVersion: "v1"})
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -313,8 +313,8 @@
 	return time.Duration(float64(tokens) / speed * factor * float64(time.Second))
 }
 
-// prefill waits for its turn, since one run prefills at a time, and then for the time of the
-// uncached tokens. It reports whether it finished before ctx ended.
+// prefill waits until no other run prefills, since one run does so at a time, and then for the
+// time of the uncached tokens. It reports whether it finished before ctx ended.
 func (s *Server) prefill(ctx context.Context, r *run) bool {
 	defer func() {
 		s.mu.Lock()
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -69,7 +69,7 @@
 
 // Run is one executed request.
 type Run struct {
-	// IdempotencyKey is its Idempotency-IdempotencyKey.
+	// IdempotencyKey is its Idempotency-Key.
 	IdempotencyKey string `json:"idempotency_key"`
 	// Organisation is its X-Organisation.
 	Organisation string `json:"organisation"`
--- a/story/story.go
+++ b/story/story.go
@@ -2,12 +2,12 @@
 // processes.
 //
 // Each process logs every decision about a request as an event with the request's
-// id. A Story collects the events with one id from any number of logs, in any
+// id. A Timeline collects the events with one id from any number of logs, in any
 // order, and sorts them by time.
 //
 //	s := story.New("9c41d07be2a35f68")
 //	err := s.Read(file)
-//	s.Write(os.Stdout)
+//	err = s.WriteText(os.Stdout)
 package story
 
 import (
@@ -52,7 +52,7 @@
 	lines    []Line
 }
 
-// New returns an empty Story of the request with the given id.
+// New returns an empty Timeline of the request with the given id.
 func New(id string) *Timeline { return &Timeline{id: id, quotedID: []byte(`"` + id + `"`)} }
 
 // maxLineBytes is the maximum length of a log line. Events are never longer; Read stops with an
--- a/vm/list.go
+++ b/vm/list.go
@@ -9,7 +9,7 @@
 //
 //	f := vm.NewFollower(vm.FollowerConfig{URL: "http://127.0.0.1:9200"})
 //	go f.Run(ctx)
-//	for _, m := range f.List().Of(vm.Store, "yvr-east") { … }
+//	for _, m := range f.List().OfKind(vm.Store, "yvr-east") { … }
 package vm
 
 import (
@@ -148,7 +148,8 @@
 	return l.vms[i], true
 }
 
-// OfKind returns the VMs of kind k: those in dataCentre first, then the others, each sorted by name.
+// OfKind returns the VMs of kind k: those in dataCentre first, then the others, each sorted by
+// name.
 func (l *List) OfKind(k Kind, dataCentre string) []VM {
 	var local, remote []VM
 
--- a/wholepath/blame_test.go
+++ b/wholepath/blame_test.go
@@ -96,7 +96,7 @@
 // An engine is stopped gracefully and closes its idle connections, just as the side process
 // sends the next run on one of them. The engine has read nothing of the run. If the run
 // counted as running in a crash, it would be quarantined after a second engine, as in a
-// rolling restart, and everybody who sends the same request would be refused.
+// rolling restart, and every caller who sends the same request would be refused.
 func TestEngineStopCreatesNoSuspects(t *testing.T) {
 	const callers = 20
 
--- a/wholepath/context_test.go
+++ b/wholepath/context_test.go
@@ -31,7 +31,7 @@
 // recomputing the context.
 func slowPrefill(_ int, cfg *engine.Config) { cfg.PrefillTokensPerSecond = 20_000 }
 
-// holdings returns where entry 1 believes parts of a prompt's context to be held.
+// holdings returns where, according to entry 1, parts of a prompt's context are held.
 func (e *testEnv) holdings(owner, text string) []message.Holding {
 	e.t.Helper()
 
--- a/wholepath/stop_test.go
+++ b/wholepath/stop_test.go
@@ -223,7 +223,8 @@
 	env := start(t, envConfig{engines: 2, entries: 2, plainServices: 1})
 	env.waitForOwners()
 
-	// As with a balancer, requests go to the stopping entry while it is ready, then to the other one.
+	// As with a balancer, requests go to the stopping entry while it is ready, then to the other
+	// one.
 	readyEntry := func() *entryNode {
 		if n := env.entries[0]; n.Ready() {
 			return n
