--- a/cmd/boragehub/wire_gen.go
+++ b/cmd/boragehub/wire_gen.go
@@ -18,11 +18,11 @@
 func newEntryProcess(cfg setting.Process) (*entryProcess, error) {
 	recorder := provideRecorder(cfg)
 	logger := provideLogger(cfg, recorder)
-	keeper, err := provideKeys(cfg, logger)
+	reloader, err := provideKeys(cfg, logger)
 	if err != nil {
 		return nil, err
 	}
-	config := providePeerConfig(keeper)
+	config := providePeerConfig(reloader)
 	dialer := peer.NewDialer(config, logger)
 	peerServer, err := providePeerServer(cfg, config, logger)
 	if err != nil {
@@ -36,7 +36,7 @@
 	mainCommon := common{
 		cfg:      cfg,
 		log:      logger,
-		keys:     keeper,
+		keys:     reloader,
 		dialer:   dialer,
 		server:   peerServer,
 		vmList:   follower,
@@ -44,8 +44,8 @@
 		crashes:  feed,
 		handlers: mainUpdateHandlers,
 	}
-	leaseKeeper := provideRolloutLease(cfg, logger, client)
-	leader := provideLeader(cfg, logger, dialer, follower, publicationFollower, leaseKeeper)
+	keeper := provideRolloutLease(cfg, logger, client)
+	leader := provideLeader(cfg, logger, dialer, follower, publicationFollower, keeper)
 	registry := operator.NewRegistry()
 	entry := provideEntry(cfg, logger, dialer, follower, publicationFollower, feed, leader, recorder, registry)
 	mainSnapshotLease := provideSnapshotLease(cfg, logger, client)
@@ -57,7 +57,7 @@
 	mainEntryProcess := &entryProcess{
 		common:        mainCommon,
 		entry:         entry,
-		lease:         leaseKeeper,
+		lease:         keeper,
 		leader:        leader,
 		snapshotLease: mainSnapshotLease,
 		snapshots:     snapshotter,
@@ -69,11 +69,11 @@
 func newSideProcess(cfg setting.Process) (*sideProcess, error) {
 	recorder := provideRecorder(cfg)
 	logger := provideLogger(cfg, recorder)
-	keeper, err := provideKeys(cfg, logger)
+	reloader, err := provideKeys(cfg, logger)
 	if err != nil {
 		return nil, err
 	}
-	config := providePeerConfig(keeper)
+	config := providePeerConfig(reloader)
 	dialer := peer.NewDialer(config, logger)
 	peerServer, err := providePeerServer(cfg, config, logger)
 	if err != nil {
@@ -87,7 +87,7 @@
 	mainCommon := common{
 		cfg:      cfg,
 		log:      logger,
-		keys:     keeper,
+		keys:     reloader,
 		dialer:   dialer,
 		server:   peerServer,
 		vmList:   follower,
@@ -95,9 +95,9 @@
 		crashes:  feed,
 		handlers: mainUpdateHandlers,
 	}
-	home := provideDeduplicator(cfg, logger, client, follower)
+	deduplicator := provideDeduplicator(cfg, logger, client, follower)
 	v := provideSideViews(recorder, publicationFollower)
-	side, err := provideSide(cfg, logger, dialer, follower, publicationFollower, feed, home, v)
+	side, err := provideSide(cfg, logger, dialer, follower, publicationFollower, feed, deduplicator, v)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	mainSideProcess := &sideProcess{
 		common:       mainCommon,
 		side:         side,
-		deduplicator: home,
+		deduplicator: deduplicator,
 		operators:    operatorServer,
 	}
 	return mainSideProcess, nil
